--- a/core/logs/doc.go
+++ b/core/logs/doc.go
@@ -1,3 +1,3 @@
-// Package logs writes structured logs without ever blocking the caller: lines go
-// through a bounded queue and under a bounded rate, and what is dropped is counted.
+// Package logs writes structured logs without ever blocking the caller: lines pass
+// through a bounded queue and a rate limit, and dropped lines are counted.
 package logs
--- a/core/logs/writer.go
+++ b/core/logs/writer.go
@@ -8,64 +8,64 @@
 )
 
 const (
-	// maxQueued bounds the lines that wait to be written.
-	maxQueued = 2048
-	// DefaultRate is the number of lines per second that a process writes at most.
+	// maxQueuedLines limits the lines that wait to be written.
+	maxQueuedLines = 2048
+	// DefaultRate is the default limit in lines per second.
 	DefaultRate = 400
-	// burstSeconds is the number of seconds whose lines may be written at once.
+	// burstSeconds is the capacity of the token bucket, in seconds of the rate.
 	burstSeconds = 5
 )
 
-// Writer passes lines on to an output. Write never blocks; a line that does not
-// fit in the queue or the rate is dropped, and the next line that is written is
-// preceded by one that states how many were dropped.
+// Writer writes lines to an output in the background. Write never blocks; a line
+// that exceeds the queue or the rate limit is dropped, and the next line that is
+// accepted is preceded by one with the number of dropped lines.
 type Writer struct {
 	out   io.Writer
 	rate  float64
 	lines chan []byte
 	done  chan struct{}
 
-	mu      sync.Mutex
-	closed  bool
-	tokens  float64
-	filled  time.Time
-	dropped uint64
-	total   uint64
+	mu             sync.Mutex
+	closed         bool
+	tokens         float64
+	refilledAt     time.Time
+	pendingDropped uint64
+	totalDropped   uint64
 }
 
-// NewWriter returns a writer of at most rate lines per second; a rate of 0
-// stands for DefaultRate.
+// NewWriter returns a writer that is limited to rate lines per second; a rate of 0
+// means DefaultRate.
 func NewWriter(out io.Writer, rate int) *Writer {
 	if rate <= 0 {
 		rate = DefaultRate
 	}
 	w := &Writer{
-		out:    out,
-		rate:   float64(rate),
-		lines:  make(chan []byte, maxQueued),
-		done:   make(chan struct{}),
-		tokens: float64(rate * burstSeconds),
-		filled: time.Now(),
+		out:        out,
+		rate:       float64(rate),
+		lines:      make(chan []byte, maxQueuedLines),
+		done:       make(chan struct{}),
+		tokens:     float64(rate * burstSeconds),
+		refilledAt: time.Now(),
 	}
 	go w.run()
 	return w
 }
 
-// Write queues one line.
+// Write queues one line, or drops it. It never returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.closed || !w.take(time.Now()) {
+	if w.closed || !w.allow(time.Now()) {
 		w.drop()
 		return len(line), nil
 	}
 	queued := append([]byte(nil), line...)
-	if w.dropped > 0 {
-		queued = append(fmt.Appendf(nil, "msg=\"log lines dropped\" count=%d\n", w.dropped), queued...)
+	if w.pendingDropped > 0 {
+		queued = append(fmt.Appendf(nil, "msg=\"log lines dropped\" count=%d\n", w.pendingDropped), queued...)
 	}
 	select {
 	case w.lines <- queued:
-		w.dropped = 0
+		w.pendingDropped = 0
 	default:
 		w.drop()
 	}
@@ -73,14 +73,14 @@
 }
 
 func (w *Writer) drop() {
-	w.dropped++
-	w.total++
+	w.pendingDropped++
+	w.totalDropped++
 }
 
-// take uses one line of the rate and reports whether there was one left.
-func (w *Writer) take(now time.Time) bool {
-	w.tokens = min(w.tokens+now.Sub(w.filled).Seconds()*w.rate, w.rate*burstSeconds)
-	w.filled = now
+// allow takes one token from the token bucket and reports whether there was one.
+func (w *Writer) allow(now time.Time) bool {
+	w.tokens = min(w.tokens+now.Sub(w.refilledAt).Seconds()*w.rate, w.rate*burstSeconds)
+	w.refilledAt = now
 	if w.tokens < 1 {
 		return false
 	}
@@ -92,19 +92,20 @@
 func (w *Writer) Dropped() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return int64(w.total)
+	return int64(w.totalDropped)
 }
 
 func (w *Writer) run() {
 	defer close(w.done)
 	for line := range w.lines {
-		// There is nowhere to report that the log itself cannot be written.
+		// There is no other place to report that the log itself cannot be written.
 		_, _ = w.out.Write(line)
 	}
 }
 
-// Close writes the queued lines, for at most the given time, and drops later ones.
-func (w *Writer) Close(limit time.Duration) {
+// Close flushes the queued lines, for at most the given time. Lines that are
+// written later are dropped.
+func (w *Writer) Close(timeout time.Duration) {
 	w.mu.Lock()
 	if !w.closed {
 		w.closed = true
@@ -113,6 +114,6 @@
 	w.mu.Unlock()
 	select {
 	case <-w.done:
-	case <-time.After(limit):
+	case <-time.After(timeout):
 	}
 }
--- a/core/logs/writer_test.go
+++ b/core/logs/writer_test.go
@@ -14,7 +14,7 @@
 	"wisteriarelay.example/core/logs"
 )
 
-// Guards against a process that stands still because nobody reads its output.
+// Guards against a process that hangs because nobody reads its output.
 func TestWriteNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -32,7 +32,7 @@
 	})
 }
 
-// Guards against lines that vanish without a word.
+// Guards against lines that are dropped without a trace in the log.
 func TestDroppedLinesAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/core/stats/doc.go
+++ b/core/stats/doc.go
@@ -1,3 +1,3 @@
-// Package stats holds the metrics of a process, exported in the Prometheus
-// text format, and the dump of its state.
+// Package stats holds the metrics of a process, which it exports in the Prometheus
+// text format, and the dump of the process's state.
 package stats
--- a/core/stats/dump.go
+++ b/core/stats/dump.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// Dump collects the state of the parts of a process on request.
+// Dump collects the state of the parts of a process on request, for diagnostics.
 type Dump struct {
 	mu    sync.Mutex
 	parts map[string]func() any
@@ -13,27 +13,28 @@
 	return &Dump{parts: map[string]func() any{}}
 }
 
-// Add registers the function that returns the state of a part; the state must
-// encode as JSON.
+// Add registers a function that returns the state of a part. The state must be
+// encodable as JSON.
 func (d *Dump) Add(part string, read func() any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.parts[part] = read
 }
 
-// Read returns the state of one part, or of all parts by name if part is empty.
+// Read returns the state of one part, or of all parts if part is empty, keyed by
+// the name of the part.
 func (d *Dump) Read(part string) any {
 	d.mu.Lock()
-	reads := make(map[string]func() any, len(d.parts))
-	for n, read := range d.parts {
-		if part == "" || part == n {
-			reads[n] = read
+	readers := make(map[string]func() any, len(d.parts))
+	for name, read := range d.parts {
+		if part == "" || part == name {
+			readers[name] = read
 		}
 	}
 	d.mu.Unlock()
-	state := make(map[string]any, len(reads))
-	for n, read := range reads {
-		state[n] = read()
+	states := make(map[string]any, len(readers))
+	for name, read := range readers {
+		states[name] = read()
 	}
-	return state
+	return states
 }
--- a/core/stats/set.go
+++ b/core/stats/set.go
@@ -11,8 +11,10 @@
 )
 
 const (
+	// reservoirSize is the number of samples that a histogram keeps.
 	reservoirSize = 1028
-	// reservoirAlpha weighs a reservoir towards about the last five minutes.
+	// reservoirAlpha is the decay factor that biases a histogram towards about the last
+	// five minutes.
 	reservoirAlpha = 0.015
 )
 
@@ -28,30 +30,32 @@
 	return &Set{registry: metrics.NewRegistry()}
 }
 
-// Counter returns the counter of that name, made at its first use.
+// Counter returns the counter with the given name, creating it on first use.
 func (s *Set) Counter(name string) metrics.Counter {
 	return metrics.GetOrRegisterCounter(name, s.registry)
 }
 
-// Histogram returns the histogram of that name, made at its first use.
+// Histogram returns the histogram with the given name, creating it on first use.
 func (s *Set) Histogram(name string) metrics.Histogram {
 	return s.registry.GetOrRegister(name, func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewExpDecaySample(reservoirSize, reservoirAlpha))
 	}).(metrics.Histogram)
 }
 
-// Gauge registers a function that is read at each export.
+// Gauge registers a function that returns the value of a gauge; each export calls
+// it.
 func (s *Set) Gauge(name string, read func() int64) {
 	s.registry.GetOrRegister(name, metrics.NewFunctionalGauge(read))
 }
 
-// labelledBytes is the usual length of a metric name with a label; longer
-// names take one more allocation.
-const labelledBytes = 96
+// labelledNameCap is the usual length of a metric name with a label, used as the
+// initial capacity; longer names take one more allocation.
+const labelledNameCap = 96
 
-// Label appends a label to a metric name, in the form of the text format.
+// Label appends a label to a metric name, in the syntax of the Prometheus text
+// format.
 func Label(name, key, value string) string {
-	b := make([]byte, 0, labelledBytes)
+	b := make([]byte, 0, labelledNameCap)
 	b = append(append(append(append(b, name...), '{'), key...), '=')
 	b = append(strconv.AppendQuote(b, value), '}')
 	return string(b)
@@ -66,30 +70,30 @@
 func (s *Set) text() string {
 	var lines []string
 	s.registry.Each(func(name string, metric any) {
-		lines = append(lines, export(name, metric)...)
+		lines = append(lines, formatMetric(name, metric)...)
 	})
 	sort.Strings(lines)
 	return strings.Join(lines, "\n") + "\n"
 }
 
-func export(name string, metric any) []string {
+func formatMetric(name string, metric any) []string {
 	base, labels := splitName(name)
 	switch m := metric.(type) {
 	case metrics.Counter:
-		return []string{sample(base+"_total", labels, m.Count())}
+		return []string{formatSample(base+"_total", labels, m.Count())}
 	case metrics.Gauge:
-		return []string{sample(base, labels, m.Value())}
+		return []string{formatSample(base, labels, m.Value())}
 	case metrics.Histogram:
-		return exportHistogram(base, labels, m.Snapshot())
+		return formatHistogram(base, labels, m.Snapshot())
 	default:
 		return nil
 	}
 }
 
-func exportHistogram(base, labels string, h metrics.Histogram) []string {
+func formatHistogram(base, labels string, h metrics.Histogram) []string {
 	lines := []string{
-		sample(base+"_count", labels, h.Count()),
-		sample(base+"_sum", labels, h.Sum()),
+		formatSample(base+"_count", labels, h.Count()),
+		formatSample(base+"_sum", labels, h.Sum()),
 	}
 	values := h.Percentiles(quantiles)
 	for i, q := range quantiles {
@@ -97,7 +101,7 @@
 		if labels != "" {
 			label = labels + "," + label
 		}
-		lines = append(lines, sample(base, label, int64(values[i])))
+		lines = append(lines, formatSample(base, label, int64(values[i])))
 	}
 	return lines
 }
@@ -110,7 +114,7 @@
 	return base, strings.TrimSuffix(rest, "}")
 }
 
-func sample(base, labels string, value int64) string {
+func formatSample(base, labels string, value int64) string {
 	if labels == "" {
 		return fmt.Sprintf("%s %d", base, value)
 	}
