--- a/core/node/config.go
+++ b/core/node/config.go
@@ -12,91 +12,96 @@
 )
 
 const (
-	// configWait is how long the store may hold a call that waits for a
-	// configuration.
-	configWait = 20 * time.Second
-	// configRetry is the first wait after a failed read of the configuration.
-	configRetry = 200 * time.Millisecond
-	// configPace is the shortest time between two calls that bring a configuration.
-	// A change counts within seconds, and operators may write many at once.
-	configPace = 400 * time.Millisecond
-	// maxConfigRetry bounds that wait.
-	maxConfigRetry = 2 * time.Second
-	// behindCheck is how often the version in force is compared with those of peers.
-	behindCheck = 250 * time.Millisecond
-	// behindChecks is the number of comparisons in a row after which the daemon
-	// takes its own call for stuck.
-	behindChecks = 2
+	// configPollTimeout is how long the store may hold a long poll for a configuration.
+	configPollTimeout = 20 * time.Second
+	// minConfigBackoff is the first delay after a failed read of the configuration.
+	minConfigBackoff = 200 * time.Millisecond
+	// minConfigInterval is the shortest time between two store calls that return a
+	// configuration. Operators may write many configurations in a row, and a change
+	// only has to take effect within seconds.
+	minConfigInterval = 400 * time.Millisecond
+	// maxConfigBackoff limits the delay after failed reads.
+	maxConfigBackoff = 2 * time.Second
+	// versionCheckInterval is how often the version in force is compared with those of
+	// peers.
+	versionCheckInterval = 250 * time.Millisecond
+	// maxBehindChecks is the number of consecutive comparisons that find a newer
+	// version at a peer before the daemon rereads the configuration: its own long poll
+	// may be stuck.
+	maxBehindChecks = 2
 )
 
 // configFollower keeps the newest configuration in force.
 type configFollower struct{ *Node }
 
 func (f *configFollower) loop(ctx context.Context) {
-	f.awaitPeers(ctx, func() bool { return f.relay.Table() != nil })
+	f.waitForPeers(ctx, func() bool { return f.relay.Table() != nil })
 	position := int64(0)
-	wait := configRetry
+	wait := minConfigBackoff
 	for ctx.Err() == nil {
-		if f.relay.Table() != nil && !f.readsForOthers() {
+		if f.relay.Table() != nil && !f.isConfigReader() {
 			position = 0
-			if !f.awaitReason(ctx) {
+			if !f.waitUntilReadNeeded(ctx) {
 				continue
 			}
 		}
 		read, err := f.read(ctx, position)
 		if err == nil {
-			f.take(read)
+			f.applyAndSend(read)
 			if position != 0 && (read.Config != nil || read.Problem != nil) {
-				pause(ctx, configPace)
+				sleep(ctx, minConfigInterval)
 			}
 			position = read.Position
-			wait = configRetry
+			wait = minConfigBackoff
 			continue
 		}
-		// A plain read needs no history, and no connection that waits in silence.
+		// Continue with a full read: it does not need the store's change history, nor
+		// a long poll, whose dead connection would go unnoticed.
 		position = 0
-		if ctx.Err() != nil || errors.Is(err, errAskAgain) || fault.Is(err, fault.HistoryGone) {
+		if ctx.Err() != nil || errors.Is(err, errReread) || fault.Is(err, fault.HistoryGone) {
 			continue
 		}
 		_ = f.logger.Log("msg", "configuration not read", "err", err, "next", wait)
-		pause(ctx, wait)
-		wait = min(2*wait, maxConfigRetry)
+		sleep(ctx, wait)
+		wait = min(2*wait, maxConfigBackoff)
 	}
 }
 
-// take puts a configuration that was read from the store in force, and passes it
-// on if this daemon reads for its data centre.
-func (f *configFollower) take(read ConfigRead) {
+// applyAndSend applies a configuration that was read from the store, and sends it
+// to the daemons of the local data centre if this daemon is one of its config
+// readers.
+func (f *configFollower) applyAndSend(read ConfigRead) {
 	newer := f.apply(read, false)
-	if newer && f.readsForOthers() {
-		f.peers.TellConfig(*f.document.Load(), f.roster.Near())
+	if newer && f.isConfigReader() {
+		f.gossip.TellConfig(*f.configDocument.Load(), f.roster.Near())
 	}
 }
 
-// awaitReason waits until the daemon has to read the configuration itself: a peer
-// has a newer one and did not pass it on, or there is a reason to doubt what is in
-// force. It returns false once the daemon reads for its data centre.
-func (f *configFollower) awaitReason(ctx context.Context) bool {
+// waitUntilReadNeeded waits until the daemon has to read the configuration itself:
+// a peer has a newer one that did not arrive here, or a reread was requested. It
+// returns false once the daemon is a config reader or its context ends.
+func (f *configFollower) waitUntilReadNeeded(ctx context.Context) bool {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	w := &configWatch{f.Node}
+	w := &staleConfigWatcher{f.Node}
 	go w.loop(ctx, cancel)
-	tick := time.NewTicker(behindCheck)
+	tick := time.NewTicker(versionCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			return errors.Is(context.Cause(ctx), errAskAgain)
+			return errors.Is(context.Cause(ctx), errReread)
 		case <-tick.C:
-			if f.readsForOthers() {
+			if f.isConfigReader() {
 				return false
 			}
 		}
 	}
 }
 
-// errAskAgain ends a waiting call whose connection may have gone silent.
-var errAskAgain = errors.New("the configuration has to be read at once")
+// errReread cancels a long poll whose connection may be dead, so that the
+// configuration is reread.
+var errReread = errors.New("configuration must be reread immediately")
 
 func (f *configFollower) read(ctx context.Context, position int64) (ConfigRead, error) {
 	if position == 0 {
@@ -104,54 +109,56 @@
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	w := &configWatch{f.Node}
+	w := &staleConfigWatcher{f.Node}
 	go w.loop(ctx, cancel)
-	read, err := f.platform.AwaitConfig(ctx, position, configWait)
-	if err != nil && errors.Is(context.Cause(ctx), errAskAgain) {
-		return read, errAskAgain
+	read, err := f.platform.AwaitConfig(ctx, position, configPollTimeout)
+	if err != nil && errors.Is(context.Cause(ctx), errReread) {
+		return read, errReread
 	}
 	return read, err
 }
 
-// askConfig ends the call that waits for a configuration, so that it is read at once.
-func (n *Node) askConfig() {
+// requestConfigRead cancels the long poll for a configuration, so that it is reread
+// immediately.
+func (n *Node) requestConfigRead() {
 	select {
-	case n.askNow <- struct{}{}:
+	case n.configReadRequests <- struct{}{}:
 	default:
 	}
 }
 
-// configWatch ends a call that waits for a configuration when there is a reason
-// to doubt its connection: a peer has a newer one, or the store was away.
-type configWatch struct{ *Node }
+// staleConfigWatcher cancels a wait for a configuration when its connection may be
+// dead: a peer has a newer configuration, or the store was unreachable for a while.
+type staleConfigWatcher struct{ *Node }
 
-func (w *configWatch) loop(ctx context.Context, cancel context.CancelCauseFunc) {
-	tick := time.NewTicker(behindCheck)
+func (w *staleConfigWatcher) loop(ctx context.Context, cancel context.CancelCauseFunc) {
+	tick := time.NewTicker(versionCheckInterval)
 	defer tick.Stop()
 	behind := 0
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.askNow:
-			cancel(errAskAgain)
+		case <-w.configReadRequests:
+			cancel(errReread)
 			return
 		case <-tick.C:
 		}
-		if t := w.relay.Table(); t == nil || int64(t.Version) >= w.newest.Load() {
+		if t := w.relay.Table(); t == nil || int64(t.Version) >= w.newestPeerConfig.Load() {
 			behind = 0
 			continue
 		}
-		if behind++; behind >= behindChecks {
-			_ = w.logger.Log("msg", "a peer has a newer configuration", "version", w.newest.Load())
-			cancel(errAskAgain)
+		if behind++; behind >= maxBehindChecks {
+			_ = w.logger.Log("msg", "a peer has a newer configuration", "version", w.newestPeerConfig.Load())
+			cancel(errReread)
 			return
 		}
 	}
 }
 
-// apply puts a configuration in force unless it is older than the one in force,
-// and reports whether it did. fromPeer says that a peer has read it.
+// apply puts a configuration in force unless one of the same or a higher version is
+// in force, and reports whether it did. fromPeer says that the configuration was
+// received from a peer.
 func (f *configFollower) apply(read ConfigRead, fromPeer bool) bool {
 	f.configMu.Lock()
 	defer f.configMu.Unlock()
@@ -171,11 +178,11 @@
 		_ = f.logger.Log("msg", "configuration is not newer", "version", read.Config.Version, "in-force", old.Version)
 		return false
 	}
-	f.document.Store(&gossip.Document{Version: int64(read.Config.Version), Data: read.Raw})
+	f.configDocument.Store(&gossip.Document{Version: int64(read.Config.Version), Data: read.Raw})
 	f.relay.SetTable(route.Compile(read.Config))
-	f.renewTargets()
+	f.updateTargets()
 	f.refresh()
-	f.set.Counter("config_problems").Inc(int64(len(problems)))
+	f.metrics.Counter("config_problems").Inc(int64(len(problems)))
 	for _, p := range problems {
 		_ = f.logger.Log("msg", "part of the configuration cannot be used", "version", read.Config.Version, "err", p)
 	}
@@ -183,7 +190,7 @@
 	return true
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/core/node/config_readers.go
+++ b/core/node/config_readers.go
@@ -7,31 +7,33 @@
 )
 
 const (
-	// configReaders is the number of daemons of a data centre that wait for
-	// configurations at the store for the others.
-	configReaders = 2
-	// readerSettle is the time after a start in which peers are not known yet, and
-	// every daemon would take itself for a reader.
-	readerSettle = time.Second
-	// readerMemory is how long a daemon that has read the target list itself counts
-	// among them: those that should read may be cut from the store.
-	readerMemory = 2 * time.Second
+	// configReaderCount is the number of daemons of a data centre that poll the store
+	// for configurations on behalf of the others.
+	configReaderCount = 2
+	// readerStartupDelay is the time after the start in which the daemon is not a
+	// config reader. It may not know its peers yet, and every daemon would consider
+	// itself a reader.
+	readerStartupDelay = time.Second
+	// recentReadWindow is how long a daemon that has read the target list itself counts
+	// as a config reader: the designated readers may have lost their connection to the
+	// store.
+	recentReadWindow = 2 * time.Second
 )
 
-// readsForOthers reports whether this daemon waits for configurations at the store.
-// Load pattern: hundreds of daemons, each of which would call the store at each
-// change.
-func (n *Node) readsForOthers() bool {
+// isConfigReader reports whether this daemon polls the store for configurations and
+// sends them to its peers. With hundreds of daemons, each change would otherwise
+// cause one store call per daemon.
+func (n *Node) isConfigReader() bool {
 	now := time.Now()
-	if now.Sub(n.startedAt) < readerSettle {
+	if now.Sub(n.startedAt) < readerStartupDelay {
 		return false
 	}
-	lately := n.listReadAt.Load()
-	return n.roster.Rank(now) < configReaders || lately != nil && now.Sub(*lately) < readerMemory
+	lastRead := n.listReadAt.Load()
+	return n.roster.Rank(now) < configReaderCount || lastRead != nil && now.Sub(*lastRead) < recentReadWindow
 }
 
-// configHeard takes in a configuration that a peer has read.
-func (n *Node) configHeard(d gossip.Document) {
+// handleConfig applies a configuration that was received from a peer.
+func (n *Node) handleConfig(d gossip.Document) {
 	if t := n.relay.Table(); t != nil && d.Version <= int64(t.Version) {
 		return
 	}
--- a/core/node/config_test.go
+++ b/core/node/config_test.go
@@ -11,61 +11,62 @@
 	"wisteriarelay.example/core/route"
 )
 
-// storm is operators who write a configuration every 60 ms for a while.
-type storm struct {
-	begin time.Time
+// configBurst simulates a store to which operators write 20 configurations, one
+// every 60 ms.
+type configBurst struct {
+	start time.Time
 	calls int
 }
 
 const (
-	stormInterval = 60 * time.Millisecond
-	stormVersions = 20
+	burstInterval = 60 * time.Millisecond
+	burstVersions = 20
 )
 
-func (s *storm) newest() int64 {
-	return min(1+int64(time.Since(s.begin)/stormInterval), stormVersions)
+func (b *configBurst) newest() int64 {
+	return min(1+int64(time.Since(b.start)/burstInterval), burstVersions)
 }
 
-func (s *storm) read(context.Context) (ConfigRead, error) {
-	s.calls++
-	v := s.newest()
+func (b *configBurst) read(context.Context) (ConfigRead, error) {
+	b.calls++
+	v := b.newest()
 	return ConfigRead{Config: &route.Config{Version: route.Version(v)}, Position: v}, nil
 }
 
-func (s *storm) await(ctx context.Context, after int64, wait time.Duration) (ConfigRead, error) {
-	s.calls++
+func (b *configBurst) poll(ctx context.Context, after int64, wait time.Duration) (ConfigRead, error) {
+	b.calls++
 	limit := time.Now().Add(wait)
-	for s.newest() <= after {
+	for b.newest() <= after {
 		if time.Now().After(limit) {
 			return ConfigRead{Position: after}, nil
 		}
-		pause(ctx, time.Millisecond)
+		sleep(ctx, time.Millisecond)
 		if ctx.Err() != nil {
 			return ConfigRead{}, ctx.Err()
 		}
 	}
-	v := s.newest()
+	v := b.newest()
 	return ConfigRead{Config: &route.Config{Version: route.Version(v)}, Position: v}, nil
 }
 
-// Load pattern: configurations come in quick succession. Guards against a call to
-// the store for each of them from each daemon, which made 2,270 calls in 1.3 s at
-// 109 daemons; the last one still has to be in force within two seconds.
-func TestConfigStormTakesFewCalls(t *testing.T) {
+// Guards against one store call per daemon for each of many configurations in quick
+// succession, which made 2,270 calls in 1.3 s with 109 daemons. The last
+// configuration must still be in force within two seconds.
+func TestConfigBurstTakesFewStoreCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		s := &storm{begin: time.Now()}
+		burst := &configBurst{start: time.Now()}
 		settings := &Settings{VM: "vm", DataCentre: "a", InnerAddress: "127.0.0.1:0", ShutdownSeconds: 1, RetryBudget: RetryBudget{SpanSeconds: 1}}
-		n, err := New(settings, &Platform{ReadConfig: s.read, AwaitConfig: s.await})
+		n, err := New(settings, &Platform{ReadConfig: burst.read, AwaitConfig: burst.poll})
 		g.Expect(err).NotTo(HaveOccurred())
 		defer n.conn.Close()
 		ctx, cancel := context.WithCancel(t.Context())
 		f := &configFollower{n}
 		go f.loop(ctx)
-		time.Sleep(stormVersions*stormInterval + time.Second)
+		time.Sleep(burstVersions*burstInterval + time.Second)
 		cancel()
 		synctest.Wait()
-		g.Expect(s.calls).To(BeNumerically("<=", stormVersions/3))
-		g.Expect(int64(n.relay.Table().Version)).To(Equal(int64(stormVersions)))
+		g.Expect(burst.calls).To(BeNumerically("<=", burstVersions/3))
+		g.Expect(int64(n.relay.Table().Version)).To(Equal(int64(burstVersions)))
 	})
 }
--- a/core/node/health_query.go
+++ b/core/node/health_query.go
@@ -9,106 +9,110 @@
 )
 
 const (
-	// inquiryWait is the longest time for which a request waits for what carriers
-	// believe; they are in the same data centre.
-	inquiryWait = 10 * time.Millisecond
-	// inquiryTTL is how long an answer counts. Targets fail in spells of seconds.
-	inquiryTTL = time.Second
-	// inquiryPeers is the number of carriers that are asked.
-	inquiryPeers = 2
+	// healthQueryTimeout is the longest time that a request waits for the health
+	// estimates of carriers, which are usually in the same data centre.
+	healthQueryTimeout = 10 * time.Millisecond
+	// healthQueryTTL is how long an answer is reused. Periods in which a target fails
+	// last seconds.
+	healthQueryTTL = time.Second
+	// healthQueryPeers is the number of carriers that are queried.
+	healthQueryPeers = 2
 )
 
-// inquiries ask carriers what is believed of the targets of services that this
-// daemon does not carry. Load pattern: callers with an old address reach daemons
-// that hear no results; every third target is in a spell, and they would send
-// orders there.
-type inquiries struct {
-	node *Node
-	mu   sync.Mutex
-	open map[string]*inquiry
+// healthQueries asks carriers for health estimates of the targets of services that
+// this daemon does not carry. Under load, callers with an outdated address reach
+// daemons that receive no events about these targets. With every third target in a
+// period of failures, such a daemon would send non-idempotent requests to failing
+// targets.
+type healthQueries struct {
+	node   *Node
+	mu     sync.Mutex
+	latest map[string]*healthQuery
 }
 
-// inquiry is one question about a service.
-type inquiry struct {
-	askedAt  time.Time
-	answered chan struct{}
-	once     sync.Once
+// healthQuery is one query about the targets of a service.
+type healthQuery struct {
+	sentAt time.Time
+	done   chan struct{}
+	once   sync.Once
 }
 
-func newInquiries(n *Node) *inquiries {
-	return &inquiries{node: n, open: map[string]*inquiry{}}
+func newHealthQueries(n *Node) *healthQueries {
+	return &healthQueries{node: n, latest: map[string]*healthQuery{}}
 }
 
-// await asks about the targets of the service if this daemon does not hear of
-// them, and waits a moment for the answer. A single request that can be sent again
-// needs no answer, and finds out what nobody knows.
-func (q *inquiries) await(ctx context.Context, service string, repeatable bool) {
-	if q.node.relay.Pool(service).Informed() || repeatable && q.node.relay.Recent(service) < strayRequests {
+// wait asks for the health of the targets of the service if this daemon receives no
+// events about them, and waits up to healthQueryTimeout for the answer. An
+// occasional request that can be repeated does not wait: it is sent again if it
+// fails, and its result tells what no daemon may know yet.
+func (q *healthQueries) wait(ctx context.Context, service string, repeatable bool) {
+	if q.node.relay.Pool(service).Informed() || repeatable && q.node.relay.Recent(service) < minRequestsForEvents {
 		return
 	}
-	i := q.ask(service)
-	timer := time.NewTimer(time.Until(i.askedAt.Add(inquiryWait)))
+	query := q.getOrSend(service)
+	timer := time.NewTimer(time.Until(query.sentAt.Add(healthQueryTimeout)))
 	defer timer.Stop()
 	select {
-	case <-i.answered:
+	case <-query.done:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// ask returns the last inquiry about the service, or a new one if that is too old.
-func (q *inquiries) ask(service string) *inquiry {
+// getOrSend returns the last query about the service, or sends a new one if that is
+// older than healthQueryTTL.
+func (q *healthQueries) getOrSend(service string) *healthQuery {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := time.Now()
-	if i := q.open[service]; i != nil && now.Sub(i.askedAt) < inquiryTTL {
-		return i
+	if query := q.latest[service]; query != nil && now.Sub(query.sentAt) < healthQueryTTL {
+		return query
 	}
-	i := &inquiry{askedAt: now, answered: make(chan struct{})}
-	q.open[service] = i
+	query := &healthQuery{sentAt: now, done: make(chan struct{})}
+	q.latest[service] = query
 	carriers := q.node.nearestCarriers(now, service)
 	if len(carriers) == 0 {
-		i.end()
-		return i
+		query.finish()
+		return query
 	}
-	q.node.peers.AskBeliefs(carriers, service)
-	return i
+	q.node.gossip.AskBeliefs(carriers, service)
+	return query
 }
 
-// answer ends the inquiry about the service.
-func (q *inquiries) answer(service string) {
+// complete finishes the query about the service.
+func (q *healthQueries) complete(service string) {
 	q.mu.Lock()
-	i := q.open[service]
+	query := q.latest[service]
 	q.mu.Unlock()
-	if i != nil {
-		i.end()
+	if query != nil {
+		query.finish()
 	}
 }
 
-func (i *inquiry) end() {
-	i.once.Do(func() { close(i.answered) })
+func (q *healthQuery) finish() {
+	q.once.Do(func() { close(q.done) })
 }
 
-// nearestCarriers returns the first daemons that carry the service in the own data
-// centre, or in others if none does.
+// nearestCarriers returns up to healthQueryPeers carriers of the service in the
+// local data centre, or in another one if the local one has none.
 func (n *Node) nearestCarriers(now time.Time, service string) []roster.Member {
 	group, cores := n.plan().Group(service)
 	for _, dc := range n.roster.DataCentres() {
 		if members := n.roster.Carriers(now, group, dc, cores); len(members) > 0 {
-			return members[:min(len(members), inquiryPeers)]
+			return members[:min(len(members), healthQueryPeers)]
 		}
 	}
 	return nil
 }
 
-// asked tells a peer what is believed of the targets of a service.
-func (n *Node) asked(peer roster.Member, service string) {
+// handleHealthQuery sends a peer the health estimates of the targets of a service.
+func (n *Node) handleHealthQuery(peer roster.Member, service string) {
 	if t := n.relay.Table(); t == nil {
 		return
 	} else if _, known := t.Service(service); !known {
 		return
 	}
 	if pool := n.relay.Pool(service); pool.Informed() {
-		n.peers.TellBeliefs(peer, service, pool.Beliefs())
+		n.gossip.TellBeliefs(peer, service, pool.Beliefs())
 	}
 }
--- a/core/node/health_query_test.go
+++ b/core/node/health_query_test.go
@@ -14,9 +14,9 @@
 	"wisteriarelay.example/core/sched"
 )
 
-// newPeer returns a daemon that knows one service with two targets and takes part
-// in the exchange of datagrams.
-func newPeer(t *testing.T, vm string, share float64) *Node {
+// newGossipingNode returns a daemon that knows one service with two targets and
+// exchanges datagrams with its peers.
+func newGossipingNode(t *testing.T, vm string, share float64) *Node {
 	t.Helper()
 	settings := &Settings{VM: vm, CPUShare: share, DataCentre: "a", CallerAddress: "127.0.0.1:1", InnerAddress: "127.0.0.1:0", ShutdownSeconds: 1, RetryBudget: RetryBudget{SpanSeconds: 1}}
 	n, err := New(settings, &Platform{})
@@ -29,19 +29,19 @@
 	n.relay.SetTargets(map[string][]sched.Target{"orders": {
 		{Key: sched.Key{ID: "t0", Born: 1}, DataCentre: "a", Slots: 2}, {Key: sched.Key{ID: "t1", Born: 1}, DataCentre: "a", Slots: 2},
 	}})
-	n.listed.Store(true)
-	n.peers.Start(t.Context())
+	n.listLoaded.Store(true)
+	n.gossip.Start(t.Context())
 	return n
 }
 
-// introduce lets each daemon hear the others once.
-func introduce(nodes ...*Node) {
+// exchangeReports delivers one report of each daemon to every daemon.
+func exchangeReports(nodes ...*Node) {
 	for _, n := range nodes {
 		n.refresh()
 	}
 	for _, n := range nodes {
 		for _, o := range nodes {
-			n.heard(o.self, &gossip.Report{VM: o.self.VM, DataCentre: "a", Ready: true})
+			n.handleReport(o.self, &gossip.Report{VM: o.self.VM, DataCentre: "a", Ready: true})
 		}
 	}
 	for _, n := range nodes {
@@ -58,44 +58,45 @@
 	return -1
 }
 
-// Load pattern: a caller with an old address brings a request to a daemon that
-// hears no results. Guards against it sending the request to a target of which the
-// carriers know that it is in a spell.
-func TestStrayRequestIsPlacedByWhatCarriersKnow(t *testing.T) {
+// Guards against a daemon that receives no events about a service and sends a
+// request to a target that the carriers know to be failing. Callers with an
+// outdated address send requests to such daemons.
+func TestNonCarrierUsesEstimatesOfCarriers(t *testing.T) {
 	g := NewWithT(t)
-	first, second, stray := newPeer(t, "vm-1", strong), newPeer(t, "vm-2", strong), newPeer(t, "vm-3", weak)
-	introduce(first, second, stray)
+	first, second, nonCarrier := newGossipingNode(t, "vm-1", highShare), newGossipingNode(t, "vm-2", highShare), newGossipingNode(t, "vm-3", lowShare)
+	exchangeReports(first, second, nonCarrier)
 	g.Expect(first.relay.Pool("orders").Informed()).To(BeTrue())
-	g.Expect(stray.relay.Pool("orders").Informed()).To(BeFalse())
+	g.Expect(nonCarrier.relay.Pool("orders").Informed()).To(BeFalse())
 	for _, n := range []*Node{first, second} {
 		for range 3 {
-			n.event("vm-9", sched.Event{Service: "orders", Target: sched.Key{ID: "t0", Born: 1}, Result: judge.Broken})
+			n.handleEvent("vm-9", sched.Event{Service: "orders", Target: sched.Key{ID: "t0", Born: 1}, Result: judge.Broken})
 		}
 	}
-	// An answer can take longer than a request waits for it on a busy machine; the
-	// next request then finds it.
+	// On a busy machine an answer may arrive after the request stopped waiting for it;
+	// the next request then uses it.
 	g.Eventually(func() float64 {
-		stray.inquiries.await(t.Context(), "orders", false)
-		return failRate(stray, "t0")
+		nonCarrier.healthQueries.wait(t.Context(), "orders", false)
+		return failRate(nonCarrier, "t0")
 	}).WithTimeout(10 * time.Second).Should(BeNumerically(">", 0.7))
-	g.Expect(failRate(stray, "t1")).To(BeNumerically("<", 0.3))
+	g.Expect(failRate(nonCarrier, "t1")).To(BeNumerically("<", 0.3))
 }
 
-// Load pattern: callers that find no directory spread over all daemons, twenty
-// requests and more to each. Guards against all of them hearing every event.
-func TestManyStraysStayOutOfTheGroup(t *testing.T) {
+// Guards against all daemons receiving every event when callers that cannot reach
+// the address endpoint spread over all daemons, with twenty requests or more to
+// each.
+func TestNonCarriersStayOutOfCarrierGroup(t *testing.T) {
 	g := NewWithT(t)
-	nodes := []*Node{newPeer(t, "vm-1", strong), newPeer(t, "vm-2", strong), newPeer(t, "vm-3", weak), newPeer(t, "vm-4", weak)}
-	introduce(nodes...)
+	nodes := []*Node{newGossipingNode(t, "vm-1", highShare), newGossipingNode(t, "vm-2", highShare), newGossipingNode(t, "vm-3", lowShare), newGossipingNode(t, "vm-4", lowShare)}
+	exchangeReports(nodes...)
 	group, _ := nodes[0].plan().Group("orders")
 	for _, n := range nodes {
 		for _, o := range nodes[2:] {
-			n.heard(o.self, &gossip.Report{VM: o.self.VM, DataCentre: "a", Ready: true, Carries: []string{group}})
+			n.handleReport(o.self, &gossip.Report{VM: o.self.VM, DataCentre: "a", Ready: true, Carries: []string{group}})
 		}
 	}
 	for _, n := range nodes {
 		n.refresh()
-		audience := n.group("orders")
+		audience := n.eventAudience("orders")
 		g.Expect(audience.Local).To(BeFalse())
 		for _, m := range audience.Carriers {
 			g.Expect(m.VM).To(BeElementOf("vm-1", "vm-2"))
@@ -107,42 +108,42 @@
 	}
 }
 
-// Load pattern: VMs so weak that dozens carry one group. Guards against each hearing
-// the results of all, and against targets of a data centre without carriers that
-// nobody looks after.
-func TestLargeGroupsKeepEvidenceLocal(t *testing.T) {
+// Guards against each carrier receiving the results of all others when VMs are so
+// small that dozens of them carry one group, and against targets that no daemon
+// monitors because their data centre has no carriers.
+func TestLargeGroupsSendEventsLocally(t *testing.T) {
 	g := NewWithT(t)
-	n := newPeer(t, "vm-1", weak)
+	n := newGossipingNode(t, "vm-1", lowShare)
 	group, _ := n.plan().Group("orders")
-	for i := range localFrom {
+	for i := range localEventsMinCarriers {
 		m := n.self
 		m.VM, m.DataCentre = fmt.Sprint("far-", i), "b"
-		g.Expect(n.group("orders").Local).To(BeFalse())
-		g.Expect(n.tended(n.group("orders"))).To(BeEmpty())
-		n.heard(m, &gossip.Report{VM: m.VM, DataCentre: "b", Ready: true, Carries: []string{group}})
+		g.Expect(n.eventAudience("orders").Local).To(BeFalse())
+		g.Expect(n.remotelyMonitored(n.eventAudience("orders"))).To(BeEmpty())
+		n.handleReport(m, &gossip.Report{VM: m.VM, DataCentre: "b", Ready: true, Carries: []string{group}})
 	}
-	g.Expect(n.group("orders").Local).To(BeTrue())
-	g.Expect(n.tended(n.group("orders"))).To(Equal(map[string]bool{"b": true}))
+	g.Expect(n.eventAudience("orders").Local).To(BeTrue())
+	g.Expect(n.remotelyMonitored(n.eventAudience("orders"))).To(Equal(map[string]bool{"b": true}))
 }
 
-// Guards against requests that wait for daemons which do not answer, or each ask
-// anew.
-func TestInquiryWithoutAnswerIsShortAndRare(t *testing.T) {
+// Guards against requests that wait for daemons which do not answer, or that each
+// send a new query.
+func TestUnansweredHealthQueryTimesOutAndIsReused(t *testing.T) {
 	g := NewWithT(t)
-	n := newPeer(t, "vm-3", weak)
+	n := newGossipingNode(t, "vm-3", lowShare)
 	n.relay.Pool("orders").SetInformed(false)
 	silent := n.self
-	silent.VM, silent.Inner, silent.Cores = "vm-1", "127.0.0.1:1", strong
-	n.heard(silent, &gossip.Report{VM: "vm-1", DataCentre: "a", Ready: true})
+	silent.VM, silent.Inner, silent.Cores = "vm-1", "127.0.0.1:1", highShare
+	n.handleReport(silent, &gossip.Report{VM: "vm-1", DataCentre: "a", Ready: true})
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	n.inquiries.await(ctx, "orders", true)
-	g.Expect(n.inquiries.open).To(BeEmpty())
-	n.inquiries.await(ctx, "orders", false)
+	n.healthQueries.wait(ctx, "orders", true)
+	g.Expect(n.healthQueries.latest).To(BeEmpty())
+	n.healthQueries.wait(ctx, "orders", false)
 	g.Expect(ctx.Err()).NotTo(HaveOccurred())
-	asked := n.inquiries.open["orders"]
-	asked.askedAt = time.Now().Add(time.Hour)
-	asked.end()
-	n.inquiries.await(ctx, "orders", false)
-	g.Expect(n.inquiries.open["orders"]).To(BeIdenticalTo(asked))
+	query := n.healthQueries.latest["orders"]
+	query.sentAt = time.Now().Add(time.Hour)
+	query.finish()
+	n.healthQueries.wait(ctx, "orders", false)
+	g.Expect(n.healthQueries.latest["orders"]).To(BeIdenticalTo(query))
 }
--- a/core/node/maintenance.go
+++ b/core/node/maintenance.go
@@ -8,23 +8,24 @@
 )
 
 const (
-	// upkeepInterval is the time between two rounds of upkeep.
-	upkeepInterval = 100 * time.Millisecond
-	// registerRetry is the wait after a failed registration.
-	registerRetry = time.Second
+	// maintenanceInterval is the time between two rounds of maintenance.
+	maintenanceInterval = 100 * time.Millisecond
+	// registrationRetryDelay is the delay after a failed store call of the
+	// registration.
+	registrationRetryDelay = time.Second
 )
 
-// upkeep renews what follows from the passing of time.
-type upkeep struct{ *Node }
+// maintenance periodically updates what depends on the time.
+type maintenance struct{ *Node }
 
-func (u *upkeep) loop(ctx context.Context) {
-	tick := time.NewTicker(upkeepInterval)
+func (m *maintenance) loop(ctx context.Context) {
+	tick := time.NewTicker(maintenanceInterval)
 	defer tick.Stop()
 	for {
-		if u.list.Expire(time.Now()) {
-			u.renewTargets()
+		if m.targetList.Expire(time.Now()) {
+			m.updateTargets()
 		}
-		u.refresh()
+		m.refresh()
 		select {
 		case <-ctx.Done():
 			return
@@ -33,34 +34,35 @@
 	}
 }
 
-// refresh renews what follows from the configuration, the targets and the peers.
-// The daemon becomes ready only with its part of the retry budget, which needs its
-// own place among the daemons first.
+// refresh updates what depends on the configuration, the targets and the peers. It
+// marks the daemon ready only after updateServices has set its part of the retry
+// budget, which in turn needs the daemon's own rank in the roster.
 func (n *Node) refresh() {
-	able := n.relay.Table() != nil && n.listed.Load()
+	able := n.relay.Table() != nil && n.listLoaded.Load()
 	leaving := n.leaving.Load()
 	n.roster.SetSelf(able && !leaving, leaving)
-	n.share()
+	n.updateServices()
 	if able {
-		n.prepared.open()
+		n.initialized.set()
 	}
 }
 
-// share deals out the fleet's budget of extra sends among the carriers of each
-// service, and says which services this daemon hears results of.
-func (n *Node) share() {
+// updateServices sets, for each service, whether this daemon receives the results
+// of its peers, and its part of the fleet's retry budget, which is divided among
+// the carriers.
+func (n *Node) updateServices() {
 	t := n.relay.Table()
 	if t == nil {
 		return
 	}
 	now := time.Now()
 	plan := n.plan()
-	start := n.startKind(now)
+	start := n.budgetStart(now)
 	for _, s := range t.Services() {
 		group, cores := plan.Group(s)
 		carries := n.roster.Carries(now, group, cores)
 		n.relay.Pool(s).SetInformed(carries)
-		n.relay.Pool(s).SetTended(n.tended(n.group(s)))
+		n.relay.Pool(s).SetTended(n.remotelyMonitored(n.eventAudience(s)))
 		part := retry.PartOf(1, start)
 		part.Slack = 0
 		if carries {
@@ -70,8 +72,9 @@
 	}
 }
 
-// startKind returns how this run began, as far as the retry budget is concerned.
-func (n *Node) startKind(now time.Time) retry.Start {
+// budgetStart returns how this run of the daemon began, which decides how much of
+// the retry budget earlier runs may have used.
+func (n *Node) budgetStart(now time.Time) retry.Start {
 	s := n.settings.Load()
 	switch {
 	case s.FirstStart || now.Sub(n.startedAt) >= seconds(s.RetryBudget.SpanSeconds):
@@ -83,24 +86,25 @@
 	}
 }
 
-// registration writes the daemon into the store and then reads the others from
-// it. In this order at least one of two daemons that start together finds the other.
+// registration writes the daemon to the store and then reads the other members from
+// it. This order ensures that of two daemons that start together at least one finds
+// the other.
 type registration struct{ *Node }
 
 func (r *registration) loop(ctx context.Context) {
-	r.until(ctx, r.write)
-	if !r.acquainted.Load() {
-		r.until(ctx, r.read)
+	r.retryUntilDone(ctx, r.register)
+	if !r.membersKnown.Load() {
+		r.retryUntilDone(ctx, r.loadMembers)
 	}
 }
 
-func (r *registration) until(ctx context.Context, step func(context.Context) bool) {
+func (r *registration) retryUntilDone(ctx context.Context, step func(context.Context) bool) {
 	for ctx.Err() == nil && !step(ctx) {
-		pause(ctx, registerRetry)
+		sleep(ctx, registrationRetryDelay)
 	}
 }
 
-func (r *registration) read(ctx context.Context) bool {
+func (r *registration) loadMembers(ctx context.Context) bool {
 	members, err := r.platform.ReadMembers(ctx)
 	if err != nil {
 		_ = r.logger.Log("msg", "members not read", "err", err)
@@ -109,14 +113,14 @@
 	for _, m := range members {
 		r.roster.Add(m)
 	}
-	r.acquainted.Store(true)
-	r.peers.Beat()
+	r.membersKnown.Store(true)
+	r.gossip.Beat()
 	return true
 }
 
-func (r *registration) write(ctx context.Context) bool {
+func (r *registration) register(ctx context.Context) bool {
 	if err := r.platform.WriteMember(ctx, r.self); err != nil {
-		_ = r.logger.Log("msg", "registration not written", "err", err)
+		_ = r.logger.Log("msg", "registration in the store failed", "err", err)
 		return false
 	}
 	return true
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -25,52 +25,54 @@
 	settings atomic.Pointer[Settings]
 	platform *Platform
 	logger   log.Logger
-	set      *stats.Set
+	metrics  *stats.Set
 	dump     *stats.Dump
 	self     roster.Member
 
-	relay   *relay.Relay
-	callers *caller.Server
-	roster  *roster.Roster
-	list    *watch.List
-	peers   *gossip.Node
-	conn    *net.UDPConn
-	ports   *ports
+	relay        *relay.Relay
+	callerServer *caller.Server
+	roster       *roster.Roster
+	targetList   *watch.List
+	gossip       *gossip.Node
+	conn         *net.UDPConn
+	auxServers   *auxServers
 
 	startedAt time.Time
 	leaving   atomic.Bool
 	// listReadAt is when the daemon last read the target list from the store itself.
 	listReadAt atomic.Pointer[time.Time]
-	// listPieceAt is when a peer last passed on a piece of the target list.
-	listPieceAt atomic.Pointer[time.Time]
-	// listed says that the target list was read once.
-	listed atomic.Bool
-	// oldList is a target list of a peer that could not read the store either.
-	oldList atomic.Pointer[watch.Delta]
-	// acquainted says that the other daemons of the data centre are known.
-	acquainted atomic.Bool
-	// document is the configuration in force as it lies in the store.
-	document atomic.Pointer[gossip.Document]
-	helper   *helper
-	// configMu lets one configuration at a time come into force.
+	// listPartAt is when a peer last sent a part of the target list.
+	listPartAt atomic.Pointer[time.Time]
+	// listLoaded says that the target list was loaded once, from the store or a peer.
+	listLoaded atomic.Bool
+	// staleList is an outdated target list from a peer that may not be able to read the
+	// store either.
+	staleList atomic.Pointer[watch.Delta]
+	// membersKnown says that all other daemons of the data centre are known.
+	membersKnown atomic.Bool
+	// configDocument is the configuration in force in the encoding of the store.
+	configDocument atomic.Pointer[gossip.Document]
+	startupSender  *startupSender
+	// configMu serializes changes of the configuration.
 	configMu sync.Mutex
-	// prepared is open once all that a request needs is in place.
-	prepared *gate
-	// targetsMu lets one list of targets at a time come into place.
+	// initialized is set once everything that requests need is in place.
+	initialized *latch
+	// targetsMu serializes changes of the relay's targets.
 	targetsMu sync.Mutex
-	// index finds the targets by what peers call them.
+	// index finds targets by the hashes that stand for them in datagrams.
 	index atomic.Pointer[gossip.TargetIndex]
-	// newest is the highest configuration version that a peer has in force.
-	newest atomic.Int64
-	// askNow ends a call that waits for a configuration.
-	askNow   chan struct{}
-	assembly watch.Assembly
-	// inquiries ask peers about targets of services that this daemon does not carry.
-	inquiries *inquiries
-	cancel    context.CancelFunc
+	// newestPeerConfig is the highest configuration version that a peer has in force.
+	newestPeerConfig atomic.Int64
+	// configReadRequests cancels the long poll for a configuration.
+	configReadRequests chan struct{}
+	listAssembly       watch.Assembly
+	// healthQueries asks peers about the targets of services that this daemon does not
+	// carry.
+	healthQueries *healthQueries
+	cancel        context.CancelFunc
 }
 
-// Option changes a Node.
+// Option configures a Node.
 type Option func(*Node)
 
 // WithLogger sets the logger; the node logs nothing without it.
@@ -78,27 +80,28 @@
 	return func(n *Node) { n.logger = l }
 }
 
-// WithDroppedLines sets the function that returns the number of dropped log lines, for the metrics.
+// WithDroppedLines exports the number of dropped log lines, which the function
+// returns, as a metric.
 func WithDroppedLines(dropped func() int64) Option {
-	return func(n *Node) { n.set.Gauge("log_lines_dropped", dropped) }
+	return func(n *Node) { n.metrics.Gauge("log_lines_dropped", dropped) }
 }
 
-// New assembles a daemon; Start runs it.
+// New assembles a daemon without starting it; call Start to run it.
 func New(settings *Settings, platform *Platform, opts ...Option) (*Node, error) {
 	n := &Node{
-		platform: platform,
-		logger:   log.NewNopLogger(),
-		set:      stats.New(),
-		dump:     stats.NewDump(),
-		list:     watch.NewList(),
-		askNow:   make(chan struct{}, 1),
+		platform:           platform,
+		logger:             log.NewNopLogger(),
+		metrics:            stats.New(),
+		dump:               stats.NewDump(),
+		targetList:         watch.NewList(),
+		configReadRequests: make(chan struct{}, 1),
 
 		startedAt: time.Now(),
 	}
 	n.settings.Store(settings)
-	n.inquiries = newInquiries(n)
-	n.helper = newHelper(n)
-	n.prepared = newGate()
+	n.healthQueries = newHealthQueries(n)
+	n.startupSender = newStartupSender(n)
+	n.initialized = newLatch()
 	for _, o := range opts {
 		o(n)
 	}
@@ -112,11 +115,11 @@
 	}
 	n.app = fx.New(
 		fx.NopLogger,
-		fx.Supply(settings, platform, n.set, n.self),
+		fx.Supply(settings, platform, n.metrics, n.self),
 		fx.Provide(func() log.Logger { return n.logger }),
-		fx.Provide(roster.New, n.newRelay, n.newCallers, n.newConn, n.newPeers),
-		fx.Populate(&n.relay, &n.callers, &n.roster, &n.conn, &n.peers),
-		fx.Invoke(n.register),
+		fx.Provide(roster.New, n.newRelay, n.newCallerServer, n.newGossipConn, n.newGossipNode),
+		fx.Populate(&n.relay, &n.callerServer, &n.roster, &n.conn, &n.gossip),
+		fx.Invoke(n.registerHooks),
 	)
 	return n, n.app.Err()
 }
@@ -124,35 +127,35 @@
 func (n *Node) newRelay() *relay.Relay {
 	opts := []relay.Option{
 		relay.WithLogger(n.logger),
-		relay.WithStats(n.set),
-		relay.WithBudget(budgetOf(n.settings.Load())),
-		relay.WithEmit(func(e sched.Event) { n.peers.Tell(e) }),
-		relay.WithInform(n.inquiries.await),
+		relay.WithStats(n.metrics),
+		relay.WithBudget(relayBudget(n.settings.Load())),
+		relay.WithEmit(func(e sched.Event) { n.gossip.Tell(e) }),
+		relay.WithInform(n.healthQueries.wait),
 	}
 	if m := n.settings.Load().MemoryMB; m > 0 {
-		opts = append(opts, relay.WithAnswerMemory(m<<20/messageShare))
+		opts = append(opts, relay.WithAnswerMemory(m<<20/bodyMemoryDivisor))
 	}
 	return relay.New(n.self.DataCentre, n.platform.Headers, opts...)
 }
 
-// messageShare divides the VM's memory: one part may hold bodies of requests, and
-// as much answers.
-const messageShare = 8
+// bodyMemoryDivisor divides the VM's memory into equal parts: request bodies may
+// take one part, and responses another.
+const bodyMemoryDivisor = 8
 
-func budgetOf(s *Settings) relay.Budget {
+func relayBudget(s *Settings) relay.Budget {
 	b := s.RetryBudget
 	return relay.Budget{Span: seconds(b.SpanSeconds), Ratio: b.Ratio, Slack: b.Slack}
 }
 
-func (n *Node) newCallers(r *relay.Relay) *caller.Server {
+func (n *Node) newCallerServer(r *relay.Relay) *caller.Server {
 	opts := []caller.Option{caller.WithLogger(n.logger)}
 	if m := n.settings.Load().MemoryMB; m > 0 {
-		opts = append(opts, caller.WithBodyMemory(m<<20/messageShare))
+		opts = append(opts, caller.WithBodyMemory(m<<20/bodyMemoryDivisor))
 	}
 	return caller.NewServer(n.handle, r.Limits, opts...)
 }
 
-func (n *Node) newConn() (*net.UDPConn, error) {
+func (n *Node) newGossipConn() (*net.UDPConn, error) {
 	address, err := net.ResolveUDPAddr("udp4", n.self.Inner)
 	if err != nil {
 		return nil, err
@@ -160,17 +163,18 @@
 	return net.ListenUDP("udp4", address)
 }
 
-func (n *Node) newPeers(conn *net.UDPConn) *gossip.Node {
-	sources := gossip.Sources{State: n.report, Targets: n.targetIndex, Near: func() []roster.Member { return n.roster.Near() }, Watched: n.watched, Group: n.group, Peers: n.carryingPeers, Groups: n.farGroups}
-	handlers := gossip.Handlers{Heard: n.heard, Event: n.event, List: n.listHeard, Group: n.told, Config: n.configHeard, Beliefs: n.beliefs, Asked: n.asked, Snapshot: n.listTold, Members: n.membersTold}
+func (n *Node) newGossipNode(conn *net.UDPConn) *gossip.Node {
+	sources := gossip.Sources{State: n.selfReport, Targets: n.targetIndex, Near: func() []roster.Member { return n.roster.Near() }, Watched: n.watched, Group: n.eventAudience, Peers: n.coCarriers, Groups: n.remoteGroups}
+	handlers := gossip.Handlers{Heard: n.handleReport, Event: n.handleEvent, List: n.handleListPart, Group: n.handleGroup, Config: n.handleConfig, Beliefs: n.handleEstimates, Asked: n.handleHealthQuery, Snapshot: n.handleSnapshot, Members: n.handleMembers}
 	return gossip.NewNode(n.self, conn, sources, handlers, n.logger)
 }
 
-func (n *Node) register(life fx.Lifecycle) {
+func (n *Node) registerHooks(life fx.Lifecycle) {
 	life.Append(fx.Hook{OnStart: n.start, OnStop: n.stop})
 }
 
-// Start opens the ports and runs the parts; it does not wait for readiness.
+// Start opens the ports and starts the daemon's goroutines; it does not wait until
+// the daemon is ready.
 func (n *Node) Start(ctx context.Context) error {
 	return n.app.Start(ctx)
 }
@@ -179,21 +183,21 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
 	n.registerState()
-	ports, err := n.openPorts()
+	servers, err := n.openListeners()
 	if err != nil {
 		cancel()
 		return err
 	}
-	n.ports = ports
-	n.peers.Start(ctx)
-	n.seek()
+	n.auxServers = servers
+	n.gossip.Start(ctx)
+	n.discoverPeers()
 	c := &configFollower{n}
 	go c.loop(ctx)
-	l := &listFollower{Node: n}
+	l := &targetListFollower{Node: n}
 	go l.loop(ctx)
 	m := &registration{n}
 	go m.loop(ctx)
-	u := &upkeep{n}
+	u := &maintenance{n}
 	go u.loop(ctx)
 	_ = n.logger.Log("msg", "started", "vm", n.self.VM, "data-centre", n.self.DataCentre, "born", n.self.Born, "inner", n.self.Inner)
 	return nil
@@ -201,12 +205,12 @@
 
 func (n *Node) stop(context.Context) error {
 	n.cancel()
-	n.callers.Close()
-	n.ports.close()
+	n.callerServer.Close()
+	n.auxServers.close()
 	return n.conn.Close()
 }
 
-// Ready reports whether the daemon can serve requests.
+// Ready reports whether the daemon can serve requests and is not shutting down.
 func (n *Node) Ready() bool {
-	return n.prepared.isOpen() && !n.leaving.Load()
+	return n.initialized.isSet() && !n.leaving.Load()
 }
--- a/core/node/peers.go
+++ b/core/node/peers.go
@@ -10,12 +10,13 @@
 	"wisteriarelay.example/core/watch"
 )
 
-// strayRequests is the number of requests in the span of the retry budget from
-// which a daemon is told of failures at the targets of a service that others carry.
-const strayRequests = 20
+// minRequestsForEvents is the number of requests for a service, within the window
+// of the retry budget, from which a daemon that does not carry the service receives
+// the failures at its targets.
+const minRequestsForEvents = 20
 
-// report returns the daemon's own part of a report.
-func (n *Node) report() gossip.Report {
+// selfReport returns what reports to peers say of this daemon itself.
+func (n *Node) selfReport() gossip.Report {
 	r := gossip.Report{
 		VM:         n.self.VM,
 		Born:       n.self.Born,
@@ -25,16 +26,18 @@
 		Leaving:    n.leaving.Load(),
 		Cores:      n.self.Cores,
 	}
-	r.Targets, _ = n.list.Position()
+	r.Targets, _ = n.targetList.Position()
 	if t := n.relay.Table(); t != nil {
 		r.Config = int64(t.Version)
-		r.Carries = n.carried(t.Services())
+		r.Carries = n.subscribedGroups(t.Services())
 	}
 	return r
 }
 
-// carried returns the groups of services whose evidence this daemon wants.
-func (n *Node) carried(services []string) []string {
+// subscribedGroups returns the groups of services whose target events this daemon
+// wants to receive: those that it carries, and those for which it gets at least
+// minRequestsForEvents requests.
+func (n *Node) subscribedGroups(services []string) []string {
 	now := time.Now()
 	plan := n.plan()
 	var out []string
@@ -43,14 +46,14 @@
 		if slices.Contains(out, group) {
 			continue
 		}
-		if n.roster.Carries(now, group, cores) || n.relay.Recent(s) >= strayRequests {
+		if n.roster.Carries(now, group, cores) || n.relay.Recent(s) >= minRequestsForEvents {
 			out = append(out, group)
 		}
 	}
 	return out
 }
 
-// plan returns which daemons carry which services.
+// plan returns the assignment of services to groups.
 func (n *Node) plan() *roster.Plan {
 	demand := roster.Demand{Slots: map[string]int{}, DataCentres: len(n.roster.DataCentres())}
 	if t := n.relay.Table(); t != nil {
@@ -62,8 +65,8 @@
 	return roster.NewPlan(demand)
 }
 
-// watched returns the daemons that the own data centre has to hear often, without
-// this one, and whether this one is among them.
+// watched returns the daemons from which the local data centre needs frequent
+// heartbeats, without this one, and whether this one has to send them.
 func (n *Node) watched() (members []roster.Member, self bool) {
 	plan := n.plan()
 	groups := map[string]float64{}
@@ -88,34 +91,36 @@
 	return nil
 }
 
-// localFrom is the number of carriers of a group from which events stay in the data
-// centres of the sender and of the target.
-const localFrom = 12
+// localEventsMinCarriers is the number of other carriers of a group from which
+// events are sent only within the data centres of the sender and of the target.
+const localEventsMinCarriers = 12
 
-// group returns the other daemons that get the events of the service. Load patterns:
-// callers that find no directory spread over all daemons, and if each of these heard
-// every event, evidence would grow with the square of the fleet; and a group of weak
-// VMs has many carriers, each of which would hear the results of all.
-func (n *Node) group(service string) gossip.Audience {
+// eventAudience returns the other daemons that receive the events of the service.
+// Under load, callers that cannot reach the address endpoint spread over all
+// daemons; if each of these received every event, the number of event messages
+// would grow with the square of the fleet. And a group of small VMs has many
+// carriers, each of which would receive the results of all others.
+func (n *Node) eventAudience(service string) gossip.Audience {
 	now := time.Now()
 	group, cores := n.plan().Group(service)
 	near := n.roster.Carriers(now, group, n.self.DataCentre, cores)
 	var out gossip.Audience
 	for _, m := range n.roster.Group(now, group, cores) {
-		ranked := slices.ContainsFunc(near, func(o roster.Member) bool { return o.VM == m.VM })
-		if m.DataCentre == n.self.DataCentre && !ranked {
+		isCarrier := slices.ContainsFunc(near, func(o roster.Member) bool { return o.VM == m.VM })
+		if m.DataCentre == n.self.DataCentre && !isCarrier {
 			out.Strays = append(out.Strays, m)
 			continue
 		}
 		out.Carriers = append(out.Carriers, m)
 	}
-	out.Local = len(out.Carriers) >= localFrom
+	out.Local = len(out.Carriers) >= localEventsMinCarriers
 	return out
 }
 
-// tended returns the data centres whose own daemons alone know their targets of a
-// service, because its group is large.
-func (n *Node) tended(audience gossip.Audience) map[string]bool {
+// remotelyMonitored returns the data centres whose targets of a service are
+// monitored only by the daemons there, because the group has so many carriers that
+// events stay local.
+func (n *Node) remotelyMonitored(audience gossip.Audience) map[string]bool {
 	out := map[string]bool{}
 	for _, m := range audience.Carriers {
 		if audience.Local && m.DataCentre != n.self.DataCentre {
@@ -125,27 +130,29 @@
 	return out
 }
 
-// carryingPeers returns the daemons that carry a group which this daemon carries.
-func (n *Node) carryingPeers() []roster.Member {
+// coCarriers returns the other daemons that carry one of the groups to which this
+// daemon subscribes.
+func (n *Node) coCarriers() []roster.Member {
 	plan := n.plan()
-	carried := n.carried(n.services())
+	pending := n.subscribedGroups(n.services())
 	var out []roster.Member
 	for _, s := range n.services() {
 		group, cores := plan.Group(s)
-		if at := slices.Index(carried, group); at >= 0 {
+		if i := slices.Index(pending, group); i >= 0 {
 			out = append(out, n.roster.Group(time.Now(), group, cores)...)
-			carried = slices.Delete(carried, at, at+1)
+			pending = slices.Delete(pending, i, i+1)
 		}
 	}
 	return out
 }
 
-// farGroups returns what this daemon tells its data centre of carriers in others.
-func (n *Node) farGroups() []gossip.Group {
+// remoteGroups returns the carriers in other data centres that this daemon reports
+// to its own data centre.
+func (n *Node) remoteGroups() []gossip.Group {
 	now := time.Now()
 	plan := n.plan()
 	var out []gossip.Group
-	for _, name := range n.carried(n.services()) {
+	for _, name := range n.subscribedGroups(n.services()) {
 		if members := n.roster.FarCarriers(now, name, plan.Cores(name)); len(members) > 0 {
 			out = append(out, gossip.Group{Name: name, Members: members})
 		}
@@ -153,43 +160,45 @@
 	return out
 }
 
-func (n *Node) told(g gossip.Group) {
+func (n *Node) handleGroup(g gossip.Group) {
 	n.roster.Told(time.Now(), g.Name, g.Members)
 }
 
-func (n *Node) heard(m roster.Member, r *gossip.Report) bool {
+func (n *Node) handleReport(m roster.Member, r *gossip.Report) bool {
 	standing := roster.Standing{Ready: r.Ready, Leaving: r.Leaving, Quiet: r.Quiet}
-	begun, ok := n.roster.Heard(time.Now(), m, standing, r.Carries)
+	newGroups, ok := n.roster.Heard(time.Now(), m, standing, r.Carries)
 	if !ok {
 		return false
 	}
-	n.tellBeliefs(m, begun)
-	if r.Config > n.newest.Load() {
-		n.newest.Store(r.Config)
+	n.sendEstimates(m, newGroups)
+	if r.Config > n.newestPeerConfig.Load() {
+		n.newestPeerConfig.Store(r.Config)
 	}
-	n.helper.offer(m, r)
+	n.startupSender.sendIfStarting(m, r)
 	return true
 }
 
-// tellBeliefs tells a peer that begins to carry groups what is believed of their targets.
-func (n *Node) tellBeliefs(m roster.Member, groups []string) {
+// sendEstimates sends a peer that starts to carry groups the health estimates of
+// the targets of these groups.
+func (n *Node) sendEstimates(m roster.Member, groups []string) {
 	if len(groups) == 0 {
 		return
 	}
 	plan := n.plan()
 	for _, service := range n.services() {
 		if group, _ := plan.Group(service); slices.Contains(groups, group) {
-			n.peers.TellBeliefs(m, service, n.relay.Pool(service).Beliefs())
+			n.gossip.TellBeliefs(m, service, n.relay.Pool(service).Beliefs())
 		}
 	}
 }
 
-// renewTargets puts the targets of the list in place. One call at a time, so that
-// none that was overtaken brings back a target that has left.
-func (n *Node) renewTargets() {
+// updateTargets copies the targets of the target list to the relay. Calls are
+// serialized, so that one that is overtaken cannot restore a target that has been
+// removed since.
+func (n *Node) updateTargets() {
 	n.targetsMu.Lock()
 	defer n.targetsMu.Unlock()
-	targets := n.list.Targets()
+	targets := n.targetList.Targets()
 	index := gossip.NewTargetIndex(targets)
 	n.index.Store(&index)
 	n.relay.SetTargets(targets)
@@ -202,46 +211,47 @@
 	return nil
 }
 
-func (n *Node) event(peer string, e sched.Event) {
+func (n *Node) handleEvent(peer string, e sched.Event) {
 	n.relay.Pool(e.Service).Learn(peer, e)
 }
 
-func (n *Node) beliefs(service string, targets []sched.TargetBelief, left int) {
+func (n *Node) handleEstimates(service string, targets []sched.TargetBelief, remaining int) {
 	n.relay.Pool(service).Adopt(targets)
-	if left == 0 {
-		n.inquiries.answer(service)
+	if remaining == 0 {
+		n.healthQueries.complete(service)
 	}
 }
 
-// listHeard takes in a piece of a change of the target list; only the receiver
-// of the datagrams calls it.
-func (n *Node) listHeard(p watch.Part) {
+// handleListPart adds a part of a change of the target list, and applies the change
+// once it is complete. Only the goroutine that receives datagrams calls it.
+func (n *Node) handleListPart(p watch.Part) {
 	now := time.Now()
-	n.listPieceAt.Store(&now)
-	if d, ok := n.assembly.Add(p); ok {
+	n.listPartAt.Store(&now)
+	if d, ok := n.listAssembly.Add(p); ok {
 		n.applyList(d)
 	}
 }
 
-// applyList takes in changes of the target list and returns those that matter.
+// applyList applies changes to the target list and returns those that affect the
+// use of targets.
 func (n *Node) applyList(d watch.Delta) watch.Applied {
-	out := n.list.Apply(time.Now(), d)
+	out := n.targetList.Apply(time.Now(), d)
 	if !out.Taken {
 		return out
 	}
 	if out.Returned {
 		_ = n.logger.Log("msg", "store can be read again", "list-version", d.Version)
-		if n.readsForOthers() {
-			n.askConfig()
+		if n.isConfigReader() {
+			n.requestConfigRead()
 		}
 	}
-	first := !n.listed.Load()
+	first := !n.listLoaded.Load()
 	if first || len(out.Changes) > 0 {
-		n.renewTargets()
+		n.updateTargets()
 	}
 	if first {
-		// Only now, because the daemon is ready from here on.
-		n.listed.Store(true)
+		// The targets must be in place before this, because refresh makes the daemon ready.
+		n.listLoaded.Store(true)
 		n.refresh()
 	}
 	for _, c := range out.Changes {
@@ -251,7 +261,8 @@
 	return out
 }
 
-// lookup answers a caller that asks where to connect.
+// lookup returns the addresses to which a caller in the data centre connects for
+// the host, and how long it may cache them.
 func (n *Node) lookup(host, dataCentre string) ([]string, time.Duration) {
 	t := n.relay.Table()
 	if t == nil {
@@ -261,6 +272,6 @@
 	return n.roster.Answer(time.Now(), group, dataCentre, cores), addressTTL
 }
 
-// addressTTL is how long a caller may keep an answer. Callers leave a dead
-// daemon within about this time.
+// addressTTL is how long a caller may cache the addresses. Callers stop using a
+// failed daemon within about this time.
 const addressTTL = time.Second
--- a/core/node/ready_test.go
+++ b/core/node/ready_test.go
@@ -10,20 +10,21 @@
 	"wisteriarelay.example/core/watch"
 )
 
-// readyWatch notes the number of targets at the moment at which a daemon is ready.
-type readyWatch struct {
+// readyObserver records the number of targets at the moment at which a daemon
+// becomes ready.
+type readyObserver struct {
 	node  *Node
 	sizes chan int
 }
 
-func (w *readyWatch) run() {
-	for !w.node.Ready() {
+func (o *readyObserver) run() {
+	for !o.node.Ready() {
 	}
-	w.sizes <- w.node.relay.Pool("orders").Size()
+	o.sizes <- o.node.relay.Pool("orders").Size()
 }
 
-// Guards against a daemon that says it is ready before its targets are in place:
-// for a moment it refused all requests.
+// Guards against a daemon that reports readiness before its targets are in place,
+// and so refuses all requests for a moment.
 func TestReadyOnlyWithTargets(t *testing.T) {
 	g := NewWithT(t)
 	config := &route.Config{Version: 1, Services: []route.Service{{Name: "orders"}}}
@@ -37,7 +38,7 @@
 		n, err := New(settings, &Platform{})
 		g.Expect(err).NotTo(HaveOccurred())
 		n.relay.SetTable(route.Compile(config))
-		w := &readyWatch{node: n, sizes: make(chan int, 1)}
+		w := &readyObserver{node: n, sizes: make(chan int, 1)}
 		go w.run()
 		n.applyList(watch.Delta{Version: 1, Age: time.Millisecond, Changes: changes})
 		g.Expect(<-w.sizes).To(Equal(len(changes)))
@@ -45,27 +46,29 @@
 	}
 }
 
-// budgetWatch notes the extra sends that are allowed when a daemon becomes ready.
-type budgetWatch struct {
+// budgetObserver records the allowed retries and hedges at the moment at which a
+// daemon becomes ready.
+type budgetObserver struct {
 	node    *Node
 	allowed chan float64
 }
 
-func (w *budgetWatch) run() {
-	for !w.node.Ready() {
+func (o *budgetObserver) run() {
+	for !o.node.Ready() {
 	}
-	w.allowed <- w.node.relay.BudgetState("orders").Allowed
+	o.allowed <- o.node.relay.BudgetState("orders").Allowed
 }
 
-// Guards against a daemon that is ready before it has its part of the retry budget:
-// for a moment a request that its target had refused or reset was not sent again.
+// Guards against a daemon that is ready before it has its part of the retry budget,
+// and so for a moment does not retry a request that its target refused or whose
+// connection the target reset.
 func TestReadyOnlyWithBudget(t *testing.T) {
 	const slack = 1000
 	config := &route.Config{Version: 1, Services: []route.Service{{Name: "orders"}}}
 	list := watch.Delta{Version: 1, Age: time.Millisecond, Changes: []watch.Change{
 		{ID: "a", Entry: &watch.Entry{Service: "orders", Address: "10.0.0.1:80", DataCentre: "a", Slots: 2}},
 	}}
-	orders := map[string]func(n *Node){
+	sequences := map[string]func(n *Node){
 		"list last": func(n *Node) {
 			(&configFollower{n}).apply(ConfigRead{Config: config}, false)
 			n.applyList(list)
@@ -75,7 +78,7 @@
 			(&configFollower{n}).apply(ConfigRead{Config: config}, false)
 		},
 	}
-	for name, bring := range orders {
+	for name, apply := range sequences {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			const rounds = 100
@@ -83,9 +86,9 @@
 				settings := &Settings{VM: "vm", DataCentre: "a", InnerAddress: "127.0.0.1:0", ShutdownSeconds: 1, FirstStart: true, RetryBudget: RetryBudget{SpanSeconds: 1, Slack: slack}}
 				n, err := New(settings, &Platform{})
 				g.Expect(err).NotTo(HaveOccurred())
-				w := &budgetWatch{node: n, allowed: make(chan float64, 1)}
+				w := &budgetObserver{node: n, allowed: make(chan float64, 1)}
 				go w.run()
-				bring(n)
+				apply(n)
 				g.Expect(<-w.allowed).To(BeNumerically(">", 0))
 				_ = n.conn.Close()
 			}
--- a/core/node/reload.go
+++ b/core/node/reload.go
@@ -6,47 +6,48 @@
 	"time"
 )
 
-// settingsCheck is how often the settings file is looked at: it may change
-// without a signal.
-const settingsCheck = time.Second
+// settingsCheckInterval is how often the settings file is checked for changes,
+// which may come without a signal.
+const settingsCheckInterval = time.Second
 
-// Reload takes over what may change while the daemon runs: the budget of extra
-// sends and the time that a shutdown may take. A change of addresses takes effect
-// at the next start and is logged.
-func (n *Node) Reload(s *Settings) {
-	old := n.settings.Swap(s)
-	fixed := s.CallerAddress == old.CallerAddress && s.InnerAddress == old.InnerAddress && s.StoreAddress == old.StoreAddress
-	n.relay.SetBudget(budgetOf(s))
-	_ = n.logger.Log("msg", "settings reloaded", "restart-needed", !fixed)
+// ReloadSettings applies the settings that may change while the daemon runs: the
+// retry budget and the shutdown time. Changed addresses take effect at the next
+// start; the log line says whether a restart is needed.
+func (n *Node) ReloadSettings(s *Settings) {
+	previous := n.settings.Swap(s)
+	unchanged := s.CallerAddress == previous.CallerAddress && s.InnerAddress == previous.InnerAddress && s.StoreAddress == previous.StoreAddress
+	n.relay.SetBudget(relayBudget(s))
+	_ = n.logger.Log("msg", "settings reloaded", "restart-needed", !unchanged)
 }
 
-// ReloadFile reloads the settings from a file; the old ones stay in force if it
-// cannot be used.
-func (n *Node) ReloadFile(file string) {
-	s, err := Load(file)
+// ReloadSettingsFile reloads the settings from a file; the old ones stay in force
+// if the file cannot be used.
+func (n *Node) ReloadSettingsFile(file string) {
+	s, err := LoadSettings(file)
 	if err != nil {
 		_ = n.logger.Log("msg", "settings not reloaded", "err", err)
 		return
 	}
-	n.Reload(s)
+	n.ReloadSettings(s)
 }
 
-// Watch reloads the settings when the file changes, until ctx ends.
-func (n *Node) Watch(ctx context.Context, file string) {
-	w := &settingsWatch{Node: n, file: file}
+// WatchSettings reloads the settings whenever the content of the file changes,
+// until ctx ends.
+func (n *Node) WatchSettings(ctx context.Context, file string) {
+	w := &settingsWatcher{Node: n, file: file}
 	go w.loop(ctx)
 }
 
-// settingsWatch looks at the settings file.
-type settingsWatch struct {
+// settingsWatcher polls the settings file for changes.
+type settingsWatcher struct {
 	*Node
 	file string
 	last string
 }
 
-func (w *settingsWatch) loop(ctx context.Context) {
+func (w *settingsWatcher) loop(ctx context.Context) {
 	w.last = w.content()
-	tick := time.NewTicker(settingsCheck)
+	tick := time.NewTicker(settingsCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -56,13 +57,14 @@
 		}
 		if now := w.content(); now != w.last {
 			w.last = now
-			w.ReloadFile(w.file)
+			w.ReloadSettingsFile(w.file)
 		}
 	}
 }
 
-// content returns the file's content, or the last known one while it cannot be read.
-func (w *settingsWatch) content() string {
+// content returns the content of the file, or the last known one if the file cannot
+// be read.
+func (w *settingsWatcher) content() string {
 	data, err := os.ReadFile(w.file)
 	if err != nil {
 		return w.last
--- a/core/node/servers.go
+++ b/core/node/servers.go
@@ -10,88 +10,91 @@
 )
 
 const (
-	// sideHeaderTimeout is the longest wait for the head of a request on the side ports.
-	sideHeaderTimeout = 3 * time.Second
-	// sideIdleTimeout closes idle connections on the side ports.
-	sideIdleTimeout = 30 * time.Second
+	// auxHeaderTimeout limits the time to read the header of a request to an auxiliary
+	// server.
+	auxHeaderTimeout = 3 * time.Second
+	// auxIdleTimeout is the time after which an auxiliary server closes an idle
+	// connection.
+	auxIdleTimeout = 30 * time.Second
 )
 
-// ports are the HTTP servers beside the callers' port.
-type ports struct {
+// auxServers are the HTTP servers for addresses, readiness and metrics, which
+// listen on ports of their own beside the callers' port.
+type auxServers struct {
 	servers []*http.Server
 }
 
-// sidePort serves one listener.
-type sidePort struct {
+// auxServer serves one listener.
+type auxServer struct {
 	server   *http.Server
 	listener net.Listener
 }
 
-func (p *sidePort) run() {
-	_ = p.server.Serve(p.listener)
+func (s *auxServer) run() {
+	_ = s.server.Serve(s.listener)
 }
 
-// callersPort serves the callers' listener.
-type callersPort struct {
+// callerListener accepts the connections of callers.
+type callerListener struct {
 	node     *Node
 	listener net.Listener
 }
 
-func (p *callersPort) run() {
-	p.node.callers.Serve(p.listener)
+func (l *callerListener) run() {
+	l.node.callerServer.Serve(l.listener)
 }
 
-func (n *Node) openPorts() (*ports, error) {
+func (n *Node) openListeners() (*auxServers, error) {
 	l, err := net.Listen("tcp4", n.self.Callers)
 	if err != nil {
 		return nil, err
 	}
-	c := &callersPort{n, l}
-	go c.run()
-	p := &ports{}
+	callers := &callerListener{n, l}
+	go callers.run()
+	servers := &auxServers{}
 	settings := n.settings.Load()
-	side := []struct {
+	endpoints := []struct {
 		address string
 		handler http.Handler
 	}{
 		{settings.AddressAddress, n.platform.Addresses(n.lookup)},
 		{settings.ReadyAddress, n.platform.Readiness(n.Ready)},
-		{settings.MetricsAddress, n.inspection()},
+		{settings.MetricsAddress, n.diagnosticsHandler()},
 	}
-	for _, s := range side {
-		if s.address == "" {
+	for _, e := range endpoints {
+		if e.address == "" {
 			continue
 		}
-		if err := p.open(s.address, s.handler); err != nil {
-			p.close()
+		if err := servers.listen(e.address, e.handler); err != nil {
+			servers.close()
 			return nil, err
 		}
 	}
-	return p, nil
+	return servers, nil
 }
 
-func (p *ports) open(address string, handler http.Handler) error {
+func (a *auxServers) listen(address string, handler http.Handler) error {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
 		return err
 	}
-	s := &http.Server{Handler: handler, ReadHeaderTimeout: sideHeaderTimeout, IdleTimeout: sideIdleTimeout}
-	p.servers = append(p.servers, s)
-	port := &sidePort{s, l}
-	go port.run()
+	httpServer := &http.Server{Handler: handler, ReadHeaderTimeout: auxHeaderTimeout, IdleTimeout: auxIdleTimeout}
+	a.servers = append(a.servers, httpServer)
+	server := &auxServer{httpServer, l}
+	go server.run()
 	return nil
 }
 
-func (p *ports) close() {
-	for _, s := range p.servers {
-		_ = s.Close()
+func (a *auxServers) close() {
+	for _, server := range a.servers {
+		_ = server.Close()
 	}
 }
 
-// inspection returns the handler of metrics and the state dump.
-func (n *Node) inspection() http.Handler {
+// diagnosticsHandler returns the handler for metrics and the state dump.
+func (n *Node) diagnosticsHandler() http.Handler {
 	r := mux.NewRouter()
-	r.Methods(http.MethodGet).Path("/metrics").Handler(n.set)
+	r.Methods(http.MethodGet).Path("/metrics").Handler(n.metrics)
 	r.Methods(http.MethodGet).Path("/state").HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(n.dump.Read(req.URL.Query().Get("part")))
--- a/core/node/settings.go
+++ b/core/node/settings.go
@@ -19,59 +19,63 @@
 	VM         string `json:"vm"`
 	DataCentre string `json:"data-centre"`
 	Region     string `json:"region"`
-	// CallerAddress, AddressAddress and ReadyAddress are the addresses for requests,
-	// for questions where to connect, and for readiness checks; an empty one is
-	// not served.
+	// CallerAddress, AddressAddress and ReadyAddress are the listen addresses for
+	// requests, for callers that ask which daemons to connect to, and for readiness
+	// checks. An empty AddressAddress or ReadyAddress disables that endpoint.
 	CallerAddress  string `json:"caller-address"`
 	AddressAddress string `json:"address-address"`
 	ReadyAddress   string `json:"ready-address"`
-	// InnerAddress is for datagrams of peers, MetricsAddress for metrics and state.
+	// InnerAddress is the UDP address for messages of peers, MetricsAddress the listen
+	// address for metrics and the state dump.
 	InnerAddress   string `json:"inner-address"`
 	MetricsAddress string `json:"metrics-address"`
 	StoreAddress   string `json:"store-address"`
 	// Seeds are addresses of some other VMs, which may be down or gone. A daemon that
-	// starts asks the daemons there, at the port of its own inner address, for peers.
+	// starts asks the daemons there for peers, at the port of its own InnerAddress.
 	Seeds []string `json:"seeds"`
 	// FirstStart says that the whole fleet starts for the first time.
 	FirstStart bool `json:"first-start"`
-	// ShutdownSeconds is the time from the signal to stop until the process is killed.
+	// ShutdownSeconds is the time between the signal to stop and the kill of the
+	// process.
 	ShutdownSeconds float64     `json:"shutdown-s"`
 	RetryBudget     RetryBudget `json:"retry-budget"`
 	MemoryMB        int64       `json:"memory-mb"`
-	// CPUShare is the share of a core that the daemon may use, CPUSpeed the speed
-	// of that core as a multiple of the usual one, and LinkMbit the bandwidth of
-	// the VM's link in Mbit/s; 0 stands for unknown.
+	// CPUShare is the share of a core that the daemon may use, CPUSpeed the speed of
+	// that core as a multiple of the usual one, and LinkMbit the bandwidth of the VM's
+	// network link in Mbit/s; 0 means unknown.
 	CPUShare float64 `json:"cpu-share"`
 	CPUSpeed float64 `json:"cpu-speed"`
 	LinkMbit float64 `json:"link-mbit"`
-	// LogLinesPerSecond bounds the log; 0 stands for the default.
+	// LogLinesPerSecond limits the log rate; 0 means the default.
 	LogLinesPerSecond int `json:"log-lines-per-s"`
 }
 
-// RetryBudget bounds the extra sends of the whole fleet to one service.
+// RetryBudget limits the retries and hedges that the whole fleet sends to one
+// service: Ratio for each request plus Slack, within a sliding window of
+// SpanSeconds.
 type RetryBudget struct {
 	Ratio       float64 `json:"ratio"`
 	SpanSeconds float64 `json:"span-s"`
 	Slack       float64 `json:"slack"`
 }
 
-// Shutdown returns the time from the signal to stop until the process is killed.
+// Shutdown returns the time between the signal to stop and the kill of the process.
 func (s *Settings) Shutdown() time.Duration {
 	return seconds(s.ShutdownSeconds)
 }
 
-// linkPerCore is the bandwidth in Mbit/s that one core of requests takes.
-const linkPerCore = 100
+// mbitPerCore is the bandwidth in Mbit/s of the requests that occupy one core.
+const mbitPerCore = 100
 
-// Capacity returns the cores for requests, as far as the link can keep up; 0 if
-// it is unknown.
+// Capacity returns the number of cores available for requests, limited to what the
+// network link can keep busy; 0 means unknown.
 func (s *Settings) Capacity() float64 {
 	cores := s.CPUShare
 	if s.CPUSpeed > 0 {
 		cores *= s.CPUSpeed
 	}
 	if s.LinkMbit > 0 {
-		cores = min(cores, s.LinkMbit/linkPerCore)
+		cores = min(cores, s.LinkMbit/mbitPerCore)
 	}
 	return cores
 }
@@ -80,17 +84,18 @@
 	return time.Duration(s * float64(time.Second))
 }
 
-// Load reads and checks a settings file, in JSON with comments.
-func Load(file string) (*Settings, error) {
+// LoadSettings reads and validates a settings file in JSON with comments.
+func LoadSettings(file string) (*Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.ConfigInvalid, "settings file cannot be read")
 	}
-	return Parse(file, data)
+	return ParseSettings(file, data)
 }
 
-// Parse checks the content of a settings file; file is its name in errors.
-func Parse(file string, data []byte) (*Settings, error) {
+// ParseSettings decodes and validates the content of a settings file; file is the
+// name used in errors.
+func ParseSettings(file string, data []byte) (*Settings, error) {
 	plain, err := hujson.Standardize(data)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.ConfigInvalid, "%s: not valid JSON with comments", file)
@@ -99,25 +104,26 @@
 	decoder.DisallowUnknownFields()
 	var s Settings
 	if err := decoder.Decode(&s); err != nil {
-		return nil, fault.Wrap(err, fault.ConfigInvalid, "%s%s", file, lineOf(plain, err))
+		return nil, fault.Wrap(err, fault.ConfigInvalid, "%s%s", file, errorLine(plain, err))
 	}
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return nil, fault.Wrap(err, fault.ConfigInvalid, "%s", file)
 	}
 	return &s, nil
 }
 
-// lineOf returns the line of an error as ":12", or nothing if it has none.
-// Comments were replaced by spaces, so that offsets are those of the file.
-func lineOf(data []byte, err error) string {
-	var wrongType *json.UnmarshalTypeError
-	if !errors.As(err, &wrongType) {
+// errorLine returns the line of a JSON type error in the form ":12", or an empty
+// string for other errors. Comments were replaced by spaces, so offsets match the
+// original file.
+func errorLine(data []byte, err error) string {
+	var typeErr *json.UnmarshalTypeError
+	if !errors.As(err, &typeErr) {
 		return ""
 	}
-	return fmt.Sprintf(":%d", 1+bytes.Count(data[:min(wrongType.Offset, int64(len(data)))], []byte("\n")))
+	return fmt.Sprintf(":%d", 1+bytes.Count(data[:min(typeErr.Offset, int64(len(data)))], []byte("\n")))
 }
 
-func (s *Settings) check() error {
+func (s *Settings) validate() error {
 	for key, value := range map[string]string{"vm": s.VM, "data-centre": s.DataCentre, "store-address": s.StoreAddress} {
 		if value == "" {
 			return fault.New(fault.ConfigInvalid, "key %q is missing or empty", key)
--- a/core/node/settings_test.go
+++ b/core/node/settings_test.go
@@ -18,18 +18,18 @@
   "cpu-share": 0.5
 }`
 
-// Guards against a settings file with comments that is refused.
+// Guards against rejecting a settings file because it has comments.
 func TestSettingsAreRead(t *testing.T) {
 	g := NewWithT(t)
-	s, err := node.Parse("settings.json", []byte(settingsFile))
+	s, err := node.ParseSettings("settings.json", []byte(settingsFile))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(s.Seeds).To(Equal([]string{"10.0.0.2:82"}))
 	g.Expect(s.CPUShare).To(Equal(0.5))
 }
 
-// Guards against an error that leaves the operator to search: it names the file and
-// the line or the key, and what is wrong there.
-func TestSettingsErrorsNameTheirPlace(t *testing.T) {
+// Guards against an error without a location: it must name the file, the line or
+// the key, and the problem.
+func TestSettingsErrorsNameLocation(t *testing.T) {
 	cases := map[string]struct{ from, to, message string }{
 		"type":    {"0.5", `"half"`, `settings.json:7: .*cpu-share`},
 		"unknown": {"cpu-share", "cpu-part", `settings.json: .*"cpu-part"`},
@@ -40,7 +40,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			_, err := node.Parse("settings.json", []byte(strings.Replace(settingsFile, c.from, c.to, 1)))
+			_, err := node.ParseSettings("settings.json", []byte(strings.Replace(settingsFile, c.from, c.to, 1)))
 			g.Expect(err).To(MatchError(MatchRegexp(c.message)))
 		})
 	}
--- a/core/node/shutdown.go
+++ b/core/node/shutdown.go
@@ -5,46 +5,50 @@
 	"time"
 )
 
-// Stop leaves the fleet without cutting a request and ends the daemon.
+// Stop shuts the daemon down gracefully: it announces that the daemon is leaving,
+// waits until callers have had time to switch to other daemons and no request is in
+// progress, and then stops everything. Requests that are still in progress shortly
+// before the process is killed are cut off.
 func (n *Node) Stop(ctx context.Context) error {
 	began := time.Now()
 	n.leaving.Store(true)
 	n.roster.SetSelf(false, true)
-	_ = n.logger.Log("msg", "leaving", "busy", n.callers.Busy(), "connections", n.callers.Connections())
-	n.peers.Beat()
-	n.callers.Drain()
-	d := &departure{node: n, began: began}
+	_ = n.logger.Log("msg", "leaving", "busy", n.callerServer.Busy(), "connections", n.callerServer.Connections())
+	n.gossip.Beat()
+	n.callerServer.Drain()
+	d := &callerDrain{node: n, began: began}
 	d.wait(ctx)
-	_ = n.logger.Log("msg", "stopped", "after", time.Since(began), "cut", n.callers.Busy())
+	_ = n.logger.Log("msg", "stopped", "after", time.Since(began), "cut", n.callerServer.Busy())
 	return n.app.Stop(ctx)
 }
 
-// Close ends the daemon at once, without regard to requests in progress.
+// Close stops the daemon immediately, without waiting for requests in progress.
 func (n *Node) Close() error {
 	return n.app.Stop(context.Background())
 }
 
 const (
-	// staleAnswers is how long callers may still connect after the daemon has
-	// left the answers to the question where to connect: some keep an answer for
-	// three times as long as they should.
-	staleAnswers = 3500 * time.Millisecond
-	// killMargin is kept between the end of the process and its being killed.
+	// lookupDrainTime is how long callers may still connect after the address endpoints
+	// have stopped naming this daemon: some callers keep an answer for three times as
+	// long as its TTL.
+	lookupDrainTime = 3500 * time.Millisecond
+	// killMargin is the time kept in reserve between the end of the shutdown and the
+	// kill of the process.
 	killMargin = 900 * time.Millisecond
-	// departureCheck is the time between two looks at what is still open.
-	departureCheck = 50 * time.Millisecond
+	// drainCheckInterval is the time between two checks of the requests in progress.
+	drainCheckInterval = 50 * time.Millisecond
 )
 
-// departure waits for the callers to go elsewhere.
-type departure struct {
+// callerDrain waits during the shutdown until callers use other daemons.
+type callerDrain struct {
 	node  *Node
 	began time.Time
 }
 
-func (d *departure) wait(ctx context.Context) {
-	tick := time.NewTicker(departureCheck)
+func (d *callerDrain) wait(ctx context.Context) {
+	tick := time.NewTicker(drainCheckInterval)
 	defer tick.Stop()
-	for !d.over(time.Since(d.began)) {
+	for !d.done(time.Since(d.began)) {
 		select {
 		case <-ctx.Done():
 			return
@@ -53,9 +57,9 @@
 	}
 }
 
-func (d *departure) over(since time.Duration) bool {
+func (d *callerDrain) done(since time.Duration) bool {
 	if since >= d.node.settings.Load().Shutdown()-killMargin {
 		return true
 	}
-	return since >= staleAnswers && d.node.callers.Busy() == 0
+	return since >= lookupDrainTime && d.node.callerServer.Busy() == 0
 }
--- a/core/node/start.go
+++ b/core/node/start.go
@@ -12,53 +12,56 @@
 )
 
 const (
-	// signWait is how long a daemon that starts waits for a sign of a running fleet.
-	signWait = 60 * time.Millisecond
-	// helpWait is how long it waits for what peers pass on, once it has heard one
-	// that serves.
-	helpWait = 400 * time.Millisecond
-	// firstWait is the same when the fleet starts for the first time: there are no
-	// callers yet.
-	firstWait = 2 * time.Second
-	// firstReaders is the number of daemons of a data centre that read the store
-	// for the others at that time.
-	firstReaders = 4
-	// startCheck is the time between two looks at what has come.
-	startCheck = 10 * time.Millisecond
-	// freshList is the age up to which a list that a peer passes on counts as read:
-	// an older one may come from a peer that is cut from the store.
-	freshList = 2 * time.Second
-	// settledAge is the age from which a daemon has heard all others of its data
-	// centre. It covers clocks that differ.
-	settledAge = 10 * time.Second
+	// peerDiscoveryTimeout is how long a starting daemon waits for a heartbeat of a
+	// peer that is ready.
+	peerDiscoveryTimeout = 60 * time.Millisecond
+	// peerDataTimeout is how long it waits for startup data from peers if one of them
+	// is ready.
+	peerDataTimeout = 400 * time.Millisecond
+	// firstStartTimeout replaces both when the fleet starts for the first time: there
+	// are no callers yet that would have to wait.
+	firstStartTimeout = 2 * time.Second
+	// firstStartReaderCount is the number of daemons of a data centre that read the
+	// store on behalf of the others at the first start of the fleet.
+	firstStartReaderCount = 4
+	// startPollInterval is the time between two checks for startup data.
+	startPollInterval = 10 * time.Millisecond
+	// maxPeerListAge is the age up to which a target list from a peer counts as
+	// current. The peer that sends an older one may have lost its connection to the
+	// store.
+	maxPeerListAge = 2 * time.Second
+	// settledUptime is how much longer than this daemon a peer must have run to know
+	// all daemons of its data centre. It allows for clocks that differ.
+	settledUptime = 10 * time.Second
 )
 
-// awaitPeers waits until peers have passed on what the daemon needs, or it has to
-// read the store itself. Load pattern: hundreds of daemons start at the same time,
-// or one after the other, and each would make four calls to the store; or one
-// starts while the store is away.
-func (n *Node) awaitPeers(ctx context.Context, have func() bool) {
-	for ctx.Err() == nil && !have() && n.helpDue(time.Now()) {
-		pause(ctx, startCheck)
+// waitForPeers waits until loaded reports that peers have sent the data, or until
+// the daemon has to read the store itself. Without this wait, hundreds of daemons
+// that start together or in a rolling restart would each make four calls to the
+// store, and a daemon could not start while the store is unreachable.
+func (n *Node) waitForPeers(ctx context.Context, loaded func() bool) {
+	for ctx.Err() == nil && !loaded() && n.expectsPeerData(time.Now()) {
+		sleep(ctx, startPollInterval)
 	}
 }
 
-// helpDue reports whether peers may still pass on what the daemon needs.
-func (n *Node) helpDue(now time.Time) bool {
-	age := now.Sub(n.startedAt)
+// expectsPeerData reports whether peers may still send startup data.
+func (n *Node) expectsPeerData(now time.Time) bool {
+	uptime := now.Sub(n.startedAt)
 	switch {
 	case n.settings.Load().FirstStart:
-		readsFirst := n.acquainted.Load() && n.roster.Ahead(now) < firstReaders
-		return age < firstWait && !readsFirst
+		isFirstReader := n.membersKnown.Load() && n.roster.Ahead(now) < firstStartReaderCount
+		return uptime < firstStartTimeout && !isFirstReader
 	case n.roster.AnyReady(now):
-		return age < helpWait
+		return uptime < peerDataTimeout
 	default:
-		return age < signWait
+		return uptime < peerDiscoveryTimeout
 	}
 }
 
-// seek asks the daemons that the settings name for those of the own data centre.
-func (n *Node) seek() {
+// discoverPeers asks the daemons at the seed addresses for the members of the local
+// data centre.
+func (n *Node) discoverPeers() {
 	_, port, err := net.SplitHostPort(n.self.Inner)
 	if err != nil {
 		_ = n.logger.Log("msg", "own address for peers is not usable", "err", err)
@@ -75,12 +78,13 @@
 			addresses = append(addresses, address)
 		}
 	}
-	n.peers.Seek(addresses)
+	n.gossip.Seek(addresses)
 }
 
-// membersTold takes in daemons that a peer knows. One of the own data centre that
-// has run for a while knows all of them there, so that the store need not be asked.
-func (n *Node) membersTold(sender string, members []roster.Member) {
+// handleMembers adds daemons that a peer knows. A peer of the local data centre
+// that has run for longer than settledUptime knows all daemons there, so the store
+// need not be asked.
+func (n *Node) handleMembers(sender string, members []roster.Member) {
 	if n.Ready() {
 		return
 	}
@@ -94,80 +98,82 @@
 			continue
 		}
 		addresses = append(addresses, m.Inner)
-		if m.VM == sender && n.self.Born-m.Born > settledAge.Milliseconds() {
-			n.acquainted.Store(true)
+		if m.VM == sender && n.self.Born-m.Born > settledUptime.Milliseconds() {
+			n.membersKnown.Store(true)
 		}
 	}
-	n.peers.BeatTo(addresses)
+	n.gossip.BeatTo(addresses)
 }
 
-// listTold takes in the whole target list from a peer. One that is old is only
-// used if the store cannot be read.
-func (n *Node) listTold(d watch.Delta) {
-	if n.listed.Load() {
+// handleSnapshot applies a full target list from a peer. An outdated one is kept
+// and used only if the store cannot be read.
+func (n *Node) handleSnapshot(d watch.Delta) {
+	if n.listLoaded.Load() {
 		return
 	}
-	if d.Age > freshList {
-		n.oldList.Store(&d)
+	if d.Age > maxPeerListAge {
+		n.staleList.Store(&d)
 		return
 	}
-	n.useList(d)
+	n.applyPeerList(d)
 }
 
-// useOldList falls back on the list of a peer that may be cut from the store too.
-func (n *Node) useOldList() {
-	if d := n.oldList.Load(); d != nil && !n.listed.Load() {
-		n.useList(*d)
+// applyStaleList falls back to an outdated list from a peer, unless a list was
+// loaded.
+func (n *Node) applyStaleList() {
+	if d := n.staleList.Load(); d != nil && !n.listLoaded.Load() {
+		n.applyPeerList(*d)
 	}
 }
 
-func (n *Node) useList(d watch.Delta) {
+func (n *Node) applyPeerList(d watch.Delta) {
 	_ = n.logger.Log("msg", "target list of a peer in use", "list-version", d.Version, "age", d.Age, "targets", len(d.Changes))
 	n.applyList(d)
 }
 
-// startHold is how long after its start a daemon lets requests wait until it is
-// ready. Later it does not know when it will be, and callers rather go elsewhere.
-const startHold = time.Second
+// startupHold is how long after its start a daemon holds requests until it is
+// ready. A daemon that takes longer cannot tell when it will be ready, and callers
+// had better use another one.
+const startupHold = time.Second
 
-// handle answers a request. Load pattern: after the loss of all daemons callers are
-// back before the first of them has read the store, which takes it a moment.
+// handle answers a request. After an outage of all daemons, callers are back before
+// the first daemon has read the store, so requests wait a moment for it.
 func (n *Node) handle(ctx context.Context, req *caller.Request) *caller.Answer {
-	if !n.prepared.isOpen() {
-		n.prepared.await(ctx, n.startedAt.Add(startHold))
+	if !n.initialized.isSet() {
+		n.initialized.wait(ctx, n.startedAt.Add(startupHold))
 	}
 	return n.relay.Handle(ctx, req)
 }
 
-// gate is closed until something has happened for the first time.
-type gate struct {
-	once   sync.Once
-	opened chan struct{}
+// latch is a one-time event that goroutines can wait for.
+type latch struct {
+	once sync.Once
+	done chan struct{}
 }
 
-func newGate() *gate {
-	return &gate{opened: make(chan struct{})}
+func newLatch() *latch {
+	return &latch{done: make(chan struct{})}
 }
 
-func (g *gate) open() {
-	g.once.Do(func() { close(g.opened) })
+func (l *latch) set() {
+	l.once.Do(func() { close(l.done) })
 }
 
-func (g *gate) isOpen() bool {
+func (l *latch) isSet() bool {
 	select {
-	case <-g.opened:
+	case <-l.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// await waits until the gate is open, the time has come or ctx ends.
-func (g *gate) await(ctx context.Context, until time.Time) {
-	timer := time.NewTimer(time.Until(until))
+// wait blocks until the latch is set, the deadline passes or ctx ends.
+func (l *latch) wait(ctx context.Context, deadline time.Time) {
+	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
-	case <-g.opened:
+	case <-l.done:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
--- a/core/node/start_test.go
+++ b/core/node/start_test.go
@@ -13,31 +13,31 @@
 	"wisteriarelay.example/core/route"
 )
 
-// preparation makes a daemon ready after a while.
-type preparation struct {
+// delayedInit makes a daemon ready after a delay.
+type delayedInit struct {
 	node  *Node
 	after time.Duration
 }
 
-func (p *preparation) run() {
-	time.Sleep(p.after)
-	p.node.relay.SetTable(route.Compile(&route.Config{Version: 1}))
-	p.node.refresh()
+func (i *delayedInit) run() {
+	time.Sleep(i.after)
+	i.node.relay.SetTable(route.Compile(&route.Config{Version: 1}))
+	i.node.refresh()
 }
 
-func answerAt(n *Node, after time.Duration) (status int, took time.Duration) {
+func handleAfter(n *Node, after time.Duration) (status int, took time.Duration) {
 	time.Sleep(after)
 	began := time.Now()
 	a := n.handle(context.Background(), &caller.Request{Method: http.MethodGet, Target: "/x", Header: http.Header{}, Received: began})
 	return a.Status, time.Since(began)
 }
 
-// Load pattern: callers are back before the first daemon is ready again. Guards
-// against refusing those who come a moment too early, and against holding requests
-// for a daemon that nobody can say will be ready.
-func TestRequestsWaitForADaemonThatStarts(t *testing.T) {
+// Guards against refusing callers that are back just before the first daemon is
+// ready again, and against holding requests when nobody can tell when the daemon
+// will be ready.
+func TestRequestsWaitForStartingDaemon(t *testing.T) {
 	for name, c := range map[string]struct {
-		// ready is when the daemon becomes ready, request when the request comes.
+		// ready is when the daemon becomes ready, request when the request arrives.
 		ready, request time.Duration
 		status         int
 		within         time.Duration
@@ -49,11 +49,11 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				n := newFollower(g, strong, &operators{begin: time.Now()})
+				n := newTestNode(g, highShare, &configWriter{start: time.Now()})
 				defer n.conn.Close()
-				p := &preparation{node: n, after: c.ready}
-				go p.run()
-				status, took := answerAt(n, c.request)
+				init := &delayedInit{node: n, after: c.ready}
+				go init.run()
+				status, took := handleAfter(n, c.request)
 				g.Expect(status).To(Equal(c.status))
 				g.Expect(took).To(BeNumerically("<=", c.within))
 				time.Sleep(10 * time.Second)
--- a/core/node/state.go
+++ b/core/node/state.go
@@ -16,19 +16,19 @@
 	Ready       bool          `json:"ready"`
 }
 
-// registerState adds the parts of the state dump and the gauges.
+// registerState registers the parts of the state dump and the gauges.
 func (n *Node) registerState() {
 	n.dump.Add("store", func() any { return n.storeState() })
 	n.dump.Add("peers", func() any { return n.roster.State(time.Now()) })
 	n.dump.Add("targets", func() any { return n.targetState() })
 	n.dump.Add("budget", func() any { return n.budgetState() })
-	n.set.Gauge("gossip_events_dropped", n.peers.Dropped)
-	n.set.Gauge("caller_connections", func() int64 { return int64(n.callers.Connections()) })
-	n.set.Gauge("caller_requests_open", func() int64 { return int64(n.callers.Busy()) })
+	n.metrics.Gauge("gossip_events_dropped", n.gossip.Dropped)
+	n.metrics.Gauge("caller_connections", func() int64 { return int64(n.callerServer.Connections()) })
+	n.metrics.Gauge("caller_requests_open", func() int64 { return int64(n.callerServer.Busy()) })
 }
 
 func (n *Node) storeState() storeState {
-	version, asOf := n.list.Position()
+	version, asOf := n.targetList.Position()
 	s := storeState{ListVersion: version, ListAge: time.Since(asOf), Ready: n.Ready()}
 	if t := n.relay.Table(); t != nil {
 		s.Config = t.Version
@@ -36,7 +36,7 @@
 	return s
 }
 
-// budgetState returns the budget of extra sends by service.
+// budgetState returns this daemon's part of the retry budget by service.
 func (n *Node) budgetState() map[string]retry.WindowState {
 	out := map[string]retry.WindowState{}
 	for _, s := range n.services() {
@@ -45,7 +45,7 @@
 	return out
 }
 
-// targetState returns the targets by service.
+// targetState returns the state of the targets by service.
 func (n *Node) targetState() map[string][]sched.TargetState {
 	out := map[string][]sched.TargetState{}
 	if t := n.relay.Table(); t != nil {
--- a/core/node/target_list.go
+++ b/core/node/target_list.go
@@ -8,41 +8,41 @@
 	"wisteriarelay.example/core/watch"
 )
 
-// listFollower keeps the target list fresh.
-type listFollower struct {
+// targetListFollower keeps the target list up to date with the store.
+type targetListFollower struct {
 	*Node
 	schedule watch.Schedule
-	// whole asks for the whole list instead of its changes.
-	whole bool
+	// full requests the full list instead of its changes.
+	full bool
 }
 
-func (f *listFollower) loop(ctx context.Context) {
-	f.awaitPeers(ctx, f.listed.Load)
-	f.whole = !f.listed.Load()
+func (f *targetListFollower) loop(ctx context.Context) {
+	f.waitForPeers(ctx, f.listLoaded.Load)
+	f.full = !f.listLoaded.Load()
 	for ctx.Err() == nil {
-		version, asOf := f.list.Position()
-		due := f.schedule.Due(asOf, f.list.HeardAt(), f.roster.Rank(time.Now()))
+		version, asOf := f.targetList.Position()
+		due := f.schedule.Due(asOf, f.targetList.HeardAt(), f.roster.Rank(time.Now()))
 		if wait := time.Until(due); wait > 0 {
-			pause(ctx, wait)
+			sleep(ctx, wait)
 			continue
 		}
 		f.read(ctx, version)
 	}
 }
 
-func (f *listFollower) read(ctx context.Context, version int64) {
+func (f *targetListFollower) read(ctx context.Context, version int64) {
 	began := time.Now()
-	delta, problems, err := f.call(ctx, version)
+	delta, problems, err := f.fetch(ctx, version)
 	if err != nil {
-		f.whole = f.whole || fault.Is(err, fault.HistoryGone)
+		f.full = f.full || fault.Is(err, fault.HistoryGone)
 		f.schedule.Failed(time.Now())
-		f.useOldList()
+		f.applyStaleList()
 		if ctx.Err() == nil {
 			_ = f.logger.Log("msg", "target list not read", "err", err, "version", version)
 		}
 		return
 	}
-	f.whole = false
+	f.full = false
 	f.schedule.Succeeded()
 	now := time.Now()
 	f.listReadAt.Store(&now)
@@ -51,31 +51,33 @@
 	}
 	delta.Age = time.Since(began)
 	applied := f.applyList(delta)
-	if applied.Taken && delta.Since != 0 && f.tellsList(now) {
+	if applied.Taken && delta.Since != 0 && f.sendsList(now) {
 		delta.Changes = applied.Changes
-		f.peers.TellList(delta)
+		f.gossip.TellList(delta)
 	}
 }
 
-func (f *listFollower) call(ctx context.Context, version int64) (watch.Delta, []error, error) {
-	if f.whole || version == 0 {
+func (f *targetListFollower) fetch(ctx context.Context, version int64) (watch.Delta, []error, error) {
+	if f.full || version == 0 {
 		return f.platform.ReadTargets(ctx)
 	}
 	return f.platform.PollTargets(ctx, version)
 }
 
-// listSilence is the time without a piece of the list from a peer after which a
-// daemon that reads the list passes it on, whatever its rank.
-const listSilence = time.Second
+// listSenderTimeout is the time without a part of the target list from a peer after
+// which any daemon that reads the list also sends it to the others, whatever its
+// rank.
+const listSenderTimeout = time.Second
 
-// tellsList reports whether this daemon passes on what it has read: the first does,
-// and another one if nobody else seems to. Load pattern: hundreds of targets change at
-// once and pieces of that are lost; every daemon that misses one reads the store for
-// itself, and none of them has to tell all the others.
-func (n *Node) tellsList(now time.Time) bool {
+// sendsList reports whether this daemon sends the changes that it has read to its
+// peers: the first in rank does, and another one if no peer seems to. When hundreds
+// of targets change at once, parts of the changes are lost, and every daemon that
+// misses one reads the store itself; if each of these also sent its changes to all
+// the others, traffic would grow with the square of the number of daemons.
+func (n *Node) sendsList(now time.Time) bool {
 	if n.roster.Rank(now) == 0 {
 		return true
 	}
-	heard := n.listPieceAt.Load()
-	return heard == nil || now.Sub(*heard) >= listSilence
+	lastPart := n.listPartAt.Load()
+	return lastPart == nil || now.Sub(*lastPart) >= listSenderTimeout
 }
--- a/core/node/targets_test.go
+++ b/core/node/targets_test.go
@@ -12,66 +12,67 @@
 	"wisteriarelay.example/core/watch"
 )
 
-// applier takes in one change of the target list.
-type applier struct {
+// listUpdate applies one change of the target list in a goroutine.
+type listUpdate struct {
 	node  *Node
 	delta watch.Delta
 	done  *sync.WaitGroup
 }
 
-func (a *applier) run() {
-	defer a.done.Done()
-	a.node.applyList(a.delta)
+func (u *listUpdate) run() {
+	defer u.done.Done()
+	u.node.applyList(u.delta)
 }
 
-// Guards against a target that has left and is used on: the list changes in several
-// goroutines, and one that is overtaken must not put its older targets in place.
-func TestTargetsInPlaceAreThoseOfTheList(t *testing.T) {
+// Guards against using a target that has left: several goroutines change the list,
+// and one that is overtaken must not restore its older targets.
+func TestConcurrentUpdatesKeepNewestTargets(t *testing.T) {
 	g := NewWithT(t)
 	const rounds = 3000
-	n := newFollower(g, weak, &operators{begin: time.Now()})
+	n := newTestNode(g, lowShare, &configWriter{start: time.Now()})
 	defer n.conn.Close()
-	whole := list(0)
-	whole.Changes = whole.Changes[:2]
-	whole.Version = 1
-	n.applyList(whole)
+	full := testTargetList(0)
+	full.Changes = full.Changes[:2]
+	full.Version = 1
+	n.applyList(full)
 	version := int64(1)
 	for range rounds {
 		version++
-		leave := &applier{node: n, delta: watch.Delta{Since: 1, Version: version, Changes: []watch.Change{{ID: "t0"}}}, done: &sync.WaitGroup{}}
-		other := &applier{node: n, delta: watch.Delta{Since: 1, Version: version, Changes: []watch.Change{{ID: "t1"}}}, done: leave.done}
+		leave := &listUpdate{node: n, delta: watch.Delta{Since: 1, Version: version, Changes: []watch.Change{{ID: "t0"}}}, done: &sync.WaitGroup{}}
+		other := &listUpdate{node: n, delta: watch.Delta{Since: 1, Version: version, Changes: []watch.Change{{ID: "t1"}}}, done: leave.done}
 		leave.done.Add(2)
 		go leave.run()
 		go other.run()
 		leave.done.Wait()
 		g.Expect(n.relay.Pool("orders").Size()).To(BeZero())
 		version++
-		n.applyList(watch.Delta{Since: 1, Version: version, Changes: whole.Changes})
+		n.applyList(watch.Delta{Since: 1, Version: version, Changes: full.Changes})
 		g.Expect(n.relay.Pool("orders").Size()).To(Equal(2))
 	}
 }
 
-// Load pattern: hundreds of targets change at once, and daemons miss pieces of what the
-// first reader passes on. Guards against each of them telling all others what it then
-// read itself: that grew with the square of the data centre.
-func TestOnlyTheFirstPassesTheListOn(t *testing.T) {
+// Guards against every daemon sending the target list to all others after it had to
+// read the list itself: when hundreds of targets change at once, daemons miss parts
+// of what the first reader sends, and the traffic grew with the square of the
+// number of daemons in the data centre.
+func TestOnlyFirstReaderSendsList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		n := newFollower(g, weak, &operators{begin: time.Now()})
+		n := newTestNode(g, lowShare, &configWriter{start: time.Now()})
 		defer n.conn.Close()
 		m := n.self
-		m.VM, m.Cores = "vm-1", strong
-		n.heard(m, &gossip.Report{VM: m.VM, DataCentre: "a", Ready: true})
-		g.Expect(n.tellsList(time.Now())).To(BeTrue(), "nobody else does")
-		n.listHeard(watch.Part{Delta: watch.Delta{Since: 5, Version: 6}, Count: 2})
-		g.Expect(n.tellsList(time.Now())).To(BeFalse())
-		time.Sleep(listSilence)
-		g.Expect(n.tellsList(time.Now())).To(BeTrue(), "the first may be cut from the store")
-		n.listHeard(watch.Part{Delta: watch.Delta{Since: 6, Version: 7}, Count: 2})
-		first := newFollower(g, strong, &operators{begin: time.Now()})
+		m.VM, m.Cores = "vm-1", highShare
+		n.handleReport(m, &gossip.Report{VM: m.VM, DataCentre: "a", Ready: true})
+		g.Expect(n.sendsList(time.Now())).To(BeTrue(), "nobody else does")
+		n.handleListPart(watch.Part{Delta: watch.Delta{Since: 5, Version: 6}, Count: 2})
+		g.Expect(n.sendsList(time.Now())).To(BeFalse())
+		time.Sleep(listSenderTimeout)
+		g.Expect(n.sendsList(time.Now())).To(BeTrue(), "the first may be cut from the store")
+		n.handleListPart(watch.Part{Delta: watch.Delta{Since: 6, Version: 7}, Count: 2})
+		first := newTestNode(g, highShare, &configWriter{start: time.Now()})
 		defer first.conn.Close()
 		first.refresh()
-		first.listHeard(watch.Part{Delta: watch.Delta{Since: 5, Version: 6}, Count: 2})
-		g.Expect(first.tellsList(time.Now())).To(BeTrue())
+		first.handleListPart(watch.Part{Delta: watch.Delta{Since: 5, Version: 6}, Count: 2})
+		g.Expect(first.sendsList(time.Now())).To(BeTrue())
 	})
 }
--- a/wisteriad/main.go
+++ b/wisteriad/main.go
@@ -1,5 +1,5 @@
-// Command wisteriad is the daemon of wisteriarelay: it carries requests from
-// callers to the targets of the services that fall to its VM.
+// Command wisteriad is the proxy daemon of wisteriarelay: it forwards requests from
+// callers to the targets of the services that are assigned to its VM.
 package main
 
 import (
@@ -43,9 +43,9 @@
 	}
 }
 
-// serve runs the daemon until a signal. The first one lets it leave without
-// cutting a request; a second one ends the wait for callers that may still hold
-// its address.
+// serve runs the daemon until a signal arrives. The first signal starts a graceful
+// shutdown, which does not interrupt requests; a second one ends the wait for
+// callers that may still have the daemon's address.
 func serve(ctx context.Context, settings *config.Settings) error {
 	logger := newLogger(settings.LogLevel)
 	d, err := daemon.New(settings, daemon.WithLogger(logger))
@@ -58,24 +58,24 @@
 		return err
 	}
 	<-signals
-	h := &hurrier{daemon: d, signals: signals}
+	h := &secondSignalHandler{daemon: d, signals: signals}
 	go h.run()
 	return d.Stop(ctx)
 }
 
-// hurrier shortens the shutdown at a second signal.
-type hurrier struct {
+// secondSignalHandler shortens the shutdown when a second signal arrives.
+type secondSignalHandler struct {
 	daemon  *daemon.Daemon
 	signals <-chan os.Signal
 }
 
-func (h *hurrier) run() {
+func (h *secondSignalHandler) run() {
 	<-h.signals
 	h.daemon.Hurry()
 }
 
-func newLogger(name string) log.Logger {
+func newLogger(levelName string) log.Logger {
 	logger := log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr))
 	logger = log.With(logger, "time", log.DefaultTimestampUTC)
-	return level.NewFilter(logger, level.Allow(level.ParseDefault(name, level.InfoValue())))
+	return level.NewFilter(logger, level.Allow(level.ParseDefault(levelName, level.InfoValue())))
 }
