--- a/core/node/config.go
+++ b/core/node/config.go
@@ -36,6 +36,8 @@
 
 func (f *configFollower) loop(ctx context.Context) {
 	f.waitForPeers(ctx, func() bool { return f.relay.Table() != nil })
+	// A position of 0 requests a full read, any other one a long poll for newer
+	// versions.
 	position := int64(0)
 	wait := minConfigBackoff
 	for ctx.Err() == nil {
--- a/core/node/config_readers_test.go
+++ b/core/node/config_readers_test.go
@@ -54,9 +54,9 @@
 
 // newTestNode returns a daemon that may use the given share of a core. Its target
 // list counts as loaded, so that a configuration makes it ready.
-func newTestNode(g *WithT, share float64, w *configWriter) *Node {
+func newTestNode(g *WithT, share float64, writer *configWriter) *Node {
 	settings := &Settings{VM: "vm", CPUShare: share, DataCentre: "a", InnerAddress: "127.0.0.1:0", ShutdownSeconds: 1, RetryBudget: RetryBudget{SpanSeconds: 1}}
-	n, err := New(settings, &Platform{ReadConfig: w.read, AwaitConfig: w.poll, DecodeConfig: decodeVersion})
+	n, err := New(settings, &Platform{ReadConfig: writer.read, AwaitConfig: writer.poll, DecodeConfig: decodeVersion})
 	g.Expect(err).NotTo(HaveOccurred())
 	n.listLoaded.Store(true)
 	return n
@@ -76,11 +76,11 @@
 	config func() int64
 }
 
-func (h *peerReports) loop(ctx context.Context) {
+func (p *peerReports) loop(ctx context.Context) {
 	for ctx.Err() == nil {
 		for i := range 5 {
 			m := roster.Member{VM: fmt.Sprintf("vm-%d", i), DataCentre: "a", Inner: "127.0.0.1:1", Callers: "127.0.0.1:2", Born: 1}
-			h.node.handleReport(m, &gossip.Report{VM: m.VM, DataCentre: "a", Ready: true, Config: h.config()})
+			p.node.handleReport(m, &gossip.Report{VM: m.VM, DataCentre: "a", Ready: true, Config: p.config()})
 		}
 		sleep(ctx, 200*time.Millisecond)
 	}
@@ -93,12 +93,12 @@
 		t.Run(fmt.Sprint(share), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				o := &configWriter{start: time.Now()}
-				n := newTestNode(g, share, o)
-				defer n.conn.Close()
+				writer := &configWriter{start: time.Now()}
+				n := newTestNode(g, share, writer)
+				defer n.gossipConn.Close()
 				ctx, cancel := context.WithCancel(t.Context())
-				h := &peerReports{node: n, config: func() int64 { return 0 }}
-				go h.loop(ctx)
+				reports := &peerReports{node: n, config: func() int64 { return 0 }}
+				go reports.loop(ctx)
 				f := &configFollower{n}
 				go f.loop(ctx)
 				for v := int64(1); v <= 3; v++ {
@@ -112,11 +112,11 @@
 				synctest.Wait()
 				g.Expect(int64(n.relay.Table().Version)).To(Equal(int64(4)))
 				if reads {
-					g.Expect(o.polls).To(BeNumerically(">=", 3))
+					g.Expect(writer.polls).To(BeNumerically(">=", 3))
 					return
 				}
-				g.Expect(o.reads).To(Equal(1), "at the start")
-				g.Expect(o.polls).To(BeZero())
+				g.Expect(writer.reads).To(Equal(1), "only at the start")
+				g.Expect(writer.polls).To(BeZero())
 			})
 		})
 	}
@@ -127,12 +127,12 @@
 func TestLaggingDaemonReadsConfigItself(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		o := &configWriter{start: time.Now()}
-		n := newTestNode(g, lowShare, o)
-		defer n.conn.Close()
+		writer := &configWriter{start: time.Now()}
+		n := newTestNode(g, lowShare, writer)
+		defer n.gossipConn.Close()
 		ctx, cancel := context.WithCancel(t.Context())
-		h := &peerReports{node: n, config: o.newest}
-		go h.loop(ctx)
+		reports := &peerReports{node: n, config: writer.newest}
+		go reports.loop(ctx)
 		f := &configFollower{n}
 		go f.loop(ctx)
 		time.Sleep(time.Minute + 2*time.Second)
@@ -140,7 +140,7 @@
 		cancel()
 		synctest.Wait()
 		g.Expect(version).To(Equal(route.Version(2)))
-		g.Expect(o.reads).To(Equal(2))
+		g.Expect(writer.reads).To(Equal(2))
 	})
 }
 
@@ -149,7 +149,7 @@
 func TestOldOrInvalidPeerConfigIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	n := newTestNode(g, lowShare, &configWriter{start: time.Now()})
-	defer n.conn.Close()
+	defer n.gossipConn.Close()
 	n.handleConfig(gossip.Document{Version: 5, Data: []byte("5")})
 	n.handleConfig(gossip.Document{Version: 4, Data: []byte("4")})
 	n.handleConfig(gossip.Document{Version: 6, Data: []byte("not a configuration")})
--- a/core/node/config_test.go
+++ b/core/node/config_test.go
@@ -59,7 +59,7 @@
 		settings := &Settings{VM: "vm", DataCentre: "a", InnerAddress: "127.0.0.1:0", ShutdownSeconds: 1, RetryBudget: RetryBudget{SpanSeconds: 1}}
 		n, err := New(settings, &Platform{ReadConfig: burst.read, AwaitConfig: burst.poll})
 		g.Expect(err).NotTo(HaveOccurred())
-		defer n.conn.Close()
+		defer n.gossipConn.Close()
 		ctx, cancel := context.WithCancel(t.Context())
 		f := &configFollower{n}
 		go f.loop(ctx)
--- a/core/node/health_query_test.go
+++ b/core/node/health_query_test.go
@@ -23,8 +23,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = n.conn.Close() })
-	n.self.Inner = n.conn.LocalAddr().String()
+	t.Cleanup(func() { _ = n.gossipConn.Close() })
+	n.self.Inner = n.gossipConn.LocalAddr().String()
 	n.relay.SetTable(route.Compile(&route.Config{Version: 1, Services: []route.Service{{Name: "orders"}}}))
 	n.relay.SetTargets(map[string][]sched.Target{"orders": {
 		{Key: sched.Key{ID: "t0", Born: 1}, DataCentre: "a", Slots: 2}, {Key: sched.Key{ID: "t1", Born: 1}, DataCentre: "a", Slots: 2},
@@ -81,9 +81,8 @@
 	g.Expect(failRate(nonCarrier, "t1")).To(BeNumerically("<", 0.3))
 }
 
-// Guards against all daemons receiving every event when callers that cannot reach
-// the address endpoint spread over all daemons, with twenty requests or more to
-// each.
+// Guards against every daemon receiving every event: callers that cannot reach the
+// address endpoint spread over all daemons, with twenty requests or more to each.
 func TestNonCarriersStayOutOfCarrierGroup(t *testing.T) {
 	g := NewWithT(t)
 	nodes := []*Node{newGossipingNode(t, "vm-1", highShare), newGossipingNode(t, "vm-2", highShare), newGossipingNode(t, "vm-3", lowShare), newGossipingNode(t, "vm-4", lowShare)}
--- a/core/node/maintenance.go
+++ b/core/node/maintenance.go
@@ -38,11 +38,11 @@
 // marks the daemon ready only after updateServices has set its part of the retry
 // budget, which in turn needs the daemon's own rank in the roster.
 func (n *Node) refresh() {
-	able := n.relay.Table() != nil && n.listLoaded.Load()
+	canServe := n.relay.Table() != nil && n.listLoaded.Load()
 	leaving := n.leaving.Load()
-	n.roster.SetSelf(able && !leaving, leaving)
+	n.roster.SetSelf(canServe && !leaving, leaving)
 	n.updateServices()
-	if able {
+	if canServe {
 		n.initialized.set()
 	}
 }
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -21,20 +21,20 @@
 
 // Node is one daemon.
 type Node struct {
-	app      *fx.App
-	settings atomic.Pointer[Settings]
-	platform *Platform
-	logger   log.Logger
-	metrics  *stats.Set
-	dump     *stats.Dump
-	self     roster.Member
+	app       *fx.App
+	settings  atomic.Pointer[Settings]
+	platform  *Platform
+	logger    log.Logger
+	metrics   *stats.Set
+	stateDump *stats.Dump
+	self      roster.Member
 
 	relay        *relay.Relay
 	callerServer *caller.Server
 	roster       *roster.Roster
 	targetList   *watch.List
 	gossip       *gossip.Node
-	conn         *net.UDPConn
+	gossipConn   *net.UDPConn
 	auxServers   *auxServers
 
 	startedAt time.Time
@@ -92,7 +92,7 @@
 		platform:           platform,
 		logger:             log.NewNopLogger(),
 		metrics:            stats.New(),
-		dump:               stats.NewDump(),
+		stateDump:          stats.NewDump(),
 		targetList:         watch.NewList(),
 		configReadRequests: make(chan struct{}, 1),
 
@@ -118,7 +118,7 @@
 		fx.Supply(settings, platform, n.metrics, n.self),
 		fx.Provide(func() log.Logger { return n.logger }),
 		fx.Provide(roster.New, n.newRelay, n.newCallerServer, n.newGossipConn, n.newGossipNode),
-		fx.Populate(&n.relay, &n.callerServer, &n.roster, &n.conn, &n.gossip),
+		fx.Populate(&n.relay, &n.callerServer, &n.roster, &n.gossipConn, &n.gossip),
 		fx.Invoke(n.registerHooks),
 	)
 	return n, n.app.Err()
@@ -207,7 +207,7 @@
 	n.cancel()
 	n.callerServer.Close()
 	n.auxServers.close()
-	return n.conn.Close()
+	return n.gossipConn.Close()
 }
 
 // Ready reports whether the daemon can serve requests and is not shutting down.
--- a/core/node/peers.go
+++ b/core/node/peers.go
@@ -103,10 +103,10 @@
 func (n *Node) eventAudience(service string) gossip.Audience {
 	now := time.Now()
 	group, cores := n.plan().Group(service)
-	near := n.roster.Carriers(now, group, n.self.DataCentre, cores)
+	localCarriers := n.roster.Carriers(now, group, n.self.DataCentre, cores)
 	var out gossip.Audience
 	for _, m := range n.roster.Group(now, group, cores) {
-		isCarrier := slices.ContainsFunc(near, func(o roster.Member) bool { return o.VM == m.VM })
+		isCarrier := slices.ContainsFunc(localCarriers, func(o roster.Member) bool { return o.VM == m.VM })
 		if m.DataCentre == n.self.DataCentre && !isCarrier {
 			out.Strays = append(out.Strays, m)
 			continue
@@ -147,7 +147,7 @@
 }
 
 // remoteGroups returns the carriers in other data centres that this daemon reports
-// to its own data centre.
+// to the local data centre.
 func (n *Node) remoteGroups() []gossip.Group {
 	now := time.Now()
 	plan := n.plan()
--- a/core/node/ready_test.go
+++ b/core/node/ready_test.go
@@ -38,11 +38,11 @@
 		n, err := New(settings, &Platform{})
 		g.Expect(err).NotTo(HaveOccurred())
 		n.relay.SetTable(route.Compile(config))
-		w := &readyObserver{node: n, sizes: make(chan int, 1)}
-		go w.run()
+		observer := &readyObserver{node: n, sizes: make(chan int, 1)}
+		go observer.run()
 		n.applyList(watch.Delta{Version: 1, Age: time.Millisecond, Changes: changes})
-		g.Expect(<-w.sizes).To(Equal(len(changes)))
-		_ = n.conn.Close()
+		g.Expect(<-observer.sizes).To(Equal(len(changes)))
+		_ = n.gossipConn.Close()
 	}
 }
 
@@ -86,11 +86,11 @@
 				settings := &Settings{VM: "vm", DataCentre: "a", InnerAddress: "127.0.0.1:0", ShutdownSeconds: 1, FirstStart: true, RetryBudget: RetryBudget{SpanSeconds: 1, Slack: slack}}
 				n, err := New(settings, &Platform{})
 				g.Expect(err).NotTo(HaveOccurred())
-				w := &budgetObserver{node: n, allowed: make(chan float64, 1)}
-				go w.run()
+				observer := &budgetObserver{node: n, allowed: make(chan float64, 1)}
+				go observer.run()
 				apply(n)
-				g.Expect(<-w.allowed).To(BeNumerically(">", 0))
-				_ = n.conn.Close()
+				g.Expect(<-observer.allowed).To(BeNumerically(">", 0))
+				_ = n.gossipConn.Close()
 			}
 		})
 	}
--- a/core/node/servers.go
+++ b/core/node/servers.go
@@ -97,7 +97,7 @@
 	r.Methods(http.MethodGet).Path("/metrics").Handler(n.metrics)
 	r.Methods(http.MethodGet).Path("/state").HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(n.dump.Read(req.URL.Query().Get("part")))
+		_ = json.NewEncoder(w).Encode(n.stateDump.Read(req.URL.Query().Get("part")))
 	})
 	return r
 }
--- a/core/node/settings.go
+++ b/core/node/settings.go
@@ -59,8 +59,8 @@
 	Slack       float64 `json:"slack"`
 }
 
-// Shutdown returns the time between the signal to stop and the kill of the process.
-func (s *Settings) Shutdown() time.Duration {
+// ShutdownTimeout returns the time between the signal to stop and the kill of the process.
+func (s *Settings) ShutdownTimeout() time.Duration {
 	return seconds(s.ShutdownSeconds)
 }
 
--- a/core/node/shutdown.go
+++ b/core/node/shutdown.go
@@ -57,9 +57,9 @@
 	}
 }
 
-func (d *callerDrain) done(since time.Duration) bool {
-	if since >= d.node.settings.Load().Shutdown()-killMargin {
+func (d *callerDrain) done(elapsed time.Duration) bool {
+	if elapsed >= d.node.settings.Load().ShutdownTimeout()-killMargin {
 		return true
 	}
-	return since >= lookupDrainTime && d.node.callerServer.Busy() == 0
+	return elapsed >= lookupDrainTime && d.node.callerServer.Busy() == 0
 }
--- a/core/node/start.go
+++ b/core/node/start.go
@@ -30,8 +30,8 @@
 	// current. The peer that sends an older one may have lost its connection to the
 	// store.
 	maxPeerListAge = 2 * time.Second
-	// settledUptime is how much longer than this daemon a peer must have run to know
-	// all daemons of its data centre. It allows for clocks that differ.
+	// settledUptime is how much earlier than this daemon a peer must have started to
+	// know all daemons of its data centre. It allows for clocks that differ.
 	settledUptime = 10 * time.Second
 )
 
@@ -82,8 +82,8 @@
 }
 
 // handleMembers adds daemons that a peer knows. A peer of the local data centre
-// that has run for longer than settledUptime knows all daemons there, so the store
-// need not be asked.
+// that started more than settledUptime before this daemon knows all daemons there,
+// so the store need not be asked.
 func (n *Node) handleMembers(sender string, members []roster.Member) {
 	if n.Ready() {
 		return
--- a/core/node/start_test.go
+++ b/core/node/start_test.go
@@ -16,17 +16,17 @@
 // delayedInit makes a daemon ready after a delay.
 type delayedInit struct {
 	node  *Node
-	after time.Duration
+	delay time.Duration
 }
 
 func (i *delayedInit) run() {
-	time.Sleep(i.after)
+	time.Sleep(i.delay)
 	i.node.relay.SetTable(route.Compile(&route.Config{Version: 1}))
 	i.node.refresh()
 }
 
-func handleAfter(n *Node, after time.Duration) (status int, took time.Duration) {
-	time.Sleep(after)
+func handleAfter(n *Node, delay time.Duration) (status int, took time.Duration) {
+	time.Sleep(delay)
 	began := time.Now()
 	a := n.handle(context.Background(), &caller.Request{Method: http.MethodGet, Target: "/x", Header: http.Header{}, Received: began})
 	return a.Status, time.Since(began)
@@ -50,9 +50,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				n := newTestNode(g, highShare, &configWriter{start: time.Now()})
-				defer n.conn.Close()
-				init := &delayedInit{node: n, after: c.ready}
-				go init.run()
+				defer n.gossipConn.Close()
+				delayed := &delayedInit{node: n, delay: c.ready}
+				go delayed.run()
 				status, took := handleAfter(n, c.request)
 				g.Expect(status).To(Equal(c.status))
 				g.Expect(took).To(BeNumerically("<=", c.within))
--- a/core/node/startup_test.go
+++ b/core/node/startup_test.go
@@ -36,7 +36,7 @@
 
 // unreachableStore returns a platform whose store cannot be reached.
 func unreachableStore() *Platform {
-	unavailable := fault.New(fault.StoreUnavailable, "store is away")
+	unavailable := fault.New(fault.StoreUnavailable, "store is unreachable")
 	return &Platform{
 		ReadConfig:  func(context.Context) (ConfigRead, error) { return ConfigRead{}, unavailable },
 		AwaitConfig: func(context.Context, int64, time.Duration) (ConfigRead, error) { return ConfigRead{}, unavailable },
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = n.conn.Close() })
+	t.Cleanup(func() { _ = n.gossipConn.Close() })
 	n.gossip.Start(t.Context())
 	n.handleConfig(gossip.Document{Version: 7, Data: []byte("seven")})
 	n.applyList(testTargetList(age))
@@ -98,7 +98,7 @@
 			g.Expect(n.relay.Table().Version).To(Equal(route.Version(7)))
 			g.Expect(n.relay.Pool("orders").Size()).To(Equal(600))
 			g.Eventually(func() int { return len(n.roster.Near()) }).WithTimeout(10 * time.Second).Should(Equal(2))
-			g.Expect(n.membersKnown.Load()).To(BeFalse(), "the peers may not know all yet")
+			g.Expect(n.membersKnown.Load()).To(BeFalse(), "the peers may not know all members yet")
 		})
 	}
 }
@@ -108,7 +108,7 @@
 func TestStalePeerListDoesNotReplaceStoreList(t *testing.T) {
 	g := NewWithT(t)
 	n := newTestNode(g, lowShare, &configWriter{start: time.Now()})
-	defer n.conn.Close()
+	defer n.gossipConn.Close()
 	n.listLoaded.Store(false)
 	n.handleSnapshot(testTargetList(time.Minute))
 	g.Expect(n.relay.Pool("orders").Size()).To(BeZero())
@@ -134,7 +134,7 @@
 		})
 		g.Expect(n.membersKnown.Load()).To(Equal(settled))
 		g.Expect(n.roster.DataCentres()).To(Equal([]string{"a", "b"}))
-		g.Expect(n.conn.Close()).To(Succeed())
+		g.Expect(n.gossipConn.Close()).To(Succeed())
 	}
 }
 
@@ -143,32 +143,32 @@
 // none is ready.
 func TestWaitForPeerDataAtStart(t *testing.T) {
 	cases := map[string]struct {
-		first         bool
-		known, serves bool
-		share         float64
-		wait          time.Duration
+		firstStart   bool
+		known, ready bool
+		share        float64
+		wait         time.Duration
 	}{
 		"all start again":               {known: true, share: lowShare, wait: peerDiscoveryTimeout},
-		"into a running fleet":          {known: true, serves: true, share: lowShare, wait: peerDataTimeout},
-		"first start, alone":            {first: true, share: lowShare, wait: firstStartTimeout},
-		"first start, reads first":      {first: true, known: true, share: highShare, wait: 0},
-		"first start, others read":      {first: true, known: true, share: lowShare, wait: firstStartTimeout},
-		"first start, others go silent": {first: true, known: true, serves: true, share: lowShare, wait: 900 * time.Millisecond},
-		"first start, strong and some":  {first: true, known: true, serves: true, share: highShare, wait: 0},
+		"into a running fleet":          {known: true, ready: true, share: lowShare, wait: peerDataTimeout},
+		"first start, alone":            {firstStart: true, share: lowShare, wait: firstStartTimeout},
+		"first start, reads first":      {firstStart: true, known: true, share: highShare, wait: 0},
+		"first start, others read":      {firstStart: true, known: true, share: lowShare, wait: firstStartTimeout},
+		"first start, others go silent": {firstStart: true, known: true, ready: true, share: lowShare, wait: 900 * time.Millisecond},
+		"first start, strong and some":  {firstStart: true, known: true, ready: true, share: highShare, wait: 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				n := newTestNode(g, c.share, &configWriter{start: time.Now()})
-				defer n.conn.Close()
-				n.settings.Load().FirstStart = c.first
+				defer n.gossipConn.Close()
+				n.settings.Load().FirstStart = c.firstStart
 				for i := range 5 {
 					m := roster.Member{VM: fmt.Sprint("vm-", i), DataCentre: "a", Inner: "127.0.0.1:1", Born: 1}
 					if c.known {
 						n.roster.Add(m)
 					}
-					if c.serves {
+					if c.ready {
 						n.roster.Heard(time.Now(), m, roster.Standing{Ready: true}, nil)
 					}
 				}
--- a/core/node/state.go
+++ b/core/node/state.go
@@ -18,10 +18,10 @@
 
 // registerState registers the parts of the state dump and the gauges.
 func (n *Node) registerState() {
-	n.dump.Add("store", func() any { return n.storeState() })
-	n.dump.Add("peers", func() any { return n.roster.State(time.Now()) })
-	n.dump.Add("targets", func() any { return n.targetState() })
-	n.dump.Add("budget", func() any { return n.budgetState() })
+	n.stateDump.Add("store", func() any { return n.storeState() })
+	n.stateDump.Add("peers", func() any { return n.roster.State(time.Now()) })
+	n.stateDump.Add("targets", func() any { return n.targetState() })
+	n.stateDump.Add("budget", func() any { return n.budgetState() })
 	n.metrics.Gauge("gossip_events_dropped", n.gossip.Dropped)
 	n.metrics.Gauge("caller_connections", func() int64 { return int64(n.callerServer.Connections()) })
 	n.metrics.Gauge("caller_requests_open", func() int64 { return int64(n.callerServer.Busy()) })
--- a/core/node/targets_test.go
+++ b/core/node/targets_test.go
@@ -30,7 +30,7 @@
 	g := NewWithT(t)
 	const rounds = 3000
 	n := newTestNode(g, lowShare, &configWriter{start: time.Now()})
-	defer n.conn.Close()
+	defer n.gossipConn.Close()
 	full := testTargetList(0)
 	full.Changes = full.Changes[:2]
 	full.Version = 1
@@ -59,18 +59,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		n := newTestNode(g, lowShare, &configWriter{start: time.Now()})
-		defer n.conn.Close()
+		defer n.gossipConn.Close()
 		m := n.self
 		m.VM, m.Cores = "vm-1", highShare
 		n.handleReport(m, &gossip.Report{VM: m.VM, DataCentre: "a", Ready: true})
-		g.Expect(n.sendsList(time.Now())).To(BeTrue(), "nobody else does")
+		g.Expect(n.sendsList(time.Now())).To(BeTrue(), "no other daemon has sent a part")
 		n.handleListPart(watch.Part{Delta: watch.Delta{Since: 5, Version: 6}, Count: 2})
 		g.Expect(n.sendsList(time.Now())).To(BeFalse())
 		time.Sleep(listSenderTimeout)
-		g.Expect(n.sendsList(time.Now())).To(BeTrue(), "the first may be cut from the store")
+		g.Expect(n.sendsList(time.Now())).To(BeTrue(), "the first may have lost its connection to the store")
 		n.handleListPart(watch.Part{Delta: watch.Delta{Since: 6, Version: 7}, Count: 2})
 		first := newTestNode(g, highShare, &configWriter{start: time.Now()})
-		defer first.conn.Close()
+		defer first.gossipConn.Close()
 		first.refresh()
 		first.handleListPart(watch.Part{Delta: watch.Delta{Since: 5, Version: 6}, Count: 2})
 		g.Expect(first.sendsList(time.Now())).To(BeTrue())
