--- a/core/node/help.go
+++ b/core/node/help.go
@@ -9,100 +9,106 @@
 )
 
 const (
-	// helpers is the number of daemons of a data centre that pass on what a daemon
-	// needs that has just started.
-	helpers = 2
-	// helpPause is the time after which the same daemon is helped again: datagrams
-	// may be lost.
-	helpPause = 150 * time.Millisecond
-	// snapshotTTL is how long a packed target list is used again, when many daemons
-	// start together.
+	// startupSenderCount is the number of daemons of a data centre that send startup
+	// data to a daemon that has just started there.
+	startupSenderCount = 2
+	// startupResendInterval is the shortest time between two transmissions to the same
+	// daemon. Startup data is repeated because datagrams may be lost.
+	startupResendInterval = 150 * time.Millisecond
+	// snapshotTTL is how long an encoded target list is reused when many daemons start
+	// at the same time.
 	snapshotTTL = 100 * time.Millisecond
-	// introductions is the number of daemons that are told to one of another data
-	// centre. They know the others there.
-	introductions = 8
-	// maxHelped bounds the daemons of which the last help is remembered.
-	maxHelped = 4096
+	// maxMembersPerDataCentre limits the members of a data centre that are sent to a
+	// daemon that does not get the full list for it. It learns of the others from these
+	// members.
+	maxMembersPerDataCentre = 8
+	// maxTrackedReceivers limits the number of daemons whose last transmission is
+	// remembered.
+	maxTrackedReceivers = 4096
 )
 
-// helper passes configuration, targets and members on to daemons that have just
-// started. Only the receiver of datagrams calls it.
-type helper struct {
+// startupSender sends the configuration, the target list and the members to daemons
+// that have just started. Only the goroutine that receives datagrams calls it.
+type startupSender struct {
 	*Node
-	mu       sync.Mutex
-	helped   map[string]time.Time
-	snapshot *gossip.Snapshot
-	packedAt time.Time
+	mu         sync.Mutex
+	lastSent   map[string]time.Time
+	snapshot   *gossip.Snapshot
+	snapshotAt time.Time
 }
 
-func newHelper(n *Node) *helper {
-	return &helper{Node: n, helped: map[string]time.Time{}}
+func newStartupSender(n *Node) *startupSender {
+	return &startupSender{Node: n, lastSent: map[string]time.Time{}}
 }
 
-// offer helps the sender of a heartbeat if it has just started.
-func (h *helper) offer(m roster.Member, r *gossip.Report) {
+// sendIfStarting sends startup data to the sender of a heartbeat if that daemon has
+// just started.
+func (s *startupSender) sendIfStarting(m roster.Member, r *gossip.Report) {
 	now := time.Now()
-	if r.Leaving || r.Config > 0 && r.Targets > 0 || !h.Ready() {
+	if r.Leaving || r.Config > 0 && r.Targets > 0 || !s.Ready() {
 		return
 	}
-	rank := h.roster.Rank(now)
-	helps := m.DataCentre == h.self.DataCentre && rank < helpers
-	if !helps && !r.Seeks || !h.due(m.VM, helps && rank > 0, now) {
+	rank := s.roster.Rank(now)
+	isSender := m.DataCentre == s.self.DataCentre && rank < startupSenderCount
+	if !isSender && !r.Seeks || !s.allow(m.VM, isSender && rank > 0, now) {
 		return
 	}
-	h.introduce(now, m, helps)
-	if !helps {
+	s.sendMembers(now, m, isSender)
+	if !isSender {
 		return
 	}
-	if doc := h.document.Load(); doc != nil && r.Config < doc.Version {
-		h.peers.TellConfig(*doc, []roster.Member{m})
+	if doc := s.configDocument.Load(); doc != nil && r.Config < doc.Version {
+		s.gossip.TellConfig(*doc, []roster.Member{m})
 	}
 	if r.Targets == 0 {
-		h.passList(now, m)
+		s.sendSnapshot(now, m)
 	}
 }
 
-// due reports whether the daemon may be helped now. The second in rank leaves the
-// first call to the first: pieces of two lists that are passed on at the same moment
-// would keep each other from becoming whole.
-func (h *helper) due(vm string, second bool, now time.Time) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	last, known := h.helped[vm]
-	if now.Sub(last) < helpPause {
+// allow reports whether startup data may be sent to the daemon now, and records the
+// transmission. A backup sender, which is not the first in rank, skips the first
+// transmission: parts of two lists that arrive at the same time would prevent each
+// other's reassembly.
+func (s *startupSender) allow(vm string, backup bool, now time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	last, known := s.lastSent[vm]
+	if now.Sub(last) < startupResendInterval {
 		return false
 	}
-	if len(h.helped) >= maxHelped {
-		clear(h.helped)
+	if len(s.lastSent) >= maxTrackedReceivers {
+		clear(s.lastSent)
 	}
-	h.helped[vm] = now
-	return known || !second
+	s.lastSent[vm] = now
+	return known || !backup
 }
 
-// introduce tells the daemon who serves in its data centre, and that this one does.
-// One of the own data centre is told all of them and some in each other.
-func (h *helper) introduce(now time.Time, m roster.Member, all bool) {
-	members := h.roster.Ordered(now, m.DataCentre)
-	if all {
-		members = append(members, h.roster.Abroad(now, introductions)...)
+// sendMembers sends members to a daemon. With full set, these are all members of
+// its data centre and some of each other data centre. Otherwise they are some
+// members of its data centre, and a heartbeat tells it that this daemon serves as
+// well.
+func (s *startupSender) sendMembers(now time.Time, m roster.Member, full bool) {
+	members := s.roster.Ordered(now, m.DataCentre)
+	if full {
+		members = append(members, s.roster.Abroad(now, maxMembersPerDataCentre)...)
 	} else {
-		members = members[:min(len(members), introductions)]
-		h.peers.BeatTo([]string{m.Inner})
+		members = members[:min(len(members), maxMembersPerDataCentre)]
+		s.gossip.BeatTo([]string{m.Inner})
 	}
-	h.peers.TellMembers(members, m)
+	s.gossip.TellMembers(members, m)
 }
 
-// passList passes the target list on, packed at most a moment ago.
-func (h *helper) passList(now time.Time, m roster.Member) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.snapshot == nil || now.Sub(h.packedAt) > snapshotTTL {
-		s, err := gossip.NewSnapshot(h.list.Snapshot(now.Add(snapshotTTL)))
+// sendSnapshot sends the target list, encoded at most snapshotTTL ago.
+func (s *startupSender) sendSnapshot(now time.Time, m roster.Member) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.snapshot == nil || now.Sub(s.snapshotAt) > snapshotTTL {
+		snapshot, err := gossip.NewSnapshot(s.targetList.Snapshot(now.Add(snapshotTTL)))
 		if err != nil {
-			_ = h.logger.Log("msg", "target list not passed on", "err", err)
+			_ = s.logger.Log("msg", "target list not passed on", "err", err)
 			return
 		}
-		h.snapshot, h.packedAt = s, now
+		s.snapshot, s.snapshotAt = snapshot, now
 	}
-	h.peers.TellSnapshot(h.snapshot, m)
+	s.gossip.TellSnapshot(s.snapshot, m)
 }
--- /dev/null
+++ b/core/node/maintenance.go
@@ -0,0 +1,127 @@
+package node
+
+import (
+	"context"
+	"time"
+
+	"wisteriarelay.example/core/retry"
+)
+
+const (
+	// maintenanceInterval is the time between two rounds of maintenance.
+	maintenanceInterval = 100 * time.Millisecond
+	// registrationRetryDelay is the delay after a failed store call of the
+	// registration.
+	registrationRetryDelay = time.Second
+)
+
+// maintenance periodically updates what depends on the time.
+type maintenance struct{ *Node }
+
+func (m *maintenance) loop(ctx context.Context) {
+	tick := time.NewTicker(maintenanceInterval)
+	defer tick.Stop()
+	for {
+		if m.targetList.Expire(time.Now()) {
+			m.updateTargets()
+		}
+		m.refresh()
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+	}
+}
+
+// refresh updates what depends on the configuration, the targets and the peers. It
+// marks the daemon ready only after updateServices has set its part of the retry
+// budget, which in turn needs the daemon's own rank in the roster.
+func (n *Node) refresh() {
+	canServe := n.relay.Table() != nil && n.listLoaded.Load()
+	leaving := n.leaving.Load()
+	n.roster.SetSelf(canServe && !leaving, leaving)
+	n.updateServices()
+	if canServe {
+		n.initialized.set()
+	}
+}
+
+// updateServices sets, for each service, whether this daemon receives the results
+// of its peers, and its part of the fleet's retry budget, which is divided among
+// the carriers.
+func (n *Node) updateServices() {
+	t := n.relay.Table()
+	if t == nil {
+		return
+	}
+	now := time.Now()
+	plan := n.plan()
+	start := n.budgetStart(now)
+	for _, s := range t.Services() {
+		group, cores := plan.Group(s)
+		carries := n.roster.Carries(now, group, cores)
+		n.relay.Pool(s).SetInformed(carries)
+		n.relay.Pool(s).SetTended(n.remotelyMonitored(n.eventAudience(s)))
+		part := retry.PartOf(1, start)
+		part.Slack = 0
+		if carries {
+			part = retry.PartOf(len(n.roster.Group(now, group, cores))+1, start)
+		}
+		n.relay.SetPart(s, part)
+	}
+}
+
+// budgetStart returns how this run of the daemon began, which decides how much of
+// the retry budget earlier runs may have used.
+func (n *Node) budgetStart(now time.Time) retry.Start {
+	s := n.settings.Load()
+	switch {
+	case s.FirstStart || now.Sub(n.startedAt) >= seconds(s.RetryBudget.SpanSeconds):
+		return retry.Settled
+	case n.roster.YoungerThanMost():
+		return retry.Alone
+	default:
+		return retry.WithFleet
+	}
+}
+
+// registration writes the daemon to the store and then reads the other members from
+// it. This order ensures that of two daemons that start together at least one finds
+// the other.
+type registration struct{ *Node }
+
+func (r *registration) loop(ctx context.Context) {
+	r.retryUntilDone(ctx, r.register)
+	if !r.membersKnown.Load() {
+		r.retryUntilDone(ctx, r.loadMembers)
+	}
+}
+
+func (r *registration) retryUntilDone(ctx context.Context, step func(context.Context) bool) {
+	for ctx.Err() == nil && !step(ctx) {
+		sleep(ctx, registrationRetryDelay)
+	}
+}
+
+func (r *registration) loadMembers(ctx context.Context) bool {
+	members, err := r.platform.ReadMembers(ctx)
+	if err != nil {
+		_ = r.logger.Log("msg", "members not read", "err", err)
+		return false
+	}
+	for _, m := range members {
+		r.roster.Add(m)
+	}
+	r.membersKnown.Store(true)
+	r.gossip.Beat()
+	return true
+}
+
+func (r *registration) register(ctx context.Context) bool {
+	if err := r.platform.WriteMember(ctx, r.self); err != nil {
+		_ = r.logger.Log("msg", "registration in the store failed", "err", err)
+		return false
+	}
+	return true
+}
--- /dev/null
+++ b/core/node/servers.go
@@ -0,0 +1,103 @@
+package node
+
+import (
+	"encoding/json"
+	"net"
+	"net/http"
+	"time"
+
+	"github.com/gorilla/mux"
+)
+
+const (
+	// auxHeaderTimeout limits the time to read the header of a request to an auxiliary
+	// server.
+	auxHeaderTimeout = 3 * time.Second
+	// auxIdleTimeout is the time after which an auxiliary server closes an idle
+	// connection.
+	auxIdleTimeout = 30 * time.Second
+)
+
+// auxServers are the HTTP servers for addresses, readiness and metrics, which
+// listen on ports of their own beside the callers' port.
+type auxServers struct {
+	servers []*http.Server
+}
+
+// auxServer serves one listener.
+type auxServer struct {
+	server   *http.Server
+	listener net.Listener
+}
+
+func (s *auxServer) run() {
+	_ = s.server.Serve(s.listener)
+}
+
+// callerListener accepts the connections of callers.
+type callerListener struct {
+	node     *Node
+	listener net.Listener
+}
+
+func (l *callerListener) run() {
+	l.node.callerServer.Serve(l.listener)
+}
+
+func (n *Node) openListeners() (*auxServers, error) {
+	l, err := net.Listen("tcp4", n.self.Callers)
+	if err != nil {
+		return nil, err
+	}
+	callers := &callerListener{n, l}
+	go callers.run()
+	servers := &auxServers{}
+	settings := n.settings.Load()
+	endpoints := []struct {
+		address string
+		handler http.Handler
+	}{
+		{settings.AddressAddress, n.platform.Addresses(n.lookup)},
+		{settings.ReadyAddress, n.platform.Readiness(n.Ready)},
+		{settings.MetricsAddress, n.diagnosticsHandler()},
+	}
+	for _, e := range endpoints {
+		if e.address == "" {
+			continue
+		}
+		if err := servers.listen(e.address, e.handler); err != nil {
+			servers.close()
+			return nil, err
+		}
+	}
+	return servers, nil
+}
+
+func (a *auxServers) listen(address string, handler http.Handler) error {
+	l, err := net.Listen("tcp4", address)
+	if err != nil {
+		return err
+	}
+	httpServer := &http.Server{Handler: handler, ReadHeaderTimeout: auxHeaderTimeout, IdleTimeout: auxIdleTimeout}
+	a.servers = append(a.servers, httpServer)
+	server := &auxServer{httpServer, l}
+	go server.run()
+	return nil
+}
+
+func (a *auxServers) close() {
+	for _, server := range a.servers {
+		_ = server.Close()
+	}
+}
+
+// diagnosticsHandler returns the handler for metrics and the state dump.
+func (n *Node) diagnosticsHandler() http.Handler {
+	r := mux.NewRouter()
+	r.Methods(http.MethodGet).Path("/metrics").Handler(n.metrics)
+	r.Methods(http.MethodGet).Path("/state").HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		w.Header().Set("Content-Type", "application/json")
+		_ = json.NewEncoder(w).Encode(n.stateDump.Read(req.URL.Query().Get("part")))
+	})
+	return r
+}
--- /dev/null
+++ b/core/node/target_list.go
@@ -0,0 +1,83 @@
+package node
+
+import (
+	"context"
+	"time"
+
+	"wisteriarelay.example/core/fault"
+	"wisteriarelay.example/core/watch"
+)
+
+// targetListFollower keeps the target list up to date with the store.
+type targetListFollower struct {
+	*Node
+	schedule watch.Schedule
+	// full requests the full list instead of its changes.
+	full bool
+}
+
+func (f *targetListFollower) loop(ctx context.Context) {
+	f.waitForPeers(ctx, f.listLoaded.Load)
+	f.full = !f.listLoaded.Load()
+	for ctx.Err() == nil {
+		version, asOf := f.targetList.Position()
+		due := f.schedule.Due(asOf, f.targetList.HeardAt(), f.roster.Rank(time.Now()))
+		if wait := time.Until(due); wait > 0 {
+			sleep(ctx, wait)
+			continue
+		}
+		f.read(ctx, version)
+	}
+}
+
+func (f *targetListFollower) read(ctx context.Context, version int64) {
+	began := time.Now()
+	delta, problems, err := f.fetch(ctx, version)
+	if err != nil {
+		f.full = f.full || fault.Is(err, fault.HistoryGone)
+		f.schedule.Failed(time.Now())
+		f.applyStaleList()
+		if ctx.Err() == nil {
+			_ = f.logger.Log("msg", "target list not read", "err", err, "version", version)
+		}
+		return
+	}
+	f.full = false
+	f.schedule.Succeeded()
+	now := time.Now()
+	f.listReadAt.Store(&now)
+	for _, p := range problems {
+		_ = f.logger.Log("msg", "target entry ignored", "err", p)
+	}
+	delta.Age = time.Since(began)
+	applied := f.applyList(delta)
+	if applied.Taken && delta.Since != 0 && f.sendsList(now) {
+		delta.Changes = applied.Changes
+		f.gossip.TellList(delta)
+	}
+}
+
+func (f *targetListFollower) fetch(ctx context.Context, version int64) (watch.Delta, []error, error) {
+	if f.full || version == 0 {
+		return f.platform.ReadTargets(ctx)
+	}
+	return f.platform.PollTargets(ctx, version)
+}
+
+// listSenderTimeout is the time without a part of the target list from a peer after
+// which any daemon that reads the list also sends it to the others, whatever its
+// rank.
+const listSenderTimeout = time.Second
+
+// sendsList reports whether this daemon sends the changes that it has read to its
+// peers: the first in rank does, and another one if no peer seems to. When hundreds
+// of targets change at once, parts of the changes are lost, and every daemon that
+// misses one reads the store itself; if each of these also sent its changes to all
+// the others, traffic would grow with the square of the number of daemons.
+func (n *Node) sendsList(now time.Time) bool {
+	if n.roster.Rank(now) == 0 {
+		return true
+	}
+	lastPart := n.listPartAt.Load()
+	return lastPart == nil || now.Sub(*lastPart) >= listSenderTimeout
+}
