--- a/core/choose/bench_test.go
+++ b/core/choose/bench_test.go
@@ -13,7 +13,7 @@
 		b.Run(fmt.Sprint("targets=", n), func(b *testing.B) {
 			cands := make([]choose.Candidate, n)
 			for i := range cands {
-				cands[i] = cand(choose.Ready, 0, 0)
+				cands[i] = candidate(choose.Ready, 0, 0)
 				cands[i].Rank = choose.Rank("vm", fleet.TargetID(fmt.Sprint(i)))
 			}
 			b.ReportAllocs()
--- a/core/choose/choose.go
+++ b/core/choose/choose.go
@@ -8,201 +8,216 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// State is what a candidate may be used for.
+// State says which requests a candidate may receive.
 type State uint8
 
-// The states of a candidate. The zero value gets no work, so that a candidate
-// whose state was never set is not used.
+// The states of a candidate. Closed is the zero value, so that a candidate whose
+// state was never set receives no requests.
 const (
+	// Closed candidates receive no requests.
 	Closed State = iota
+	// Ready candidates receive requests without restriction.
 	Ready
+	// SlowStart candidates receive the part of full traffic that Weight states, and
+	// more if no ready candidate is free.
 	SlowStart
+	// Avoided candidates receive requests only if no other candidate is free.
 	Avoided
+	// Trial candidates receive single idempotent requests that test whether the
+	// target works again.
 	Trial
 )
 
-// Candidate is one target as the daemon sees it at the moment of the choice.
+// Candidate describes one target at the time of the choice.
 type Candidate struct {
 	State State
-	// TrialAllowed says that this daemon may send a trial to the target.
+	// TrialAllowed says that this daemon may send trial requests to the target.
 	TrialAllowed   bool
 	SameDataCentre bool
-	// Confirm asks for a share of the idempotent requests, because this daemon has
-	// too little evidence of its own about a suspect target. The target stays
-	// open as its state says, so that it still counts as capacity.
+	// Confirm gives the target an additional part of the idempotent requests, because
+	// this daemon has too few results of its own to judge a suspect target. State
+	// still applies, so that the target keeps counting as capacity.
 	Confirm bool
-	// Weight is the share of full traffic for SlowStart, and the share of idempotent
-	// requests spent on trials for Trial, in [0, 1].
+	// Weight is the fraction of full traffic in the state SlowStart, and the fraction
+	// of idempotent requests used as trials in the state Trial. It is in [0, 1].
 	Weight float64
-	// InFlight is this daemon's own work at the target.
+	// InFlight is the number of requests that this daemon has in flight at the target.
 	InFlight int
-	// PeerInFlight is the work of the other daemons as last reported.
+	// PeerInFlight is the number of requests that the other daemons have in flight
+	// at the target, as last reported.
 	PeerInFlight int
-	// Share is the part of Slots that the division among the daemons gives this one.
+	// Share is this daemon's quota: the number of the target's slots assigned to it
+	// when the slots are divided among the daemons.
 	Share int
-	// Limit is the most own work allowed at the target now.
+	// Limit is the maximum of InFlight that is allowed now.
 	Limit int
-	// Slots is the number of requests the target works on at once.
+	// Slots is the number of requests that the target processes concurrently.
 	Slots int
-	// Rank breaks ties, lowest first; see Rank.
+	// Rank breaks ties, lowest first; see the function Rank.
 	Rank uint64
 }
 
-// Rank returns the rank of a target for a daemon. It differs between daemons,
-// so that daemons with the same view spread over equal targets.
+// Rank returns the rank of a target for a daemon, a hash of both. It differs
+// between daemons, so that daemons with the same information spread over targets
+// that are otherwise equal.
 func Rank(daemon fleet.VMID, target fleet.TargetID) uint64 {
-	var d xxhash.Digest
-	d.Reset()
-	_, _ = d.WriteString(string(daemon))
-	_, _ = d.Write([]byte{0})
-	_, _ = d.WriteString(string(target))
-	return d.Sum64()
+	var digest xxhash.Digest
+	digest.Reset()
+	_, _ = digest.WriteString(string(daemon))
+	_, _ = digest.Write([]byte{0})
+	_, _ = digest.WriteString(string(target))
+	return digest.Sum64()
 }
 
-// The classes of a candidate, best first. A trial that is due comes before ready
-// targets, because under light load it would otherwise never receive a request.
+// The preference classes of candidates, best first. A trial that is due comes before
+// ready targets: under light load a ready target always has a free slot, so that the
+// trial would otherwise never receive a request.
 const (
 	classTrialDue = iota
 	classReady
 	classSlowStart
 	classTrial
 	classAvoided
-	classNone
+	classUnusable
 )
 
 const (
 	loadBits = 32
-	// beyondBit marks work beyond the daemon's share, farBit another data centre.
-	beyondBit = 1 << loadBits
-	farBit    = 2 << loadBits
-	// loadUnit is the load of a target whose slots are all in use. Loads are
+	// overQuotaBit is set if this daemon already uses its quota of the target's slots.
+	overQuotaBit = 1 << loadBits
+	// remoteBit is set if the target is in another data centre.
+	remoteBit = 2 << loadBits
+	// loadScale is the load of a target whose slots are all in use. Loads are
 	// compared in 1/1024, so that targets with 2 and with 3 slots are comparable.
-	loadUnit = 1024
-	// peerDiscount weighs the work that peers report, which is up to an interval
-	// old. Daemons that trust it in full move to the same idle target together,
-	// whose slowness then looks like sickness (docs/policy.md, case herding).
+	loadScale = 1024
+	// peerDiscount divides the load that peers report, which is up to one report
+	// interval old. If it counted in full, all daemons would send to the same idle
+	// target at once, and its slowness would look like a fault of the target
+	// (docs/policy.md, case herding).
 	peerDiscount = 4
-	noKey        = ^uint64(0)
-	// confirmShare is the share of idempotent requests by which a daemon gathers
-	// evidence about a target that only others have found suspect. It ends as
-	// soon as the daemon has the few requests that a judgement needs.
-	confirmShare = 0.2
-	// manyEqual is the number of equal candidates from which two are drawn and the
-	// better rank wins; fewer are decided by rank alone.
-	manyEqual = 3
+	// unusableCost is the cost of a candidate that must not be used.
+	unusableCost = ^uint64(0)
+	// evidenceShare is the fraction of idempotent requests that a daemon sends to a
+	// target that only other daemons found suspect, until it has the few results of
+	// its own that it needs to judge the target.
+	evidenceShare = 0.2
+	// twoChoicesMin is the number of candidates of equal cost from which on the better
+	// rank of two random ones wins; among fewer the best rank wins.
+	twoChoicesMin = 3
 )
 
-// Pick returns the position of the best candidate with a free slot; ok is false
-// if there is none. draw is a uniformly distributed random number.
-func Pick(cands []Candidate, idempotent bool, draw uint64) (pos int, ok bool) {
-	best, equal, pos := noKey, 0, -1
+// Pick returns the index of the best candidate with a free slot; ok is false
+// if there is none. random is a uniformly distributed random number.
+func Pick(cands []Candidate, idempotent bool, random uint64) (pos int, ok bool) {
+	lowest, ties, pos := unusableCost, 0, -1
 	for i := range cands {
 		c := &cands[i]
-		k := c.key(idempotent, draw)
+		cost := c.cost(idempotent, random)
 		switch {
-		case k > best || k == noKey:
+		case cost > lowest || cost == unusableCost:
 			continue
-		case k < best:
-			best, equal, pos = k, 1, i
+		case cost < lowest:
+			lowest, ties, pos = cost, 1, i
 		default:
-			equal++
+			ties++
 			if c.Rank < cands[pos].Rank {
 				pos = i
 			}
 		}
 	}
-	if equal < manyEqual {
+	if ties < twoChoicesMin {
 		return pos, pos >= 0
 	}
-	return drawTwo(cands, idempotent, draw, best, equal), true
+	return bestOfTwoRandom(cands, idempotent, random, lowest, ties), true
 }
 
-// drawTwo draws two of the equal candidates with replacement and returns the one
-// with the lower rank.
-func drawTwo(cands []Candidate, idempotent bool, draw, best uint64, equal int) int {
-	h := mix(draw)
-	first, _ := bits.Mul64(h, uint64(equal))
-	second, _ := bits.Mul64(mix(h), uint64(equal))
-	found, seen := -1, uint64(0)
+// bestOfTwoRandom draws two of the candidates with the lowest cost at random, with
+// replacement, and returns the index of the one with the lower rank.
+func bestOfTwoRandom(cands []Candidate, idempotent bool, random, lowestCost uint64, ties int) int {
+	hash := splitMix64(random)
+	first, _ := bits.Mul64(hash, uint64(ties))
+	second, _ := bits.Mul64(splitMix64(hash), uint64(ties))
+	best, seen := -1, uint64(0)
 	for i := range cands {
-		if cands[i].key(idempotent, draw) != best {
+		if cands[i].cost(idempotent, random) != lowestCost {
 			continue
 		}
 		if seen == first || seen == second {
-			if found < 0 || cands[i].Rank < cands[found].Rank {
-				found = i
+			if best < 0 || cands[i].Rank < cands[best].Rank {
+				best = i
 			}
 		}
 		seen++
 	}
-	return found
+	return best
 }
 
-// key returns class, distance and load of the candidate in one number, lowest
-// best, or noKey if it must not be used.
-func (c *Candidate) key(idempotent bool, draw uint64) uint64 {
+// cost packs the preference class, the data centre, the quota and the load of the
+// candidate into one number; the lowest is the best. It is unusableCost if the
+// candidate must not be used.
+func (c *Candidate) cost(idempotent bool, random uint64) uint64 {
 	if c.State == Closed || c.InFlight >= c.Limit {
-		return noKey
+		return unusableCost
 	}
-	class := c.class(idempotent, draw)
-	if class == classNone {
-		return noKey
+	class := c.class(idempotent, random)
+	if class == classUnusable {
+		return unusableCost
 	}
-	k := uint64(class) << (loadBits + 2)
+	cost := uint64(class) << (loadBits + 2)
 	if c.InFlight >= c.Share {
-		k |= beyondBit
+		cost |= overQuotaBit
 	}
 	if !c.SameDataCentre {
-		k |= farBit
+		cost |= remoteBit
 	}
-	load := c.InFlight*loadUnit + c.PeerInFlight*loadUnit/peerDiscount
-	return k | uint64(load/max(c.Slots, 1))
+	load := c.InFlight*loadScale + c.PeerInFlight*loadScale/peerDiscount
+	return cost | uint64(load/max(c.Slots, 1))
 }
 
-// class places the candidate. A target in slow start competes with the ready
-// ones for the share of requests that its weight states.
-func (c *Candidate) class(idempotent bool, draw uint64) int {
-	if c.Confirm && idempotent && c.InFlight == 0 && c.drawn(draw, confirmShare) {
+// class returns the preference class of the candidate for a request. A target in
+// slow start counts as ready for the fraction of requests that Weight states.
+func (c *Candidate) class(idempotent bool, random uint64) int {
+	if c.Confirm && idempotent && c.InFlight == 0 && c.sampled(random, evidenceShare) {
 		return classTrialDue
 	}
 	switch c.State {
 	case Ready:
 		return classReady
 	case SlowStart:
-		if c.admitted(draw) {
+		if c.sampledByWeight(random) {
 			return classReady
 		}
 		return classSlowStart
 	case Trial:
-		// One trial at a time bounds the damage that a still failing target does.
+		// One trial at a time limits the failed requests if the target still fails.
 		if !idempotent || !c.TrialAllowed || c.InFlight > 0 {
-			return classNone
+			return classUnusable
 		}
-		if c.admitted(draw) {
+		if c.sampledByWeight(random) {
 			return classTrialDue
 		}
 		return classTrial
 	case Avoided:
 		return classAvoided
 	default:
-		return classNone
+		return classUnusable
 	}
 }
 
-// admitted reports true for the share of draws that Weight states; the rank makes
-// it independent between targets.
-func (c *Candidate) admitted(draw uint64) bool {
-	return c.drawn(draw, c.Weight)
+// sampledByWeight reports true for the fraction of random numbers that Weight states.
+func (c *Candidate) sampledByWeight(random uint64) bool {
+	return c.sampled(random, c.Weight)
 }
 
-// drawn reports true for the given share of draws.
-func (c *Candidate) drawn(draw uint64, share float64) bool {
+// sampled reports true for the given fraction of random numbers. Rank is mixed in, so
+// that the results of different targets are independent.
+func (c *Candidate) sampled(random uint64, fraction float64) bool {
 	const mantissa = 53
-	return float64(mix(draw^c.Rank)>>(64-mantissa))/(1<<mantissa) < share
+	return float64(splitMix64(random^c.Rank)>>(64-mantissa))/(1<<mantissa) < fraction
 }
 
-// mix is the finaliser of splitmix64.
-func mix(x uint64) uint64 {
+// splitMix64 returns the output of the SplitMix64 generator for the state x.
+func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
 	x = (x ^ (x >> 27)) * 0x94d049bb133111eb
--- a/core/choose/choose_test.go
+++ b/core/choose/choose_test.go
@@ -17,24 +17,24 @@
 	RunSpecs(t, "choose")
 }
 
-const draws = 20000
+const sampleCount = 20000
 
-// shares returns how often each candidate is picked over seeded draws; the last
-// entry counts the draws without a pick.
-func shares(cands []choose.Candidate, idempotent bool) []float64 {
+// pickRates returns the fraction of sampleCount seeded calls of Pick that each candidate
+// receives; the last element is the fraction that finds no candidate.
+func pickRates(cands []choose.Candidate, idempotent bool) []float64 {
 	rng := rand.New(rand.NewPCG(1, 2))
-	n := make([]float64, len(cands)+1)
-	for range draws {
+	rates := make([]float64, len(cands)+1)
+	for range sampleCount {
 		i, ok := choose.Pick(cands, idempotent, rng.Uint64())
 		if !ok {
 			i = len(cands)
 		}
-		n[i] += 1.0 / draws
+		rates[i] += 1.0 / sampleCount
 	}
-	return n
+	return rates
 }
 
-func cand(state choose.State, own, peers int) choose.Candidate {
+func candidate(state choose.State, own, peers int) choose.Candidate {
 	return choose.Candidate{
 		State: state, Weight: 1, SameDataCentre: true,
 		InFlight: own, PeerInFlight: peers, Limit: 2 - peers, Slots: 2,
@@ -42,69 +42,69 @@
 }
 
 var _ = Describe("Pick", func() {
-	far := func(c choose.Candidate) choose.Candidate { c.SameDataCentre = false; return c }
-	ranked := func(c choose.Candidate, r uint64) choose.Candidate { c.Rank = r; return c }
+	remote := func(c choose.Candidate) choose.Candidate { c.SameDataCentre = false; return c }
+	withRank := func(c choose.Candidate, r uint64) choose.Candidate { c.Rank = r; return c }
 
 	DescribeTable("prefers the first over the second",
 		func(a, b choose.Candidate) {
-			Expect(shares([]choose.Candidate{a, b}, true)[0]).To(BeNumerically("~", 1, 1e-9))
-			Expect(shares([]choose.Candidate{b, a}, true)[1]).To(BeNumerically("~", 1, 1e-9))
+			Expect(pickRates([]choose.Candidate{a, b}, true)[0]).To(BeNumerically("~", 1, 1e-9))
+			Expect(pickRates([]choose.Candidate{b, a}, true)[1]).To(BeNumerically("~", 1, 1e-9))
 		},
-		Entry("ready over avoided, although it is busier and farther", far(cand(choose.Ready, 1, 0)), cand(choose.Avoided, 0, 0)),
-		Entry("a free slot over none", cand(choose.Avoided, 0, 0), cand(choose.Ready, 1, 1)),
-		Entry("same data centre over less work", cand(choose.Ready, 1, 0), far(cand(choose.Ready, 0, 0))),
-		Entry("another data centre over a busy target", far(cand(choose.Ready, 1, 0)), cand(choose.Ready, 2, 0)),
-		Entry("less own work", cand(choose.Ready, 0, 0), cand(choose.Ready, 1, 0)),
-		Entry("less work of peers", cand(choose.Ready, 0, 0), cand(choose.Ready, 0, 1)),
-		Entry("the lower rank among two equals", ranked(cand(choose.Ready, 0, 0), 1), ranked(cand(choose.Ready, 0, 0), 2)),
-		Entry("anything over closed", cand(choose.Avoided, 1, 0), cand(choose.Closed, 0, 0)),
+		Entry("ready over avoided, although it is busier and farther", remote(candidate(choose.Ready, 1, 0)), candidate(choose.Avoided, 0, 0)),
+		Entry("a free slot over none", candidate(choose.Avoided, 0, 0), candidate(choose.Ready, 1, 1)),
+		Entry("same data centre over less work", candidate(choose.Ready, 1, 0), remote(candidate(choose.Ready, 0, 0))),
+		Entry("another data centre over a busy target", remote(candidate(choose.Ready, 1, 0)), candidate(choose.Ready, 2, 0)),
+		Entry("less own work", candidate(choose.Ready, 0, 0), candidate(choose.Ready, 1, 0)),
+		Entry("less work of peers", candidate(choose.Ready, 0, 0), candidate(choose.Ready, 0, 1)),
+		Entry("the lower rank among two equals", withRank(candidate(choose.Ready, 0, 0), 1), withRank(candidate(choose.Ready, 0, 0), 2)),
+		Entry("anything over closed", candidate(choose.Avoided, 1, 0), candidate(choose.Closed, 0, 0)),
 	)
 
 	It("gives a target in slow start its weight's part of a fair share", func() {
-		cands := []choose.Candidate{cand(choose.Ready, 0, 0), cand(choose.Ready, 0, 0), cand(choose.Ready, 0, 0), cand(choose.SlowStart, 0, 0)}
+		cands := []choose.Candidate{candidate(choose.Ready, 0, 0), candidate(choose.Ready, 0, 0), candidate(choose.Ready, 0, 0), candidate(choose.SlowStart, 0, 0)}
 		for i := range cands {
 			cands[i].Rank = choose.Rank("vm", fleet.TargetID(fmt.Sprint(i)))
 		}
 		cands[3].Weight = 0
-		Expect(shares(cands, true)[3]).To(BeZero())
+		Expect(pickRates(cands, true)[3]).To(BeZero())
 		cands[3].Weight = 1
-		full := shares(cands, true)[3]
+		full := pickRates(cands, true)[3]
 		cands[3].Weight = 0.1
-		Expect(shares(cands, true)[3]).To(BeNumerically("~", full/10, 0.01))
+		Expect(pickRates(cands, true)[3]).To(BeNumerically("~", full/10, 0.01))
 	})
 
 	It("uses a target in slow start when no ready one is free", func() {
-		slow := cand(choose.SlowStart, 0, 0)
+		slow := candidate(choose.SlowStart, 0, 0)
 		slow.Weight = 0
-		Expect(shares([]choose.Candidate{cand(choose.Ready, 2, 0), slow}, false)[1]).To(BeNumerically("~", 1, 1e-9))
+		Expect(pickRates([]choose.Candidate{candidate(choose.Ready, 2, 0), slow}, false)[1]).To(BeNumerically("~", 1, 1e-9))
 	})
 
 	It("sends trials only idempotent requests, one at a time, where allowed", func() {
-		trial := cand(choose.Trial, 0, 0)
+		trial := candidate(choose.Trial, 0, 0)
 		trial.Weight, trial.TrialAllowed = 0.1, true
-		Expect(shares([]choose.Candidate{cand(choose.Ready, 0, 0), trial}, true)[1]).To(BeNumerically("~", 0.1, 0.01))
-		Expect(shares([]choose.Candidate{trial}, true)[0]).To(BeNumerically("~", 1, 1e-9))
-		Expect(shares([]choose.Candidate{trial}, false)[1]).To(BeNumerically("~", 1, 1e-9), "not idempotent")
+		Expect(pickRates([]choose.Candidate{candidate(choose.Ready, 0, 0), trial}, true)[1]).To(BeNumerically("~", 0.1, 0.01))
+		Expect(pickRates([]choose.Candidate{trial}, true)[0]).To(BeNumerically("~", 1, 1e-9))
+		Expect(pickRates([]choose.Candidate{trial}, false)[1]).To(BeNumerically("~", 1, 1e-9), "not idempotent")
 		trial.InFlight = 1
-		Expect(shares([]choose.Candidate{trial}, true)[1]).To(BeNumerically("~", 1, 1e-9), "a trial is running")
+		Expect(pickRates([]choose.Candidate{trial}, true)[1]).To(BeNumerically("~", 1, 1e-9), "a trial is running")
 		trial.InFlight, trial.TrialAllowed = 0, false
-		Expect(shares([]choose.Candidate{trial}, true)[1]).To(BeNumerically("~", 1, 1e-9), "not allowed")
+		Expect(pickRates([]choose.Candidate{trial}, true)[1]).To(BeNumerically("~", 1, 1e-9), "not allowed")
 	})
 
 	It("spreads over many equals and favours the better ranks", func() {
 		var cands []choose.Candidate
 		for r := range 10 {
-			cands = append(cands, ranked(cand(choose.Ready, 0, 0), uint64(r)))
+			cands = append(cands, withRank(candidate(choose.Ready, 0, 0), uint64(r)))
 		}
-		n := shares(cands, true)
-		Expect(n[0]).To(BeNumerically("~", 0.19, 0.02))
-		Expect(n[9]).To(BeNumerically("~", 0.01, 0.005))
+		rates := pickRates(cands, true)
+		Expect(rates[0]).To(BeNumerically("~", 0.19, 0.02))
+		Expect(rates[9]).To(BeNumerically("~", 0.01, 0.005))
 	})
 
 	It("allocates nothing", func() {
 		cands := make([]choose.Candidate, 40)
 		for i := range cands {
-			cands[i] = cand(choose.Ready, 0, 0)
+			cands[i] = candidate(choose.Ready, 0, 0)
 		}
 		Expect(testing.AllocsPerRun(100, func() { choose.Pick(cands, true, 7) })).To(BeZero())
 	})
@@ -129,8 +129,9 @@
 	}
 })
 
-// A suspect target that waits for evidence still counts as capacity; closing it
-// to orders would take a service below its floor without an ejection.
+// Guards against a suspect target that receives no orders while results about it are
+// collected: it still counts as capacity, and without it a service could fall below
+// its floor although nothing was ejected.
 var _ = Describe("Confirm", func() {
 	suspect := choose.Candidate{State: choose.Ready, Confirm: true, Limit: 2, Slots: 2}
 	healthy := choose.Candidate{State: choose.Ready, SameDataCentre: true, Limit: 2, Slots: 2}
