--- a/core/limit/dispatch.go
+++ b/core/limit/dispatch.go
@@ -8,136 +8,139 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// scene is what one step of the dispatch sees. All waiters are held against the same
-// counts: a slot freed during the step would otherwise go to a waiter out of turn.
-// Whoever frees a slot starts a dispatch of its own.
-type scene struct {
+// dispatchStep holds the counts that one step of a dispatch uses. All waiters are
+// compared with the same counts, because a slot freed during the step would otherwise
+// go to a waiter out of turn. Whoever frees a slot starts another dispatch.
+type dispatchStep struct {
 	view  *view
 	now   time.Duration
 	cands []choose.Candidate
-	// lift says that this daemon has less in flight than it may always have.
-	lift bool
-	// raced says that a claim failed because of a concurrent one.
-	raced bool
+	// belowGuarantee is set if this daemon has fewer requests in flight than
+	// view.guaranteed.
+	belowGuarantee bool
+	// claimLost is set if a claim failed because of a concurrent one.
+	claimLost bool
 }
 
-// dispatch grants free slots to waiters; mu is held.
+// dispatch grants free slots to waiters. The caller holds mu.
 func (g *Gate) dispatch(now time.Duration) {
 	if g.queue.len() == 0 {
 		return
 	}
-	var room [stackTargets]choose.Candidate
+	var buf [maxStackCandidates]choose.Candidate
 	for {
-		v := g.fresh(now)
-		s := scene{view: v, now: now, cands: v.look(now, room[:0])}
-		s.lift = s.own() < v.least
-		if !g.dispatchOne(&s) && !s.raced {
+		view := g.currentView(now)
+		step := dispatchStep{view: view, now: now, cands: view.candidates(now, buf[:0])}
+		step.belowGuarantee = step.inFlight() < view.guaranteed
+		if !g.dispatchOne(&step) && !step.claimLost {
 			break
 		}
 	}
-	g.recount()
+	g.publishLengths()
 }
 
-// dispatchOne grants a slot to the first waiter in order that can use one.
-func (g *Gate) dispatchOne(s *scene) bool {
-	if g.queue.urgent() > 0 {
-		next := g.queue.next
-		served, blocked := g.dispatchBand(s, next)
-		if served || blocked {
+// dispatchOne grants a slot to the next waiter that can use one and reports whether
+// there was one. Orders and lookups alternate; batch requests get what they leave.
+func (g *Gate) dispatchOne(step *dispatchStep) bool {
+	if g.queue.interactive() > 0 {
+		first := g.queue.nextInteractive
+		served, exhausted := g.dispatchKind(step, first)
+		if served || exhausted {
 			return served
 		}
-		served, _ = g.dispatchBand(s, other(next))
+		served, _ = g.dispatchKind(step, otherInteractive(first))
 		return served
 	}
-	if g.queue.len() == 0 || s.free() <= g.reserve(s.now) {
+	if g.queue.len() == 0 || step.freeSlots() <= g.reservedSlots(step.now) {
 		return false
 	}
-	served, _ := g.dispatchBand(s, fleet.Batch)
+	served, _ := g.dispatchKind(step, fleet.Batch)
 	return served
 }
 
-// dispatchBand grants a slot to the first waiter of the kind that can use one and be
-// in time; those passed over are refused. If all would be late, the first of them is
-// served, so that a wrong estimate of the service time is corrected. blocked says
-// that no waiter of any kind can use a slot, so that the search may end.
-func (g *Gate) dispatchBand(s *scene, k fleet.Kind) (served, blocked bool) {
+// dispatchKind grants a slot to the first waiter of the kind that can use one and still
+// meet its deadline, and refuses the waiters before it that cannot. If none is expected
+// to meet its deadline, the first one is served anyway, so that a wrong estimate of the
+// service time is corrected. exhausted is set if no waiter of any kind can use a slot,
+// so that the search may end.
+func (g *Gate) dispatchKind(step *dispatchStep, k fleet.Kind) (served, exhausted bool) {
 	var late []*waiter
-	service := g.estimate.service(k)
-	for w := range g.queue.bands[k].all() {
-		if g.until(w.ask)-s.now <= service {
+	serviceTime := g.estimate.serviceTime(k)
+	for w := range g.queue.kinds[k].inTurnOrder() {
+		if g.deadlineOf(w.req)-step.now <= serviceTime {
 			late = append(late, w)
 			continue
 		}
-		if g.serve(s, w) {
-			g.refuseLate(late, s.now)
+		if g.grantTo(step, w) {
+			g.refuseLate(late, step.now)
 			return true, false
 		}
-		if s.raced || (w.ask.Idempotent && len(w.ask.Exclude) == 0) {
+		if step.claimLost || (w.req.Idempotent && len(w.req.Exclude) == 0) {
 			return false, true
 		}
 	}
 	for _, w := range late {
-		if g.until(w.ask) > s.now && g.serve(s, w) {
+		if g.deadlineOf(w.req) > step.now && g.grantTo(step, w) {
 			return true, false
 		}
 	}
 	return false, false
 }
 
-// serve grants w a slot if one is free for it.
-func (g *Gate) serve(s *scene, w *waiter) bool {
-	t := g.take(s, w.ask)
-	if t == nil {
+// grantTo grants w a slot if one is free for it.
+func (g *Gate) grantTo(step *dispatchStep, w *waiter) bool {
+	usage := g.claimFor(step, w.req)
+	if usage == nil {
 		return false
 	}
-	g.queue.serve(w)
-	w.grant = g.grant(t, kindOf(w.ask), s.now)
+	g.queue.removeServed(w)
+	w.grant = g.newGrant(usage, kindOf(w.req), step.now)
 	close(w.done)
 	return true
 }
 
-// refuseLate refuses waiters that were passed over.
+// refuseLate refuses waiters that cannot meet their deadlines.
 func (g *Gate) refuseLate(late []*waiter, now time.Duration) {
 	for _, w := range late {
 		g.counts.refusedLate.Add(1)
-		g.refuse(w, fault.New(fault.DeadlineExceeded, "deadline cannot be met any more: %v left", g.until(w.ask)-now).
-			WithRetryAfter(bounded(g.need(w))))
+		g.refuse(w, fault.New(fault.DeadlineExceeded, "deadline cannot be met any more: %v left", g.deadlineOf(w.req)-now).
+			WithRetryAfter(clampRetryAfter(g.expectedLatency(w))))
 	}
 }
 
-// take claims a slot for ask, whatever the peers report if this daemon has less in
-// flight than it may always have.
-func (g *Gate) take(s *scene, ask *Ask) *slot {
-	var room [stackTargets]choose.Candidate
-	i, limit := g.pick(s.view, ask, append(room[:0], s.cands...))
-	if i < 0 && s.lift {
-		i, limit = g.pick(s.view, ask, s.lifted(room[:0]))
+// claimFor claims a slot for req, or returns nil. While this daemon is below its
+// guarantee, the load that peers report does not count.
+func (g *Gate) claimFor(step *dispatchStep, req *Ask) *targetUsage {
+	var buf [maxStackCandidates]choose.Candidate
+	pos, limit := g.pick(step.view, req, append(buf[:0], step.cands...))
+	if pos < 0 && step.belowGuarantee {
+		pos, limit = g.pick(step.view, req, step.guaranteedCandidates(buf[:0]))
 	}
-	if i < 0 {
+	if pos < 0 {
 		return nil
 	}
-	t := s.view.entries[i].slot
-	if !t.claim(limit) {
-		s.raced = true
+	usage := step.view.entries[pos].usage
+	if !usage.claim(limit) {
+		step.claimLost = true
 		return nil
 	}
-	return t
+	return usage
 }
 
-// lifted returns the candidates with the first slot of each target open whatever
-// the peers report.
-func (s *scene) lifted(cands []choose.Candidate) []choose.Candidate {
+// guaranteedCandidates returns the candidates with a limit of at least one slot at each
+// target that has not shed requests recently, regardless of the load that peers report.
+func (s *dispatchStep) guaranteedCandidates(cands []choose.Candidate) []choose.Candidate {
 	cands = append(cands, s.cands...)
 	for i := range cands {
-		if !s.view.entries[i].shed(s.now) {
+		if !s.view.entries[i].shedRecently(s.now) {
 			cands[i].Limit = min(max(cands[i].Limit, 1), cands[i].Slots)
 		}
 	}
 	return cands
 }
 
-// own is this daemon's work at the targets of the scene.
-func (s *scene) own() int {
+// inFlight returns the number of requests that this daemon has in flight at all targets.
+func (s *dispatchStep) inFlight() int {
 	n := 0
 	for i := range s.cands {
 		n += s.cands[i].InFlight
@@ -145,8 +148,9 @@
 	return n
 }
 
-// free is the number of slots that this daemon may still use without the lift.
-func (s *scene) free() int {
+// freeSlots returns the number of slots that this daemon may still use, not counting
+// the guarantee.
+func (s *dispatchStep) freeSlots() int {
 	n := 0
 	for i := range s.cands {
 		c := &s.cands[i]
@@ -157,9 +161,10 @@
 	return n
 }
 
-// reserve is the number of free slots that batch requests leave.
-func (g *Gate) reserve(now time.Duration) int {
-	if int64(now)-g.lastUrgent.Load() < int64(urgentRecent) {
+// reservedSlots returns the number of free slots that batch requests must leave for
+// orders and lookups.
+func (g *Gate) reservedSlots(now time.Duration) int {
+	if int64(now)-g.lastInteractive.Load() < int64(reservePeriod) {
 		return 1
 	}
 	return 0
--- a/core/limit/doc.go
+++ b/core/limit/doc.go
@@ -1,5 +1,6 @@
-// Package limit holds the gate of a carried service: the slots of its targets in
-// use by this daemon, the peers' work as last reported, and a short bounded queue
-// that is fair among kinds and workspaces and refuses early what cannot make its
-// deadline.
+// Package limit limits the concurrent requests to the targets of a service. A [Gate]
+// counts the slots that this daemon uses at each target, takes the load that peers
+// report into account, and holds requests that find no free slot in a short bounded
+// queue. The queue is fair among request kinds and workspaces and refuses a request
+// at once if it cannot meet its deadline.
 package limit
--- a/core/limit/estimate.go
+++ b/core/limit/estimate.go
@@ -7,53 +7,56 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// smoothing is the share of a new sample in a running mean, as a divisor.
-const smoothing = 8
+// smoothingDivisor is the reciprocal of the weight of a new sample in a running mean.
+const smoothingDivisor = 8
 
-// average is a running mean of durations; 0 means no sample yet.
-type average struct{ ns atomic.Int64 }
+// runningMean is an exponentially weighted moving average of durations; 0 means that
+// there is no sample yet.
+type runningMean struct{ ns atomic.Int64 }
 
-func (a *average) add(d time.Duration) {
+func (m *runningMean) add(d time.Duration) {
 	sample := max(int64(d), 1)
 	for {
-		old := a.ns.Load()
+		old := m.ns.Load()
 		next := sample
 		if old > 0 {
-			next = old + (sample-old)/smoothing
+			next = old + (sample-old)/smoothingDivisor
 		}
-		if a.ns.CompareAndSwap(old, next) {
+		if m.ns.CompareAndSwap(old, next) {
 			return
 		}
 	}
 }
 
-func (a *average) value() time.Duration {
-	return time.Duration(a.ns.Load())
+func (m *runningMean) value() time.Duration {
+	return time.Duration(m.ns.Load())
 }
 
-// estimate holds the measured times of a service.
-type estimate struct {
-	// held is how long a slot is in use, whatever the result; it sets the pace of the queue.
-	held average
-	// kinds is the service time of complete responses by kind.
-	kinds [fleet.Batch + 1]average
+// serviceEstimate holds the measured times of a service.
+type serviceEstimate struct {
+	// holdTime is how long a slot is in use, whatever the result. It determines how
+	// fast the queue moves.
+	holdTime runningMean
+	// serviceTimes are the service times of complete responses by request kind.
+	serviceTimes [fleet.Batch + 1]runningMean
 }
 
-func (e *estimate) heldFor(d time.Duration) { e.held.add(d) }
+func (e *serviceEstimate) addHoldTime(d time.Duration) { e.holdTime.add(d) }
 
-func (e *estimate) served(k fleet.Kind, d time.Duration) {
-	e.kinds[min(k, fleet.Batch)].add(d)
+func (e *serviceEstimate) addServiceTime(k fleet.Kind, d time.Duration) {
+	e.serviceTimes[min(k, fleet.Batch)].add(d)
 }
 
-// service returns the expected service time of a kind, 0 if nothing is measured.
-func (e *estimate) service(k fleet.Kind) time.Duration {
-	if d := e.kinds[min(k, fleet.Batch)].value(); d > 0 {
+// serviceTime returns the expected service time of a kind. It is the hold time if the
+// kind has no sample yet, and 0 without any sample.
+func (e *serviceEstimate) serviceTime(k fleet.Kind) time.Duration {
+	if d := e.serviceTimes[min(k, fleet.Batch)].value(); d > 0 {
 		return d
 	}
-	return e.held.value()
+	return e.holdTime.value()
 }
 
-// Expected returns the measured service time of a kind, 0 if nothing is measured yet.
+// Expected returns the expected service time of a kind, 0 without any sample.
 func (g *Gate) Expected(k fleet.Kind) time.Duration {
-	return g.estimate.service(k)
+	return g.estimate.serviceTime(k)
 }
--- a/core/limit/gate.go
+++ b/core/limit/gate.go
@@ -13,53 +13,59 @@
 )
 
 const (
-	// shedPause is how long a shed response halves the share of its target.
-	shedPause = time.Second
-	// urgentRecent is how long after an order or lookup one slot is kept free of batch.
-	urgentRecent = time.Second
-	// urgentStamp is the resolution of the last urgent arrival; a store on each
-	// request would move the cache line between cores.
-	urgentStamp = 10 * time.Millisecond
-	// stackTargets is the number of candidates that fit on the stack of a request.
-	stackTargets = 48
+	// shedBackoff is how long the limit of a target stays halved after it has shed a
+	// request.
+	shedBackoff = time.Second
+	// reservePeriod is how long after the arrival of an order or lookup one slot is
+	// kept free of batch requests.
+	reservePeriod = time.Second
+	// arrivalResolution is the resolution at which the last arrival of an order or
+	// lookup is recorded. A store on each request would move the cache line between
+	// cores.
+	arrivalResolution = 10 * time.Millisecond
+	// maxStackCandidates is the number of candidates up to which their slice is kept
+	// on the stack.
+	maxStackCandidates = 48
 )
 
-// Ask describes a request that needs a slot of a target.
+// Ask describes a request that needs a slot at a target.
 type Ask struct {
 	Workspace  fleet.WorkspaceID
 	Kind       fleet.Kind
 	Idempotent bool
 	// Deadline is the deadline of the request; zero means none.
 	Deadline time.Time
-	// Exclude names targets already tried for the request.
+	// Exclude names the targets that were already tried for the request.
 	Exclude []fleet.TargetID
-	// NoWait refuses the request with NoTarget if no slot is free at once.
+	// NoWait refuses the request with NoTarget, instead of queueing it, if no slot is
+	// free. It has no effect on batch requests.
 	NoWait bool
 }
 
-// Gate grants slots of the targets of one carried service. It is safe for
-// concurrent use.
+// Gate is the concurrency limiter of one service: it grants the slots of its targets.
+// It is safe for concurrent use.
 type Gate struct {
-	daemon fleet.VMID
-	seed   uint64
-	born   time.Time
-	view   atomic.Pointer[view]
-
-	draws      atomic.Uint64
-	lastUrgent atomic.Int64
-	// urgent and waiting count waiting orders and lookups, and all waiting requests.
-	urgent  atomic.Int64
-	waiting atomic.Int64
-
-	estimate estimate
+	daemon  fleet.VMID
+	seed    uint64
+	created time.Time
+	view    atomic.Pointer[view]
+
+	randomState     atomic.Uint64
+	lastInteractive atomic.Int64
+	// waitingInteractive is the number of orders and lookups in the queue, and waiting
+	// the number of all requests in it. They are read without mu.
+	waitingInteractive atomic.Int64
+	waiting            atomic.Int64
+
+	estimate serviceEstimate
 	counts   counts
 
 	mu          sync.Mutex
 	targets     []Target
-	centres     map[fleet.VMID]fleet.DataCentre
+	dataCentres map[fleet.VMID]fleet.DataCentre
 	queueLength int
-	slots       map[fleet.TargetID]*slot
-	peers       map[fleet.VMID]*peer
+	usage       map[fleet.TargetID]*targetUsage
+	peers       map[fleet.VMID]*peerReport
 	queue       queue
 }
 
@@ -71,95 +77,95 @@
 	return func(g *Gate) { g.seed = seed }
 }
 
-// WithSnapshot sets the first targets.
+// WithSnapshot sets the initial targets.
 func WithSnapshot(s *Snapshot) Option {
 	return func(g *Gate) { g.Update(s) }
 }
 
-// New returns the gate of one service on a daemon. Without a snapshot it refuses
-// all requests.
+// New returns a gate for one service on a daemon. It refuses all requests until it has
+// received a snapshot.
 func New(daemon fleet.VMID, options ...Option) *Gate {
 	g := &Gate{
-		daemon: daemon,
-		born:   time.Now(),
-		slots:  make(map[fleet.TargetID]*slot),
-		peers:  make(map[fleet.VMID]*peer),
+		daemon:  daemon,
+		created: time.Now(),
+		usage:   make(map[fleet.TargetID]*targetUsage),
+		peers:   make(map[fleet.VMID]*peerReport),
 	}
-	g.lastUrgent.Store(-int64(urgentRecent))
-	g.view.Store(&view{until: never, queueLength: DefaultQueueLength})
+	g.lastInteractive.Store(-int64(reservePeriod))
+	g.view.Store(&view{validUntil: never, queueLength: DefaultQueueLength})
 	for _, o := range options {
 		o(g)
 	}
 	return g
 }
 
-// now is the time of the gate's clock, which is monotonic.
+// now returns the monotonic time since the gate was created.
 func (g *Gate) now() time.Duration {
-	return time.Since(g.born)
+	return time.Since(g.created)
 }
 
-// Acquire returns a grant of one slot, waiting for it in the queue if none is free.
+// Acquire returns a grant for one slot. If none is free, the request waits in the queue.
 // Errors are of the kinds NoTarget, QueueFull, DeadlineExceeded and CallerGone; the
 // outcome of each is not-run. A grant must be released.
-func (g *Gate) Acquire(ctx context.Context, ask Ask) (*Grant, error) {
+func (g *Gate) Acquire(ctx context.Context, req Ask) (*Grant, error) {
 	if ctx.Err() != nil {
-		return nil, g.gone(ctx)
+		return nil, g.contextError(ctx)
 	}
-	if d, ok := ctx.Deadline(); ok && (ask.Deadline.IsZero() || d.Before(ask.Deadline)) {
-		ask.Deadline = d
+	if d, ok := ctx.Deadline(); ok && (req.Deadline.IsZero() || d.Before(req.Deadline)) {
+		req.Deadline = d
 	}
 	now := g.now()
-	if ask.Kind == fleet.Batch {
-		return g.enter(ctx, ask, now)
+	if req.Kind == fleet.Batch {
+		return g.acquireQueued(ctx, req, now)
 	}
-	if int64(now)-g.lastUrgent.Load() > int64(urgentStamp) {
-		g.lastUrgent.Store(int64(now))
+	if int64(now)-g.lastInteractive.Load() > int64(arrivalResolution) {
+		g.lastInteractive.Store(int64(now))
 	}
-	if g.urgent.Load() == 0 {
-		if gr := g.fast(&ask, now); gr != nil {
+	if g.waitingInteractive.Load() == 0 {
+		if gr := g.tryAcquire(&req, now); gr != nil {
 			return gr, nil
 		}
 	}
-	if ask.NoWait {
+	if req.NoWait {
 		return nil, noTarget()
 	}
-	return g.enter(ctx, ask, now)
+	return g.acquireQueued(ctx, req, now)
 }
 
-// fast grants a free slot without the lock, or returns nil.
-func (g *Gate) fast(ask *Ask, now time.Duration) *Grant {
-	if g.until(ask) <= now {
+// tryAcquire grants a free slot without taking mu, or returns nil.
+func (g *Gate) tryAcquire(req *Ask, now time.Duration) *Grant {
+	if g.deadlineOf(req) <= now {
 		return nil
 	}
 	for {
 		v := g.view.Load()
-		if now >= v.until {
+		if now >= v.validUntil {
 			return nil
 		}
-		var room [stackTargets]choose.Candidate
-		i, limit := g.pick(v, ask, v.look(now, room[:0]))
-		if i < 0 {
+		var buf [maxStackCandidates]choose.Candidate
+		pos, limit := g.pick(v, req, v.candidates(now, buf[:0]))
+		if pos < 0 {
 			return nil
 		}
-		s := v.entries[i].slot
-		if !s.claim(limit) {
+		usage := v.entries[pos].usage
+		if !usage.claim(limit) {
 			continue
 		}
 		if g.view.Load() == v {
-			return g.grant(s, ask.Kind, now)
+			return g.newGrant(usage, req.Kind, now)
 		}
-		g.giveBack(s)
+		g.unclaim(usage)
 	}
 }
 
-// giveBack undoes a claim.
-func (g *Gate) giveBack(s *slot) {
-	s.inFlight.Add(-1)
-	g.wake()
+// unclaim undoes a claim.
+func (g *Gate) unclaim(usage *targetUsage) {
+	usage.inFlight.Add(-1)
+	g.dispatchWaiting()
 }
 
-// wake offers freed slots to the queue.
-func (g *Gate) wake() {
+// dispatchWaiting grants free slots to the queue if requests wait in it.
+func (g *Gate) dispatchWaiting() {
 	if g.waiting.Load() == 0 {
 		return
 	}
@@ -168,63 +174,66 @@
 	g.dispatch(g.now())
 }
 
-// look appends the candidates of the view at this moment.
-func (v *view) look(now time.Duration, cands []choose.Candidate) []choose.Candidate {
+// candidates appends the targets of the view as candidates with their current counts.
+func (v *view) candidates(now time.Duration, cands []choose.Candidate) []choose.Candidate {
 	for i := range v.entries {
 		cands = append(cands, v.entries[i].candidate(now))
 	}
 	return cands
 }
 
-// pick returns the position of the best candidate for ask and its limit, or -1.
-func (g *Gate) pick(v *view, ask *Ask, cands []choose.Candidate) (pos, limit int) {
-	if len(ask.Exclude) > 0 {
+// pick returns the index of the best candidate for req and its limit, or -1.
+func (g *Gate) pick(v *view, req *Ask, cands []choose.Candidate) (pos, limit int) {
+	if len(req.Exclude) > 0 {
 		for i := range cands {
-			// A request that failed once is not spent on a trial, or on evidence, as well.
+			// A request that failed once is not put at risk again as a trial or to
+			// collect evidence about a suspect target.
 			cands[i].Confirm = false
-			if cands[i].State == choose.Trial || slices.Contains(ask.Exclude, v.entries[i].slot.id) {
+			if cands[i].State == choose.Trial || slices.Contains(req.Exclude, v.entries[i].usage.id) {
 				cands[i].State = choose.Closed
 			}
 		}
 	}
-	i, ok := choose.Pick(cands, ask.Idempotent, g.draw())
+	i, ok := choose.Pick(cands, req.Idempotent, g.nextRandom())
 	if !ok {
 		return -1, 0
 	}
 	return i, cands[i].Limit
 }
 
-// draw returns the next random number of the gate's sequence.
-func (g *Gate) draw() uint64 {
-	const golden = 0x9e3779b97f4a7c15
-	return g.seed + g.draws.Add(golden)
+// nextRandom returns the next input for choose.Pick, which mixes it into a uniformly
+// distributed number.
+func (g *Gate) nextRandom() uint64 {
+	const increment = 0x9e3779b97f4a7c15
+	return g.seed + g.randomState.Add(increment)
 }
 
-// usable reports whether any target of the view may ever serve ask.
-func (v *view) usable(ask *Ask) bool {
+// canServe reports whether any target of the view may serve req once it has a free slot.
+func (v *view) canServe(req *Ask) bool {
 	for i := range v.entries {
 		e := &v.entries[i]
 		switch {
-		case e.cand.State == choose.Closed || e.cand.Slots <= 0:
+		case e.base.State == choose.Closed || e.base.Slots <= 0:
 			continue
-		case e.cand.State == choose.Trial && (!ask.Idempotent || !e.cand.TrialAllowed || len(ask.Exclude) > 0):
+		case e.base.State == choose.Trial && (!req.Idempotent || !e.base.TrialAllowed || len(req.Exclude) > 0):
 			continue
-		case !slices.Contains(ask.Exclude, e.slot.id):
+		case !slices.Contains(req.Exclude, e.usage.id):
 			return true
 		}
 	}
 	return false
 }
 
-// until is the deadline of ask on the gate's clock.
-func (g *Gate) until(ask *Ask) time.Duration {
-	if ask.Deadline.IsZero() {
+// deadlineOf returns the deadline of req on the gate's clock, or never.
+func (g *Gate) deadlineOf(req *Ask) time.Duration {
+	if req.Deadline.IsZero() {
 		return never
 	}
-	return ask.Deadline.Sub(g.born)
+	return req.Deadline.Sub(g.created)
 }
 
-func (g *Gate) gone(ctx context.Context) error {
+// contextError counts a request whose context ended and returns its error.
+func (g *Gate) contextError(ctx context.Context) error {
 	if ctx.Err() == context.DeadlineExceeded {
 		g.counts.refusedLate.Add(1)
 		return fault.Wrap(context.Cause(ctx), fault.DeadlineExceeded, "deadline passed before a slot was free")
--- a/core/limit/grant.go
+++ b/core/limit/grant.go
@@ -7,39 +7,41 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Result says how the work under a grant ended.
+// Result says how the request under a grant ended.
 type Result uint8
 
 // The results of a grant.
 const (
-	// Served: the target gave a complete response; the time held is a service time.
+	// Served means that the target sent a complete response. The time for which the
+	// slot was held counts as a service time.
 	Served Result = iota
-	// Failed: the attempt failed.
+	// Failed means that the attempt failed. The time counts as a hold time only.
 	Failed
-	// Shed: the target refused the work for its load.
+	// Shed means that the target refused the request because of its load.
 	Shed
-	// Unused: nothing was sent, or the caller left; the time held says nothing.
+	// Unused means that nothing was sent or that the caller disconnected. The time for
+	// which the slot was held is not measured.
 	Unused
 )
 
-// Grant is the right to use one slot of a target.
+// Grant is the right to use one slot of a target until Release.
 type Grant struct {
 	// Target names the target whose slot was granted.
 	Target fleet.TargetID
 	// Waited is the time spent in the queue.
 	Waited   time.Duration
 	gate     *Gate
-	slot     *slot
+	usage    *targetUsage
 	start    time.Duration
 	kind     fleet.Kind
 	released atomic.Bool
 }
 
-// grant hands out a slot that is claimed already.
-func (g *Gate) grant(s *slot, kind fleet.Kind, now time.Duration) *Grant {
+// newGrant returns a grant for a slot that is already claimed.
+func (g *Gate) newGrant(usage *targetUsage, kind fleet.Kind, now time.Duration) *Grant {
 	g.counts.granted.Add(1)
-	s.worked.Add(-int64(now))
-	return &Grant{Target: s.id, gate: g, slot: s, kind: kind, start: now}
+	usage.workOffset.Add(-int64(now))
+	return &Grant{Target: usage.id, gate: g, usage: usage, kind: kind, start: now}
 }
 
 // Release frees the slot. Calls after the first have no effect.
@@ -52,15 +54,15 @@
 	held := now - gr.start
 	switch r {
 	case Served:
-		g.estimate.served(gr.kind, held)
-		g.estimate.heldFor(held)
+		g.estimate.addServiceTime(gr.kind, held)
+		g.estimate.addHoldTime(held)
 	case Failed:
-		g.estimate.heldFor(held)
+		g.estimate.addHoldTime(held)
 	case Shed:
 		g.counts.shed.Add(1)
-		gr.slot.shedUntil.Store(int64(now + shedPause))
+		gr.usage.shedUntil.Store(int64(now + shedBackoff))
 	}
-	gr.slot.worked.Add(int64(now))
-	gr.slot.inFlight.Add(-1)
-	g.wake()
+	gr.usage.workOffset.Add(int64(now))
+	gr.usage.inFlight.Add(-1)
+	g.dispatchWaiting()
 }
--- a/core/limit/peers.go
+++ b/core/limit/peers.go
@@ -9,116 +9,121 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Load is the work of one daemon at one target, in requests in flight.
+// Load is the number of requests that one daemon has in flight at one target.
 type Load struct {
 	Target   fleet.TargetID `json:"target"`
 	InFlight float64        `json:"in-flight"`
 }
 
 const (
-	// peerFresh is how long a report counts in full: three report intervals
-	// of 3 s, after which the peer is unheard.
-	peerFresh = 9 * time.Second
-	// peerHalving is the time in which the share of an unheard peer halves.
-	peerHalving = 2 * time.Second
-	// peerGone is the age at which a report is dropped; by then it counts 1/8.
-	peerGone = peerFresh + 3*peerHalving
-	// meanWindow is the least time over which the reported mean is taken; it is shorter
-	// than the interval of the reports, also while a target is suspect.
-	meanWindow = 900 * time.Millisecond
-	// leastReported is the least mean that is worth a row.
-	leastReported = 1.0 / 32
-	// idlePeers is the mean work below which the peers do not keep a target busy.
-	idlePeers = 0.5
-	// never lies after any time of the gate's clock.
+	// reportFresh is how long a report counts in full: three report intervals of 3 s.
+	// After that the peer counts as silent.
+	reportFresh = 9 * time.Second
+	// reportHalfLife is the time in which the last report of a silent peer loses half
+	// of its weight.
+	reportHalfLife = 2 * time.Second
+	// reportMaxAge is the age at which a report is dropped; by then it counts 1/8.
+	reportMaxAge = reportFresh + 3*reportHalfLife
+	// minMeanWindow is the shortest time over which the mean of the requests in flight
+	// is taken. It is shorter than the interval of the reports, also of the shorter
+	// interval while a target is suspect.
+	minMeanWindow = 900 * time.Millisecond
+	// minReportedMean is the lowest mean that is reported to the peers.
+	minReportedMean = 1.0 / 32
+	// peersIdleBelow is the mean of the peers' requests in flight at a target below
+	// which they do not keep it busy.
+	peersIdleBelow = 0.5
+	// never is later than any time of the gate's clock.
 	never = time.Duration(math.MaxInt64)
 )
 
-// peer is the last report of one peer; it is immutable.
-type peer struct {
-	at    time.Duration
-	loads []Load
+// peerReport is the last report of one peer; it is immutable.
+type peerReport struct {
+	madeAt time.Duration
+	loads  []Load
 }
 
-// shares is the work of all peers by target.
-type shares struct {
-	work map[fleet.TargetID]float64
-	// members are this daemon and the peers whose reports still count, in order.
-	members []fleet.VMID
-	until   time.Duration
+// peerLoads holds the sums of the loads that the peers report.
+type peerLoads struct {
+	byTarget map[fleet.TargetID]float64
+	// members are this daemon and the peers whose reports still count, sorted.
+	members    []fleet.VMID
+	validUntil time.Duration
 }
 
-// SetPeer replaces the work that a peer reports. Reports older than the last one
-// are ignored; one from the future counts as made now.
+// SetPeer stores the load that a peer reports, in place of its last report. A report
+// older than the last one is ignored, and one from the future counts as made now.
 func (g *Gate) SetPeer(vm fleet.VMID, loads []Load, at time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	p := &peer{at: min(at.Sub(g.born), now), loads: slices.Clone(loads)}
-	if old, ok := g.peers[vm]; ok && old.at > p.at {
+	p := &peerReport{madeAt: min(at.Sub(g.created), now), loads: slices.Clone(loads)}
+	if old, ok := g.peers[vm]; ok && old.madeAt > p.madeAt {
 		return
 	}
 	g.peers[vm] = p
-	g.rebuild(now)
+	g.rebuildView(now)
 	g.dispatch(now)
 }
 
-// DropPeer forgets a peer that has left.
+// DropPeer removes the report of a peer that no longer serves the service.
 func (g *Gate) DropPeer(vm fleet.VMID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.peers, vm)
 	now := g.now()
-	g.rebuild(now)
+	g.rebuildView(now)
 	g.dispatch(now)
 }
 
-// shares adds up the reports that still count and forgets the others; mu is held.
-func (g *Gate) shares(now time.Duration) shares {
-	s := shares{work: make(map[fleet.TargetID]float64, len(g.targets)), until: never}
+// sumPeerLoads adds up the reports that still count and deletes the others. The caller
+// holds mu.
+func (g *Gate) sumPeerLoads(now time.Duration) peerLoads {
+	sum := peerLoads{byTarget: make(map[fleet.TargetID]float64, len(g.targets)), validUntil: never}
 	for vm, p := range g.peers {
-		age := now - p.at
-		if age >= peerGone {
+		age := now - p.madeAt
+		if age >= reportMaxAge {
 			delete(g.peers, vm)
 			continue
 		}
-		s.members = append(s.members, vm)
-		s.until = min(s.until, p.at+nextDecay(age))
+		sum.members = append(sum.members, vm)
+		sum.validUntil = min(sum.validUntil, p.madeAt+nextDecay(age))
 		for _, l := range p.loads {
 			if l.InFlight > 0 {
-				s.work[l.Target] += math.Ldexp(l.InFlight, -halvings(age))
+				sum.byTarget[l.Target] += math.Ldexp(l.InFlight, -halvings(age))
 			}
 		}
 	}
-	s.members = append(s.members, g.daemon)
-	slices.Sort(s.members)
-	return s
+	sum.members = append(sum.members, g.daemon)
+	slices.Sort(sum.members)
+	return sum
 }
 
-// halvings is the number of times a share of this age is halved.
+// halvings returns how many times the load in a report of this age is halved.
 func halvings(age time.Duration) int {
-	if age < peerFresh {
+	if age < reportFresh {
 		return 0
 	}
-	return 1 + int((age-peerFresh)/peerHalving)
+	return 1 + int((age-reportFresh)/reportHalfLife)
 }
 
-// nextDecay is the age at which a share of this age changes next.
+// nextDecay returns the age at which a report of this age is halved again.
 func nextDecay(age time.Duration) time.Duration {
-	return peerFresh + time.Duration(halvings(age))*peerHalving
+	return reportFresh + time.Duration(halvings(age))*reportHalfLife
 }
 
-// InFlight returns this daemon's work by target for the report to the peers, as the
-// mean over the time since the last call. A report is up to one interval old when it
-// is used, so the work at one instant would say little about short requests.
-// Targets without work are omitted; the order is by target.
+// InFlight returns the number of requests that this daemon has in flight at each target
+// for the report to the peers, as the mean over the time since the last call. A report
+// is up to one interval old when it is used, so the number at one moment would say
+// little about short requests. Targets without load are omitted; the result is sorted
+// by target. Calls less than minMeanWindow apart return the same means.
 func (g *Gate) InFlight() []Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	loads := make([]Load, 0, len(g.slots))
-	for id, s := range g.slots {
-		if mean := s.sample(now); mean >= leastReported {
+	loads := make([]Load, 0, len(g.usage))
+	for id, u := range g.usage {
+		if mean := u.sampleMean(now); mean >= minReportedMean {
 			loads = append(loads, Load{Target: id, InFlight: mean})
 		}
 	}
@@ -128,13 +133,13 @@
 	return loads
 }
 
-// InUse returns the slots in use by this daemon at this moment, by target.
+// InUse returns the number of slots that this daemon uses now, by target.
 func (g *Gate) InUse() map[fleet.TargetID]int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	used := make(map[fleet.TargetID]int, len(g.slots))
-	for id, s := range g.slots {
-		if n := s.inFlight.Load(); n > 0 {
+	used := make(map[fleet.TargetID]int, len(g.usage))
+	for id, u := range g.usage {
+		if n := u.inFlight.Load(); n > 0 {
 			used[id] = int(n)
 		}
 	}
--- a/core/limit/queue.go
+++ b/core/limit/queue.go
@@ -9,41 +9,44 @@
 
 // waiter is one request in the queue.
 type waiter struct {
-	ask  *Ask
-	lane *lane
+	req   *Ask
+	queue *workspaceQueue
 	// done is closed when grant or err is set.
 	done  chan struct{}
 	grant *Grant
 	err   error
 }
 
-// lane holds the waiting requests of one workspace and kind, oldest first.
-type lane struct {
+// workspaceQueue holds the waiting requests of one workspace and kind, oldest first.
+type workspaceQueue struct {
 	workspace fleet.WorkspaceID
 	waiters   []*waiter
 }
 
-// band holds the waiting requests of one kind. The lanes are in the order of their
-// turns; a lane moves to the end when one of its requests is served.
-type band struct {
-	lanes []*lane
-	count int
+// kindQueue holds the waiting requests of one kind. The queues of the workspaces take
+// turns in the order of the slice; a queue moves to the end when one of its requests is
+// served.
+type kindQueue struct {
+	queues []*workspaceQueue
+	count  int
 }
 
-// queue is the bounded queue of a gate. Empty lanes are removed, so its memory is
-// bounded by the number of waiting requests.
+// queue is the bounded queue of a gate. Orders and lookups are the interactive kinds:
+// they take turns with each other and go before batch requests. Empty queues of
+// workspaces are removed, so that the memory is bounded by the number of waiting
+// requests.
 type queue struct {
-	bands [fleet.Batch + 1]band
-	// next is the urgent kind whose turn it is.
-	next fleet.Kind
+	kinds [fleet.Batch + 1]kindQueue
+	// nextInteractive is the interactive kind whose turn it is.
+	nextInteractive fleet.Kind
 }
 
-func kindOf(ask *Ask) fleet.Kind {
-	return min(ask.Kind, fleet.Batch)
+func kindOf(req *Ask) fleet.Kind {
+	return min(req.Kind, fleet.Batch)
 }
 
-// other returns the urgent kind that alternates with k.
-func other(k fleet.Kind) fleet.Kind {
+// otherInteractive returns the interactive kind that alternates with k.
+func otherInteractive(k fleet.Kind) fleet.Kind {
 	if k == fleet.Order {
 		return fleet.Lookup
 	}
@@ -51,70 +54,71 @@
 }
 
 func (q *queue) len() int {
-	return q.urgent() + q.bands[fleet.Batch].count
+	return q.interactive() + q.kinds[fleet.Batch].count
 }
 
-func (q *queue) urgent() int {
-	return q.bands[fleet.Order].count + q.bands[fleet.Lookup].count
+func (q *queue) interactive() int {
+	return q.kinds[fleet.Order].count + q.kinds[fleet.Lookup].count
 }
 
-// add puts a waiter at the end of its workspace's lane.
+// add appends a waiter to the queue of its workspace.
 func (q *queue) add(w *waiter) {
-	b := &q.bands[kindOf(w.ask)]
-	i := slices.IndexFunc(b.lanes, func(l *lane) bool { return l.workspace == w.ask.Workspace })
+	kind := &q.kinds[kindOf(w.req)]
+	i := slices.IndexFunc(kind.queues, func(wq *workspaceQueue) bool { return wq.workspace == w.req.Workspace })
 	if i < 0 {
-		i = len(b.lanes)
-		b.lanes = append(b.lanes, &lane{workspace: w.ask.Workspace})
+		i = len(kind.queues)
+		kind.queues = append(kind.queues, &workspaceQueue{workspace: w.req.Workspace})
 	}
-	w.lane = b.lanes[i]
-	w.lane.waiters = append(w.lane.waiters, w)
-	b.count++
+	w.queue = kind.queues[i]
+	w.queue.waiters = append(w.queue.waiters, w)
+	kind.count++
 }
 
-// remove takes a waiter out; it reports whether the waiter was in the queue.
+// remove removes a waiter and reports whether it was in the queue.
 func (q *queue) remove(w *waiter) bool {
-	i := slices.Index(w.lane.waiters, w)
+	i := slices.Index(w.queue.waiters, w)
 	if i < 0 {
 		return false
 	}
-	b := &q.bands[kindOf(w.ask)]
-	w.lane.waiters = slices.Delete(w.lane.waiters, i, i+1)
-	b.count--
-	if len(w.lane.waiters) == 0 {
-		b.drop(w.lane)
+	kind := &q.kinds[kindOf(w.req)]
+	w.queue.waiters = slices.Delete(w.queue.waiters, i, i+1)
+	kind.count--
+	if len(w.queue.waiters) == 0 {
+		kind.removeQueue(w.queue)
 	}
 	return true
 }
 
-// serve takes out a waiter that is granted a slot and passes the turns on.
-func (q *queue) serve(w *waiter) {
+// removeServed removes a waiter that is granted a slot and passes the turns of its kind
+// and workspace on.
+func (q *queue) removeServed(w *waiter) {
 	q.remove(w)
-	k := kindOf(w.ask)
+	k := kindOf(w.req)
 	if k != fleet.Batch {
-		q.next = other(k)
+		q.nextInteractive = otherInteractive(k)
 	}
-	if len(w.lane.waiters) > 0 {
-		b := &q.bands[k]
-		b.drop(w.lane)
-		b.lanes = append(b.lanes, w.lane)
+	if len(w.queue.waiters) > 0 {
+		kind := &q.kinds[k]
+		kind.removeQueue(w.queue)
+		kind.queues = append(kind.queues, w.queue)
 	}
 }
 
-func (b *band) drop(l *lane) {
-	b.lanes = slices.DeleteFunc(b.lanes, func(x *lane) bool { return x == l })
+func (kq *kindQueue) removeQueue(wq *workspaceQueue) {
+	kq.queues = slices.DeleteFunc(kq.queues, func(other *workspaceQueue) bool { return other == wq })
 }
 
-// all yields the waiters of one kind in the order of their turns: the first of
-// each lane, then the others.
-func (b *band) all() iter.Seq[*waiter] {
+// inTurnOrder yields the waiters of one kind in the order of their turns: the first
+// of each workspace, then the second of each, and so on.
+func (kq *kindQueue) inTurnOrder() iter.Seq[*waiter] {
 	return func(yield func(*waiter) bool) {
-		for depth, left := 0, b.count; left > 0; depth++ {
-			for _, l := range b.lanes {
-				if depth >= len(l.waiters) {
+		for depth, left := 0, kq.count; left > 0; depth++ {
+			for _, wq := range kq.queues {
+				if depth >= len(wq.waiters) {
 					continue
 				}
 				left--
-				if !yield(l.waiters[depth]) {
+				if !yield(wq.waiters[depth]) {
 					return
 				}
 			}
@@ -122,53 +126,54 @@
 	}
 }
 
-// ahead returns the number of waiters that are served before w if nobody else arrives.
+// ahead returns the number of waiters that are served before w if no request arrives.
 func (q *queue) ahead(w *waiter) int {
-	k := kindOf(w.ask)
-	own := q.bands[k].ahead(w)
+	k := kindOf(w.req)
+	ahead := q.kinds[k].ahead(w)
 	if k == fleet.Batch {
-		return own + q.urgent()
+		return ahead + q.interactive()
 	}
-	rival := own + 1
-	if q.next == k {
-		rival = own
+	maxOther := ahead + 1
+	if q.nextInteractive == k {
+		maxOther = ahead
 	}
-	return own + min(q.bands[other(k)].count, rival)
+	return ahead + min(q.kinds[otherInteractive(k)].count, maxOther)
 }
 
-func (b *band) ahead(w *waiter) int {
-	depth := slices.Index(w.lane.waiters, w)
+func (kq *kindQueue) ahead(w *waiter) int {
+	depth := slices.Index(w.queue.waiters, w)
 	n, passed := 0, false
-	for _, l := range b.lanes {
+	for _, wq := range kq.queues {
 		switch {
-		case l == w.lane:
+		case wq == w.queue:
 			n += depth
 			passed = true
 		case passed:
-			n += min(len(l.waiters), depth)
+			n += min(len(wq.waiters), depth)
 		default:
-			n += min(len(l.waiters), depth+1)
+			n += min(len(wq.waiters), depth+1)
 		}
 	}
 	return n
 }
 
-// victim returns the waiter that gives way when the queue is longer than allowed:
-// the newest batch request, else the newest of the urgent kind that waits more,
-// each of the workspace that waits most. It may be the request that came last.
-func (q *queue) victim() *waiter {
-	b := &q.bands[fleet.Batch]
-	if b.count == 0 {
-		b = &q.bands[fleet.Lookup]
-		if q.bands[fleet.Order].count > b.count {
-			b = &q.bands[fleet.Order]
+// evictee returns the waiter to refuse when the queue is longer than allowed: a batch
+// request, or else one of the interactive kind with more waiters. It is the newest of
+// the workspace with the most waiters of that kind, and may be the request that
+// arrived last.
+func (q *queue) evictee() *waiter {
+	kind := &q.kinds[fleet.Batch]
+	if kind.count == 0 {
+		kind = &q.kinds[fleet.Lookup]
+		if q.kinds[fleet.Order].count > kind.count {
+			kind = &q.kinds[fleet.Order]
 		}
 	}
-	var most *lane
-	for _, l := range b.lanes {
-		if most == nil || len(l.waiters) >= len(most.waiters) {
-			most = l
+	var longest *workspaceQueue
+	for _, wq := range kind.queues {
+		if longest == nil || len(wq.waiters) >= len(longest.waiters) {
+			longest = wq
 		}
 	}
-	return most.waiters[len(most.waiters)-1]
+	return longest.waiters[len(longest.waiters)-1]
 }
--- a/core/limit/snapshot.go
+++ b/core/limit/snapshot.go
@@ -14,7 +14,7 @@
 // Target is one target of a Snapshot.
 type Target struct {
 	ID fleet.TargetID
-	// Slots is the number of requests the target works on at once.
+	// Slots is the number of requests that the target processes concurrently.
 	Slots int
 	// State is Closed for targets that are ejected, leaving, drained or excluded.
 	State choose.State
@@ -22,180 +22,191 @@
 	Weight         float64
 	TrialAllowed   bool
 	SameDataCentre bool
-	// Confirm asks for a share of the idempotent requests; see choose.Candidate.
+	// Confirm gives the target additional idempotent requests; see choose.Candidate.
 	Confirm bool
-	// DataCentre is compared with Snapshot.Members when the slots are divided.
+	// DataCentre is compared with Snapshot.Members when the slots are divided among
+	// the daemons.
 	DataCentre fleet.DataCentre
 }
 
-// Snapshot is the state of a service's targets that a Gate works with.
+// Snapshot is the state of a service's targets as given to a Gate.
 type Snapshot struct {
 	Targets []Target
-	// QueueLength is the most requests that wait; 0 stands for DefaultQueueLength.
+	// QueueLength is the maximum number of waiting requests; 0 means DefaultQueueLength.
 	QueueLength int
-	// Members is the data centre of this daemon and its peers, as far as known. The
-	// division of the slots gives targets to daemons in their own data centre first.
+	// Members holds the data centres of this daemon and its peers, as far as known. The
+	// slots of a target are divided first among the daemons in its data centre.
 	Members map[fleet.VMID]fleet.DataCentre
 }
 
-// DefaultQueueLength is the queue length of a Snapshot that states none.
+// DefaultQueueLength is the queue length if Snapshot.QueueLength is not set.
 const DefaultQueueLength = 64
 
-// slot counts this daemon's work at one target. It outlives snapshots while work
-// is in flight, so that a target removed and added again keeps its count.
-type slot struct {
+// targetUsage counts the requests that this daemon has in flight at one target. It
+// outlives snapshots while requests are in flight, so that a target that is removed
+// and added again keeps its count.
+type targetUsage struct {
 	id       fleet.TargetID
 	inFlight atomic.Int64
-	// shedUntil is the end of the halved share after a shed response.
+	// shedUntil is the end of the period with a halved limit after a shed response.
 	shedUntil atomic.Int64
-	// worked is the sum of the ends minus the sum of the starts of all work, so that
-	// worked + inFlight*now is the work done up to now in slot-nanoseconds.
-	worked atomic.Int64
-	// mean is the work in flight over the last window, which ended at sampled.
-	mean        float64
-	sampled     time.Duration
-	sampledWork int64
+	// workOffset is the sum of the end times minus the sum of the start times of all
+	// requests, so that workOffset + inFlight*now is the slot time used up to now, in
+	// slot-nanoseconds.
+	workOffset atomic.Int64
+	// meanInFlight is the mean number of requests in flight over the last window, which
+	// ended at sampledAt with the slot time sampledWork.
+	meanInFlight float64
+	sampledAt    time.Duration
+	sampledWork  int64
 }
 
-// sample returns the mean work in flight over the last window; mu is held.
-func (s *slot) sample(now time.Duration) float64 {
-	if span := now - s.sampled; span >= meanWindow {
-		work := s.worked.Load() + s.inFlight.Load()*int64(now)
-		s.mean = max(float64(work-s.sampledWork)/float64(span), 0)
-		s.sampled, s.sampledWork = now, work
+// sampleMean returns the mean number of requests in flight over the last window, and
+// starts a new window if the current one is long enough. The caller holds mu.
+func (u *targetUsage) sampleMean(now time.Duration) float64 {
+	if span := now - u.sampledAt; span >= minMeanWindow {
+		work := u.workOffset.Load() + u.inFlight.Load()*int64(now)
+		u.meanInFlight = max(float64(work-u.sampledWork)/float64(span), 0)
+		u.sampledAt, u.sampledWork = now, work
 	}
-	return s.mean
+	return u.meanInFlight
 }
 
-// claim takes one slot below limit.
-func (s *slot) claim(limit int) bool {
-	n := s.inFlight.Load()
-	return n < int64(limit) && s.inFlight.CompareAndSwap(n, n+1)
+// claim takes a slot if fewer than limit are in use. It fails if the count changes
+// concurrently.
+func (u *targetUsage) claim(limit int) bool {
+	n := u.inFlight.Load()
+	return n < int64(limit) && u.inFlight.CompareAndSwap(n, n+1)
 }
 
 // entry is one target of a view.
 type entry struct {
-	slot *slot
-	// cand is the candidate but for the own work, with the limit that the peers leave.
-	cand choose.Candidate
-	// alone says that no peer reports the target as busy.
-	alone bool
+	usage *targetUsage
+	// base is the candidate without this daemon's requests in flight. Its limit is what
+	// the peers leave.
+	base choose.Candidate
+	// peersIdle is set if the peers do not keep the target busy.
+	peersIdle bool
 }
 
-// view is what a request is decided on; it is immutable.
+// view is the immutable state by which requests are granted or refused. Requests read
+// it without mu.
 type view struct {
 	entries []entry
-	// until is when the peers' shares must be computed again.
-	until time.Duration
-	// least is the work that this daemon may have in flight whatever peers report; it
-	// is 1 if the daemon has no share of any target, and else the shares suffice.
-	least       int
+	// validUntil is when the next report of a peer decays, so that the view must be
+	// rebuilt.
+	validUntil time.Duration
+	// guaranteed is the number of requests that this daemon may have in flight whatever
+	// peers report. It is 1 if the daemon has no quota at any target, and otherwise 0,
+	// because the quotas then guarantee progress.
+	guaranteed  int
 	queueLength int
 }
 
-// Update replaces the targets and their states while requests are in flight. When
-// it returns, targets that are closed or gone receive no further grants.
+// Update replaces the targets and their states; requests may be in flight. After it
+// returns, no slots of targets that are closed or removed are granted.
 func (g *Gate) Update(s *Snapshot) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
 	g.targets = slices.Clone(s.Targets)
-	g.centres = maps.Clone(s.Members)
+	g.dataCentres = maps.Clone(s.Members)
 	g.queueLength = s.QueueLength
 	if g.queueLength <= 0 {
 		g.queueLength = DefaultQueueLength
 	}
-	g.rebuild(now)
-	g.purge()
-	g.refuseStranded()
+	g.rebuildView(now)
+	g.pruneUsage()
+	g.refuseUnservable()
 	g.dispatch(now)
 }
 
-// rebuild computes the view from targets and peers; mu is held.
-func (g *Gate) rebuild(now time.Duration) {
+// rebuildView computes the view from the targets and the reports of the peers. The
+// caller holds mu.
+func (g *Gate) rebuildView(now time.Duration) {
 	v := &view{entries: make([]entry, 0, len(g.targets)), queueLength: g.queueLength}
-	shares := g.shares(now)
-	v.until = shares.until
-	v.least = 1
-	for i, share := range g.divide(shares.members) {
+	peers := g.sumPeerLoads(now)
+	v.validUntil = peers.validUntil
+	v.guaranteed = 1
+	for i, quota := range g.slotQuotas(peers.members) {
 		t := g.targets[i]
-		v.entries = append(v.entries, g.entry(t, shares.work[t.ID], share))
-		if share > 0 {
-			v.least = 0
+		v.entries = append(v.entries, g.newEntry(t, peers.byTarget[t.ID], quota))
+		if quota > 0 {
+			v.guaranteed = 0
 		}
 	}
 	g.view.Store(v)
 }
 
-// entry joins a target with the peers' work there and this daemon's share of it. The
-// peers' work is rounded up, so that own and reported work stay within the slots; the
-// share stays usable when peers overrun it.
-func (g *Gate) entry(t Target, peers float64, share int) entry {
-	busy := int(math.Ceil(min(peers, float64(t.Slots))))
-	e := entry{slot: g.slotOf(t.ID), alone: peers < idlePeers}
-	e.cand = choose.Candidate{
+// newEntry combines a target with the load of the peers there and with this daemon's
+// quota. The load is rounded up, so that it stays within the slots together with this
+// daemon's own. The quota stays usable even if the peers exceed theirs.
+func (g *Gate) newEntry(t Target, peerLoad float64, quota int) entry {
+	peerSlots := int(math.Ceil(min(peerLoad, float64(t.Slots))))
+	e := entry{usage: g.usageOf(t.ID), peersIdle: peerLoad < peersIdleBelow}
+	e.base = choose.Candidate{
 		State:          t.State,
 		Weight:         t.Weight,
 		TrialAllowed:   t.TrialAllowed,
 		SameDataCentre: t.SameDataCentre,
 		Confirm:        t.Confirm,
-		PeerInFlight:   busy,
-		Share:          share,
-		Limit:          max(t.Slots-busy, share),
+		PeerInFlight:   peerSlots,
+		Share:          quota,
+		Limit:          max(t.Slots-peerSlots, quota),
 		Slots:          t.Slots,
 		Rank:           choose.Rank(g.daemon, t.ID),
 	}
-	if e.alone && t.Slots > 0 {
-		e.cand.Limit = max(e.cand.Limit, 1)
+	if e.peersIdle && t.Slots > 0 {
+		e.base.Limit = max(e.base.Limit, 1)
 	}
 	if t.State == choose.Trial {
-		e.cand.Limit = min(e.cand.Limit, 1)
+		e.base.Limit = min(e.base.Limit, 1)
 	}
 	return e
 }
 
-// slotOf returns the counter of the target; mu is held.
-func (g *Gate) slotOf(id fleet.TargetID) *slot {
-	s, ok := g.slots[id]
+// usageOf returns the counters of the target. The caller holds mu.
+func (g *Gate) usageOf(id fleet.TargetID) *targetUsage {
+	u, ok := g.usage[id]
 	if !ok {
-		s = &slot{id: id}
-		g.slots[id] = s
+		u = &targetUsage{id: id}
+		g.usage[id] = u
 	}
-	return s
+	return u
 }
 
-// purge drops the counters of targets that are gone and idle. It runs after the
-// new view is stored: a claim that a concurrent request makes on an old view is
+// pruneUsage deletes the counters of targets that are removed and idle. It runs after
+// the new view is stored: a claim that a concurrent request makes on an old view is
 // undone when the request sees that the view changed.
-func (g *Gate) purge() {
+func (g *Gate) pruneUsage() {
 	v := g.view.Load()
-	for id, s := range g.slots {
-		used := slices.ContainsFunc(v.entries, func(e entry) bool { return e.slot == s })
-		if !used && s.inFlight.Load() == 0 {
-			delete(g.slots, id)
+	for id, u := range g.usage {
+		used := slices.ContainsFunc(v.entries, func(e entry) bool { return e.usage == u })
+		if !used && u.inFlight.Load() == 0 {
+			delete(g.usage, id)
 		}
 	}
 }
 
-// candidate returns the entry as a candidate at this moment.
+// candidate returns the entry as a candidate with its current count and limit.
 func (e *entry) candidate(now time.Duration) choose.Candidate {
-	c := e.cand
-	c.InFlight = int(e.slot.inFlight.Load())
-	if e.shed(now) {
-		c.Limit = e.halved()
+	c := e.base
+	c.InFlight = int(e.usage.inFlight.Load())
+	if e.shedRecently(now) {
+		c.Limit = e.halvedLimit()
 	}
 	return c
 }
 
-func (e *entry) shed(now time.Duration) bool {
-	return int64(now) < e.slot.shedUntil.Load()
+func (e *entry) shedRecently(now time.Duration) bool {
+	return int64(now) < e.usage.shedUntil.Load()
 }
 
-// halved is the limit while the share is halved after a shed response. A target
-// that no peer keeps busy stays usable for one request.
-func (e *entry) halved() int {
-	if e.alone {
-		return max(e.cand.Limit/2, 1)
+// halvedLimit returns the limit after a shed response. A target that the peers do not
+// keep busy stays usable for one request.
+func (e *entry) halvedLimit() int {
+	if e.peersIdle {
+		return max(e.base.Limit/2, 1)
 	}
-	return e.cand.Limit / 2
+	return e.base.Limit / 2
 }
--- a/core/limit/stats.go
+++ b/core/limit/stats.go
@@ -8,14 +8,16 @@
 	refusedEarly, refusedLate, refusedFull, refusedNoTarget atomic.Uint64
 }
 
-// Stats are the counters of a Gate for the state dump.
+// Stats holds the counters of a Gate for the state dump.
 type Stats struct {
 	Granted   uint64 `json:"granted"`
 	Shed      uint64 `json:"shed"`
 	Cancelled uint64 `json:"cancelled"`
-	// RefusedEarly counts requests refused at once because of their deadline.
+	// RefusedEarly counts requests refused on arrival because they could not meet their
+	// deadline.
 	RefusedEarly uint64 `json:"refused-early"`
-	// RefusedLate counts requests whose deadline passed in the queue.
+	// RefusedLate counts requests whose deadline passed, or could no longer be met,
+	// while they waited.
 	RefusedLate     uint64 `json:"refused-late"`
 	RefusedFull     uint64 `json:"refused-full"`
 	RefusedNoTarget uint64 `json:"refused-no-target"`
@@ -23,7 +25,7 @@
 	Waiting int `json:"waiting"`
 }
 
-// Stats returns the counters at one moment.
+// Stats returns the current counters.
 func (g *Gate) Stats() Stats {
 	return Stats{
 		Granted:         g.counts.granted.Load(),
--- a/core/limit/wait.go
+++ b/core/limit/wait.go
@@ -9,97 +9,97 @@
 )
 
 const (
-	// retryLeast and retryMost bound the advised wait of a refusal.
-	retryLeast = 50 * time.Millisecond
-	retryMost  = 5 * time.Second
-	// idleCheck bounds the sleep of a waiter: a report or shed response that comes
-	// meanwhile may set an earlier time to look again.
-	idleCheck = time.Second
+	// minRetryAfter and maxRetryAfter bound the retry delay that a refusal advises.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
+	// maxRecheckDelay bounds the time between two checks of a waiter: a report or shed
+	// response that arrives meanwhile may require an earlier check.
+	maxRecheckDelay = time.Second
 )
 
-// enter queues the request, serves the queue and refuses or waits.
-func (g *Gate) enter(ctx context.Context, ask Ask, now time.Duration) (*Grant, error) {
-	w := &waiter{ask: &ask, done: make(chan struct{})}
-	if sleep := g.admit(w, now); sleep > 0 {
-		return g.wait(ctx, w, now, sleep)
+// acquireQueued adds the request to the queue and waits until it is granted or refused.
+func (g *Gate) acquireQueued(ctx context.Context, req Ask, now time.Duration) (*Grant, error) {
+	w := &waiter{req: &req, done: make(chan struct{})}
+	if delay := g.admit(w, now); delay > 0 {
+		return g.wait(ctx, w, now, delay)
 	}
 	return w.grant, w.err
 }
 
-// admit queues w and serves the queue. It returns how long until the queue must be
-// looked at again for w, or 0 if w is granted or refused. While w waits, its grant
-// and error belong to the holder of mu.
+// admit adds w to the queue and dispatches. It returns the delay after which w must be
+// checked again, or 0 if w is granted or refused. While w waits, its fields grant and
+// err are guarded by mu.
 func (g *Gate) admit(w *waiter, now time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.until(w.ask) <= now {
+	if g.deadlineOf(w.req) <= now {
 		g.counts.refusedEarly.Add(1)
 		w.err = fault.New(fault.DeadlineExceeded, "deadline has passed")
 		return 0
 	}
-	if !g.fresh(now).usable(w.ask) {
+	if !g.currentView(now).canServe(w.req) {
 		g.counts.refusedNoTarget.Add(1)
 		w.err = noTarget()
 		return 0
 	}
 	g.queue.add(w)
-	g.recount()
+	g.publishLengths()
 	g.dispatch(now)
 	if w.finished() {
 		return 0
 	}
-	if need := g.need(w); now+need > g.until(w.ask) {
+	if needed := g.expectedLatency(w); now+needed > g.deadlineOf(w.req) {
 		g.counts.refusedEarly.Add(1)
-		g.refuse(w, fault.New(fault.DeadlineExceeded, "deadline cannot be met: about %v needed", need).
-			WithRetryAfter(bounded(now+need-g.until(w.ask))))
+		g.refuse(w, fault.New(fault.DeadlineExceeded, "deadline cannot be met: about %v needed", needed).
+			WithRetryAfter(clampRetryAfter(now+needed-g.deadlineOf(w.req))))
 		return 0
 	}
 	if g.queue.len() > g.view.Load().queueLength {
-		v := g.queue.victim()
+		evicted := g.queue.evictee()
 		g.counts.refusedFull.Add(1)
-		g.refuse(v, fault.New(fault.QueueFull, "%d requests wait already", g.queue.len()).
-			WithRetryAfter(bounded(g.need(v))))
+		g.refuse(evicted, fault.New(fault.QueueFull, "%d requests wait already", g.queue.len()).
+			WithRetryAfter(clampRetryAfter(g.expectedLatency(evicted))))
 	}
 	if w.finished() {
 		return 0
 	}
-	return g.sleep(w, now)
+	return g.recheckDelay(w, now)
 }
 
 func noTarget() error {
-	return fault.New(fault.NoTarget, "no target is open for this request").WithRetryAfter(retryMost)
+	return fault.New(fault.NoTarget, "no target is open for this request").WithRetryAfter(maxRetryAfter)
 }
 
-func bounded(d time.Duration) time.Duration {
-	return min(max(d, retryLeast), retryMost)
+func clampRetryAfter(d time.Duration) time.Duration {
+	return min(max(d, minRetryAfter), maxRetryAfter)
 }
 
-// wait blocks until w is granted, refused or given up.
-func (g *Gate) wait(ctx context.Context, w *waiter, entered, sleep time.Duration) (*Grant, error) {
-	timer := time.NewTimer(sleep)
+// wait blocks until w is granted or refused, or until ctx ends.
+func (g *Gate) wait(ctx context.Context, w *waiter, queuedAt, delay time.Duration) (*Grant, error) {
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	for {
 		select {
 		case <-w.done:
 			if w.grant != nil {
-				w.grant.Waited = w.grant.start - entered
+				w.grant.Waited = w.grant.start - queuedAt
 			}
 			return w.grant, w.err
 		case <-ctx.Done():
-			g.leave(w)
-			return nil, g.gone(ctx)
+			g.abandon(w)
+			return nil, g.contextError(ctx)
 		case <-timer.C:
-			timer.Reset(g.look(w))
+			timer.Reset(g.recheck(w))
 		}
 	}
 }
 
-// leave takes w out of the queue, or gives back what it was granted meanwhile.
-func (g *Gate) leave(w *waiter) {
+// abandon removes w from the queue, or releases the slot that it was granted meanwhile.
+func (g *Gate) abandon(w *waiter) {
 	g.mu.Lock()
 	waiting := g.queue.remove(w)
 	if waiting {
-		g.recount()
+		g.publishLengths()
 		g.dispatch(g.now())
 	}
 	g.mu.Unlock()
@@ -108,100 +108,102 @@
 	}
 }
 
-// look serves the queue and refuses w if its deadline has passed. It returns how
-// long until the next look.
-func (g *Gate) look(w *waiter) time.Duration {
+// recheck dispatches and refuses w if its deadline has passed. It returns the delay
+// until the next check.
+func (g *Gate) recheck(w *waiter) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
 	g.dispatch(now)
 	if w.finished() {
-		return idleCheck
+		return maxRecheckDelay
 	}
-	if now >= g.until(w.ask) {
+	if now >= g.deadlineOf(w.req) {
 		g.counts.refusedLate.Add(1)
 		g.refuse(w, fault.New(fault.DeadlineExceeded, "deadline passed before a slot was free").
-			WithRetryAfter(bounded(g.need(w))))
-		return idleCheck
+			WithRetryAfter(clampRetryAfter(g.expectedLatency(w))))
+		return maxRecheckDelay
 	}
-	return g.sleep(w, now)
+	return g.recheckDelay(w, now)
 }
 
 func (w *waiter) finished() bool {
 	return w.grant != nil || w.err != nil
 }
 
-// sleep is the time until something may change for w without a release: its
-// deadline, the decay of peers' shares, the end of a halved share, or the end of
+// recheckDelay returns the time until something may change for w without a release:
+// its deadline, the decay of a peer's report, the end of a halved limit, or the end of
 // the reserve for orders and lookups.
-func (g *Gate) sleep(w *waiter, now time.Duration) time.Duration {
+func (g *Gate) recheckDelay(w *waiter, now time.Duration) time.Duration {
 	v := g.view.Load()
-	at := min(g.until(w.ask), v.until, now+idleCheck)
+	recheckAt := min(g.deadlineOf(w.req), v.validUntil, now+maxRecheckDelay)
 	for i := range v.entries {
-		if u := time.Duration(v.entries[i].slot.shedUntil.Load()); u > now {
-			at = min(at, u)
+		if end := time.Duration(v.entries[i].usage.shedUntil.Load()); end > now {
+			recheckAt = min(recheckAt, end)
 		}
 	}
-	if w.ask.Kind == fleet.Batch {
-		if u := time.Duration(g.lastUrgent.Load()) + urgentRecent; u > now {
-			at = min(at, u)
+	if w.req.Kind == fleet.Batch {
+		if end := time.Duration(g.lastInteractive.Load()) + reservePeriod; end > now {
+			recheckAt = min(recheckAt, end)
 		}
 	}
-	return max(at-now, 1)
+	return max(recheckAt-now, 1)
 }
 
-// need is the time until w would have its response: the queue ahead of it at the
-// measured pace, and its own service time.
-func (g *Gate) need(w *waiter) time.Duration {
-	busy := max(g.own(g.view.Load()), 1)
+// expectedLatency returns the expected time until w has its response: the time for the
+// waiters ahead of it at the measured rate, and its own service time.
+func (g *Gate) expectedLatency(w *waiter) time.Duration {
+	inFlight := max(g.inFlight(g.view.Load()), 1)
 	rounds := time.Duration(g.queue.ahead(w) + 1)
-	return rounds*g.estimate.held.value()/time.Duration(busy) + g.estimate.service(w.ask.Kind)
+	return rounds*g.estimate.holdTime.value()/time.Duration(inFlight) + g.estimate.serviceTime(w.req.Kind)
 }
 
-// own is this daemon's work at the targets of the view.
-func (g *Gate) own(v *view) int {
+// inFlight returns the number of requests that this daemon has in flight at the targets
+// of the view.
+func (g *Gate) inFlight(v *view) int {
 	n := 0
 	for i := range v.entries {
-		n += int(v.entries[i].slot.inFlight.Load())
+		n += int(v.entries[i].usage.inFlight.Load())
 	}
 	return n
 }
 
-// refuse ends the wait of w with err; mu is held.
+// refuse ends the wait of w with err. The caller holds mu.
 func (g *Gate) refuse(w *waiter, err error) {
 	g.queue.remove(w)
-	g.recount()
+	g.publishLengths()
 	w.err = err
 	close(w.done)
 }
 
-// refuseStranded refuses the waiters that no target of the view may serve.
-func (g *Gate) refuseStranded() {
+// refuseUnservable refuses the waiters that no target of the view may serve.
+func (g *Gate) refuseUnservable() {
 	v := g.view.Load()
-	var stranded []*waiter
-	for k := range g.queue.bands {
-		for w := range g.queue.bands[k].all() {
-			if !v.usable(w.ask) {
-				stranded = append(stranded, w)
+	var unservable []*waiter
+	for k := range g.queue.kinds {
+		for w := range g.queue.kinds[k].inTurnOrder() {
+			if !v.canServe(w.req) {
+				unservable = append(unservable, w)
 			}
 		}
 	}
-	for _, w := range stranded {
+	for _, w := range unservable {
 		g.counts.refusedNoTarget.Add(1)
 		g.refuse(w, noTarget())
 	}
 }
 
-// recount publishes the queue's length to the lock-free paths.
-func (g *Gate) recount() {
-	g.urgent.Store(int64(g.queue.urgent()))
+// publishLengths publishes the length of the queue to readers without mu.
+func (g *Gate) publishLengths() {
+	g.waitingInteractive.Store(int64(g.queue.interactive()))
 	g.waiting.Store(int64(g.queue.len()))
 }
 
-// fresh returns the view with the peers' shares of this moment; mu is held.
-func (g *Gate) fresh(now time.Duration) *view {
-	if now >= g.view.Load().until {
-		g.rebuild(now)
+// currentView returns the view, rebuilt if a report of a peer has decayed since. The
+// caller holds mu.
+func (g *Gate) currentView(now time.Duration) *view {
+	if now >= g.view.Load().validUntil {
+		g.rebuildView(now)
 	}
 	return g.view.Load()
 }
