--- a/core/limit/bench_test.go
+++ b/core/limit/bench_test.go
@@ -11,9 +11,9 @@
 
 func BenchmarkAcquire(b *testing.B) {
 	for _, n := range []int{10, 27, 40} {
-		ask := within(lookup, time.Hour)
+		ask := withDeadline(lookup, time.Hour)
 		b.Run(fmt.Sprintf("targets=%d/goroutines=1", n), func(b *testing.B) {
-			g := limit.New("vm-1", limit.WithSnapshot(ready(n, 2)))
+			g := limit.New("vm-1", limit.WithSnapshot(readySnapshot(n, 2)))
 			b.ReportAllocs()
 			for b.Loop() {
 				gr, err := g.Acquire(context.Background(), ask)
@@ -24,7 +24,7 @@
 			}
 		})
 		b.Run(fmt.Sprintf("targets=%d/goroutines=many", n), func(b *testing.B) {
-			g := limit.New("vm-1", limit.WithSnapshot(ready(n, 2)))
+			g := limit.New("vm-1", limit.WithSnapshot(readySnapshot(n, 2)))
 			b.ReportAllocs()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
--- a/core/limit/dispatch.go
+++ b/core/limit/dispatch.go
@@ -29,9 +29,9 @@
 	}
 	var buf [maxStackCandidates]choose.Candidate
 	for {
-		view := g.currentView(now)
-		step := dispatchStep{view: view, now: now, cands: view.candidates(now, buf[:0])}
-		step.belowGuarantee = step.inFlight() < view.guaranteed
+		v := g.currentView(now)
+		step := dispatchStep{view: v, now: now, cands: v.candidates(now, buf[:0])}
+		step.belowGuarantee = step.inFlight() < v.guaranteed
 		if !g.dispatchOne(&step) && !step.claimLost {
 			break
 		}
--- a/core/limit/gate_test.go
+++ b/core/limit/gate_test.go
@@ -16,10 +16,10 @@
 	"wisteriarelay.example/core/limit"
 )
 
-// A grant released twice must not free a second slot.
-func TestReleaseOnce(t *testing.T) {
-	inBubble(t, ready(1, 2), func(r *rig) {
-		a, b := r.granted(lookup), r.granted(lookup)
+// Guards against a second slot that is freed when a grant is released twice.
+func TestSecondReleaseHasNoEffect(t *testing.T) {
+	inBubble(t, readySnapshot(1, 2), func(r *harness) {
+		a, b := r.mustAcquire(lookup), r.mustAcquire(lookup)
 		a.Release(limit.Served)
 		a.Release(limit.Shed)
 		r.Expect(r.gate.InUse()).To(gomega.Equal(map[fleet.TargetID]int{"t00": 1}))
@@ -29,16 +29,16 @@
 	})
 }
 
-// A caller that leaves must free its place at once, and its slot if it was granted
-// at the same moment.
-func TestCancelLeaksNothing(t *testing.T) {
-	inBubble(t, ready(1, 1), func(r *rig) {
-		holder := r.granted(lookup)
-		first, second := r.launch("", lookup), r.launch("", order)
+// Guards against a cancelled request that keeps its place in the queue, or its slot if
+// it is granted at the moment of the cancellation.
+func TestCancelFreesQueuePlaceAndSlot(t *testing.T) {
+	inBubble(t, readySnapshot(1, 1), func(r *harness) {
+		holder := r.mustAcquire(lookup)
+		first, second := r.start("", lookup), r.start("", order)
 		r.Expect(r.gate.Stats().Waiting).To(gomega.Equal(2))
 		first.cancel()
 		synctest.Wait()
-		r.refused(first, fault.CallerGone)
+		r.expectRefused(first, fault.CallerGone)
 		r.Expect(r.gate.Stats().Waiting).To(gomega.Equal(1))
 		second.cancel()
 		holder.Release(limit.Served)
@@ -51,14 +51,14 @@
 	})
 }
 
-// A workspace with many requests must not hold up one with few.
+// Guards against a workspace with many requests that delays one with few.
 func TestWorkspacesTakeTurns(t *testing.T) {
-	inBubble(t, ready(1, 1), func(r *rig) {
-		holder := r.granted(lookup)
+	inBubble(t, readySnapshot(1, 1), func(r *harness) {
+		holder := r.mustAcquire(lookup)
 		var calls []*call
 		for i := range 24 {
 			ws := []string{"a", "b", "c"}[max(i-18, 0)/2%3]
-			calls = append(calls, r.launch(fmt.Sprint(ws, i), ask(fleet.Lookup, fleet.WorkspaceID(ws))))
+			calls = append(calls, r.start(fmt.Sprint(ws, i), newRequest(fleet.Lookup, fleet.WorkspaceID(ws))))
 		}
 		served := serveAll(holder, calls, time.Millisecond)
 		r.Expect(served).To(gomega.HaveLen(24))
@@ -66,13 +66,14 @@
 	})
 }
 
-// Neither orders nor lookups may starve the other, and batch comes last.
+// Guards against orders that starve lookups, or the reverse, and against batch requests
+// that are served before them.
 func TestKindsTakeTurns(t *testing.T) {
-	inBubble(t, ready(1, 1), func(r *rig) {
-		holder := r.granted(order)
+	inBubble(t, readySnapshot(1, 1), func(r *harness) {
+		holder := r.mustAcquire(order)
 		var calls []*call
 		for i, a := range []limit.Ask{batch, batch, lookup, lookup, lookup, lookup, lookup, lookup, order, order, order} {
-			calls = append(calls, r.launch(fmt.Sprintf("%v%d", a.Kind, i), a))
+			calls = append(calls, r.start(fmt.Sprintf("%v%d", a.Kind, i), a))
 		}
 		r.Expect(serveAll(holder, calls, 2*time.Second)).To(gomega.Equal([]string{
 			"lookup2", "order8", "lookup3", "order9", "lookup4", "order10", "lookup5", "lookup6", "lookup7", "batch0", "batch1",
@@ -80,57 +81,59 @@
 	})
 }
 
-// A lookup must wait for batch work for at most one service time, and find a free
-// slot if orders or lookups came in the last second.
-func TestBatchUsesWhatIsLeft(t *testing.T) {
+// Guards against batch requests that take all slots: a lookup must wait for them for at
+// most one service time, and one slot must stay free of them for a second after the last
+// order or lookup.
+func TestBatchLeavesReservedSlot(t *testing.T) {
 	const service = 100 * time.Millisecond
-	inBubble(t, ready(1, 2), func(r *rig) {
-		first, second := r.granted(batch), r.granted(batch)
-		a, b := r.launch("", batch), r.launch("", batch)
-		urgent := r.launch("", lookup)
+	inBubble(t, readySnapshot(1, 2), func(r *harness) {
+		first, second := r.mustAcquire(batch), r.mustAcquire(batch)
+		a, b := r.start("", batch), r.start("", batch)
+		urgent := r.start("", lookup)
 		time.Sleep(service)
 		first.Release(limit.Served)
 		second.Release(limit.Served)
 		synctest.Wait()
 		r.Expect(urgent.grant()).NotTo(gomega.BeNil())
 		r.Expect(urgent.grant().Waited).To(gomega.BeNumerically("<=", service))
-		r.waits(a, "batch took the slot in hand")
+		r.expectWaiting(a, "batch took the reserved slot")
 		urgent.grant().Release(limit.Served)
 		synctest.Wait()
 		r.Expect(a.grant()).NotTo(gomega.BeNil())
-		r.waits(b, "batch took the slot in hand")
-		later(time.Second)
-		r.Expect(b.grant()).NotTo(gomega.BeNil(), "the slot in hand is kept for longer than a second")
+		r.expectWaiting(b, "batch took the reserved slot")
+		advance(time.Second)
+		r.Expect(b.grant()).NotTo(gomega.BeNil(), "the slot stays reserved for longer than a second")
 	})
 }
 
-// A request that cannot be in time must learn so at once, not at its deadline.
+// Guards against a request that cannot meet its deadline and is refused only when the
+// deadline passes, instead of on arrival.
 func TestEarlyRefusal(t *testing.T) {
-	inBubble(t, ready(1, 1), func(r *rig) {
-		holder := r.granted(lookup)
+	inBubble(t, readySnapshot(1, 1), func(r *harness) {
+		holder := r.mustAcquire(lookup)
 		time.Sleep(100 * time.Millisecond)
 		holder.Release(limit.Served)
-		r.granted(lookup)
-		r.waits(r.launch("", within(lookup, 250*time.Millisecond)), "")
+		r.mustAcquire(lookup)
+		r.expectWaiting(r.start("", withDeadline(lookup, 250*time.Millisecond)), "")
 		asked := time.Now()
-		e := r.refused(r.launch("", within(lookup, 250*time.Millisecond)), fault.DeadlineExceeded)
+		e := r.expectRefused(r.start("", withDeadline(lookup, 250*time.Millisecond)), fault.DeadlineExceeded)
 		r.Expect(e.RetryAfter).To(gomega.BeNumerically(">=", 50*time.Millisecond))
 		r.Expect(time.Since(asked)).To(gomega.BeZero())
-		r.waits(r.launch("", within(lookup, 350*time.Millisecond)), "refused although it can be in time")
+		r.expectWaiting(r.start("", withDeadline(lookup, 350*time.Millisecond)), "refused although it can be in time")
 		r.Expect(r.gate.Stats().RefusedEarly).To(gomega.BeEquivalentTo(1))
 	})
 }
 
-// Without a measurement nothing is refused early, and a waiting request is refused
-// when its deadline passes.
+// Guards against an early refusal while no service time has been measured, and against
+// a request that waits beyond its deadline.
 func TestLateRefusal(t *testing.T) {
-	inBubble(t, ready(1, 1), func(r *rig) {
-		r.granted(lookup)
-		c := r.launch("", within(order, 30*time.Millisecond))
-		later(30*time.Millisecond - time.Nanosecond)
-		r.waits(c, "refused before its deadline")
-		later(time.Nanosecond)
-		r.refused(c, fault.DeadlineExceeded)
+	inBubble(t, readySnapshot(1, 1), func(r *harness) {
+		r.mustAcquire(lookup)
+		c := r.start("", withDeadline(order, 30*time.Millisecond))
+		advance(30*time.Millisecond - time.Nanosecond)
+		r.expectWaiting(c, "refused before its deadline")
+		advance(time.Nanosecond)
+		r.expectRefused(c, fault.DeadlineExceeded)
 		r.Expect(r.gate.Stats()).To(gomega.Equal(limit.Stats{Granted: 1, RefusedLate: 1}))
 
 		ctx, cancel := context.WithTimeoutCause(r.ctx, time.Millisecond, errors.New("attempt timeout"))
@@ -140,12 +143,12 @@
 	})
 }
 
-// A service that was slow once must not refuse everything for ever: requests that
-// find a free slot are granted whatever the estimate says, and correct it.
+// Guards against a service that was slow once and then refuses all requests for good:
+// requests that find a free slot are granted whatever the estimate is, and correct it.
 func TestSlowEstimateRecovers(t *testing.T) {
-	inBubble(t, ready(1, 1), func(r *rig) {
+	inBubble(t, readySnapshot(1, 1), func(r *harness) {
 		for i := range 80 {
-			gr := r.granted(within(lookup, time.Second))
+			gr := r.mustAcquire(withDeadline(lookup, time.Second))
 			time.Sleep(10 * time.Millisecond)
 			if i == 0 {
 				time.Sleep(time.Minute)
@@ -156,21 +159,21 @@
 	})
 }
 
-// A slot must not be spent on a request that can no longer be in time while another
-// can, and must not idle if none can.
-func TestLateRequestGivesWay(t *testing.T) {
-	inBubble(t, ready(1, 1), func(r *rig) {
-		holder := r.granted(lookup)
+// Guards against a slot that is granted to a request that can no longer meet its
+// deadline while another can, and against a slot that stays idle if none can.
+func TestRequestThatCannotMeetDeadlineIsPassedOver(t *testing.T) {
+	inBubble(t, readySnapshot(1, 1), func(r *harness) {
+		holder := r.mustAcquire(lookup)
 		time.Sleep(100 * time.Millisecond)
 		holder.Release(limit.Served)
-		holder = r.granted(lookup)
-		first, second := r.launch("", within(lookup, 250*time.Millisecond)), r.launch("", within(lookup, 900*time.Millisecond))
+		holder = r.mustAcquire(lookup)
+		first, second := r.start("", withDeadline(lookup, 250*time.Millisecond)), r.start("", withDeadline(lookup, 900*time.Millisecond))
 		time.Sleep(200 * time.Millisecond)
 		holder.Release(limit.Unused)
 		synctest.Wait()
-		r.refused(first, fault.DeadlineExceeded)
+		r.expectRefused(first, fault.DeadlineExceeded)
 		r.Expect(second.grant()).NotTo(gomega.BeNil())
-		third := r.launch("", within(lookup, 250*time.Millisecond))
+		third := r.start("", withDeadline(lookup, 250*time.Millisecond))
 		time.Sleep(200 * time.Millisecond)
 		second.grant().Release(limit.Unused)
 		synctest.Wait()
@@ -178,33 +181,35 @@
 	})
 }
 
-// The queue must stay within its bound and give up what waits most.
+// Guards against a queue that exceeds its bound, and against a kind or workspace with
+// many requests that keeps others out of the full queue.
 func TestQueueIsBounded(t *testing.T) {
-	snap := ready(1, 1)
+	snap := readySnapshot(1, 1)
 	snap.QueueLength = 4
-	inBubble(t, snap, func(r *rig) {
-		r.granted(lookup)
-		b := r.launch("", batch)
+	inBubble(t, snap, func(r *harness) {
+		r.mustAcquire(lookup)
+		b := r.start("", batch)
 		var ls []*call
 		for range 4 {
-			ls = append(ls, r.launch("", lookup))
+			ls = append(ls, r.start("", lookup))
 		}
-		r.Expect(r.refused(b, fault.QueueFull).RetryAfter).To(gomega.BeNumerically(">", 0))
-		r.refused(r.launch("", lookup), fault.QueueFull)
-		r.waits(r.launch("", order), "lookups keep orders out of the queue")
-		r.refused(ls[3], fault.QueueFull)
-		r.waits(r.launch("", ask(fleet.Lookup, "x")), "a workspace keeps another out of the queue")
-		r.refused(ls[2], fault.QueueFull)
+		r.Expect(r.expectRefused(b, fault.QueueFull).RetryAfter).To(gomega.BeNumerically(">", 0))
+		r.expectRefused(r.start("", lookup), fault.QueueFull)
+		r.expectWaiting(r.start("", order), "lookups keep orders out of the queue")
+		r.expectRefused(ls[3], fault.QueueFull)
+		r.expectWaiting(r.start("", newRequest(fleet.Lookup, "x")), "a workspace keeps another out of the queue")
+		r.expectRefused(ls[2], fault.QueueFull)
 		r.Expect(r.gate.Stats().Waiting).To(gomega.Equal(4))
 	})
 }
 
-// Replacing the targets must neither lose nor double the count of work in flight.
+// Guards against an update of the targets that loses or doubles the count of requests
+// in flight.
 func TestUpdateInFlight(t *testing.T) {
-	inBubble(t, ready(1, 1), func(r *rig) {
-		both := ready(2, 1)
-		first := r.granted(lookup)
-		w := r.launch("", lookup)
+	inBubble(t, readySnapshot(1, 1), func(r *harness) {
+		both := readySnapshot(2, 1)
+		first := r.mustAcquire(lookup)
+		w := r.start("", lookup)
 		r.gate.Update(both)
 		synctest.Wait()
 		r.Expect(w.grant()).NotTo(gomega.BeNil(), "the added target is not used")
@@ -216,42 +221,44 @@
 		both.Targets[1].State = choose.Closed
 		r.gate.Update(both)
 		w.grant().Release(limit.Served)
-		stuck := r.waits(r.launch("", lookup), "a closed target received a grant")
+		stuck := r.expectWaiting(r.start("", lookup), "a closed target received a grant")
 		r.gate.Update(&limit.Snapshot{})
 		synctest.Wait()
-		r.refused(stuck, fault.NoTarget)
+		r.expectRefused(stuck, fault.NoTarget)
 		first.Release(limit.Served)
 		r.Expect(r.gate.InUse()).To(gomega.BeEmpty())
 	})
 }
 
-// A retry must go elsewhere, and fail at once if there is nowhere else.
+// Guards against a retry that is sent to an excluded target again, or that waits if no
+// other target is left.
 func TestExclude(t *testing.T) {
-	inBubble(t, ready(2, 1), func(r *rig) {
+	inBubble(t, readySnapshot(2, 1), func(r *harness) {
 		again := lookup
 		again.Exclude = []fleet.TargetID{"t00"}
-		r.Expect(r.granted(again).Target).To(gomega.Equal(fleet.TargetID("t01")))
-		held := r.granted(lookup)
-		w, plain := r.launch("", again), r.launch("", lookup)
+		r.Expect(r.mustAcquire(again).Target).To(gomega.Equal(fleet.TargetID("t01")))
+		held := r.mustAcquire(lookup)
+		w, plain := r.start("", again), r.start("", lookup)
 		held.Release(limit.Served)
 		synctest.Wait()
 		r.Expect(plain.grant()).NotTo(gomega.BeNil(), "a free slot idles behind a request that excludes it")
-		r.waits(w, "an excluded target was granted")
+		r.expectWaiting(w, "an excluded target was granted")
 		again.Exclude = []fleet.TargetID{"t00", "t01"}
-		r.refused(r.launch("", again), fault.NoTarget)
+		r.expectRefused(r.start("", again), fault.NoTarget)
 	})
 }
 
-// A shed response halves the share for a second.
-func TestShed(t *testing.T) {
-	inBubble(t, ready(1, 4), func(r *rig) {
-		r.granted(lookup)
-		r.granted(lookup)
-		r.granted(lookup).Release(limit.Shed)
-		c := r.launch("", lookup)
-		later(time.Second - time.Nanosecond)
-		r.waits(c, "the share is not halved for a second")
-		later(time.Nanosecond)
-		r.Expect(c.grant()).NotTo(gomega.BeNil(), "the share stays halved for more than a second")
+// Guards against a target that receives its full load within a second after it has shed
+// a request.
+func TestShedHalvesLimit(t *testing.T) {
+	inBubble(t, readySnapshot(1, 4), func(r *harness) {
+		r.mustAcquire(lookup)
+		r.mustAcquire(lookup)
+		r.mustAcquire(lookup).Release(limit.Shed)
+		c := r.start("", lookup)
+		advance(time.Second - time.Nanosecond)
+		r.expectWaiting(c, "the limit is not halved for a second")
+		advance(time.Nanosecond)
+		r.Expect(c.grant()).NotTo(gomega.BeNil(), "the limit stays halved for more than a second")
 	})
 }
--- a/core/limit/peers_test.go
+++ b/core/limit/peers_test.go
@@ -12,103 +12,105 @@
 	"wisteriarelay.example/core/limit"
 )
 
-// loads reports n requests at each of the first targets.
+// loads returns a report of n requests in flight at each of the first targets.
 func loads(targets int, n float64) (l []limit.Load) {
-	for _, t := range ready(targets, 1).Targets {
+	for _, t := range readySnapshot(targets, 1).Targets {
 		l = append(l, limit.Load{Target: t.ID, InFlight: n})
 	}
 	return l
 }
 
-// Own and peers' work together must stay within the slots but for this daemon's
-// share, which is one slot of each target here.
-func TestPeersTakeSlots(t *testing.T) {
-	inBubble(t, ready(4, 2), func(r *rig) {
+// Guards against more work at a target than it has slots: this daemon's requests and
+// those reported by peers must stay within the slots, except that this daemon may always
+// use its quota, which is one slot of each target here.
+func TestPeerLoadLimitsGrants(t *testing.T) {
+	inBubble(t, readySnapshot(4, 2), func(r *harness) {
 		r.gate.SetPeer("p", append(loads(1, 2), limit.Load{Target: "t01", InFlight: 1}), time.Now())
 		for range 6 {
-			r.granted(lookup)
+			r.mustAcquire(lookup)
 		}
 		r.Expect(r.gate.InUse()).To(gomega.Equal(map[fleet.TargetID]int{"t00": 1, "t01": 1, "t02": 2, "t03": 2}))
-		w := r.waits(r.launch("", lookup), "a slot in use by a peer was granted")
+		w := r.expectWaiting(r.start("", lookup), "a slot in use by a peer was granted")
 		r.gate.SetPeer("p", nil, time.Now())
 		synctest.Wait()
 		r.Expect(w.grant()).NotTo(gomega.BeNil(), "a slot that a peer freed is not used")
 	})
 }
 
-// The shares of the daemons must add up to the slots, also when each daemon claims
-// all slots in its reports.
-func TestSharesAddUp(t *testing.T) {
+// Guards against quotas that leave slots unused or assign them twice: the quotas of all
+// daemons must add up to the slots, also if each daemon reports all slots as in use.
+func TestQuotasAddUpToSlots(t *testing.T) {
 	used := map[fleet.TargetID]int{}
 	for i := range 6 {
-		inBubble(t, near(10, 2, i), func(r *rig) {
+		inBubble(t, daemonSnapshot(10, 2, i), func(r *harness) {
 			vm := func(i int) fleet.VMID { return fleet.VMID(fmt.Sprint("vm", i)) }
-			r.gate = limit.New(vm(i), limit.WithSnapshot(near(10, 2, i)))
+			r.gate = limit.New(vm(i), limit.WithSnapshot(daemonSnapshot(10, 2, i)))
 			for p := range 6 {
 				if p != i {
 					r.gate.SetPeer(vm(p), loads(10, 2), time.Now())
 				}
 			}
 			for range 20 {
-				r.launch("", lookup)
+				r.start("", lookup)
 			}
 			for id, n := range r.gate.InUse() {
 				used[id] += n
 			}
 		})
 	}
-	for _, target := range ready(10, 2).Targets {
+	for _, target := range readySnapshot(10, 2).Targets {
 		gomega.NewWithT(t).Expect(used[target.ID]).To(gomega.Equal(2), string(target.ID))
 	}
 }
 
-// A daemon without a share must still be served.
-func TestNoShare(t *testing.T) {
-	inBubble(t, ready(1, 1), func(r *rig) {
+// Guards against a daemon without a quota that never receives a slot.
+func TestDaemonWithoutQuotaIsServed(t *testing.T) {
+	inBubble(t, readySnapshot(1, 1), func(r *harness) {
 		for p := range 20 {
 			r.gate.SetPeer(fleet.VMID(fmt.Sprint("p", p)), loads(1, 1), time.Now())
 		}
-		r.granted(lookup)
-		r.waits(r.launch("", lookup), "more than one slot without a share")
+		r.mustAcquire(lookup)
+		r.expectWaiting(r.start("", lookup), "more than one slot without a quota")
 	})
 }
 
-// A report that arrives after a newer one must not replace it.
+// Guards against a report that arrives late and replaces a newer one.
 func TestOldReportIsIgnored(t *testing.T) {
-	inBubble(t, ready(1, 2), func(r *rig) {
+	inBubble(t, readySnapshot(1, 2), func(r *harness) {
 		time.Sleep(time.Second)
 		r.gate.SetPeer("p", loads(1, 1), time.Now())
 		r.gate.SetPeer("p", nil, time.Now().Add(-time.Second))
-		r.granted(lookup)
-		r.waits(r.launch("", lookup), "the older report was used")
+		r.mustAcquire(lookup)
+		r.expectWaiting(r.start("", lookup), "the older report was used")
 	})
 }
 
-// A daemon must be served although its peers report all slots as theirs, for ever
-// or for the last time; what an unheard peer holds decays.
-func TestStaleReportsDoNotStarve(t *testing.T) {
-	inBubble(t, ready(4, 2), func(r *rig) {
+// Guards against a daemon that receives no slots because its peers report all of them
+// as in use, repeatedly or in a last report before they fall silent. The load of a silent
+// peer must decay.
+func TestSilentPeersDoNotStarveDaemon(t *testing.T) {
+	inBubble(t, readySnapshot(4, 2), func(r *harness) {
 		r.gate.SetPeer("p", loads(4, 2), time.Now())
 		r.gate.SetPeer("q", loads(4, 100), time.Now())
-		r.granted(lookup)
-		r.granted(lookup)
-		w := r.waits(r.launch("", lookup), "more than the share of 8 slots among 3 daemons")
-		later(15 * time.Second)
-		r.Expect(w.grant()).NotTo(gomega.BeNil(), "the share of an unheard peer does not decay")
+		r.mustAcquire(lookup)
+		r.mustAcquire(lookup)
+		w := r.expectWaiting(r.start("", lookup), "more than the quota of 8 slots among 3 daemons")
+		advance(15 * time.Second)
+		r.Expect(w.grant()).NotTo(gomega.BeNil(), "the load of a silent peer does not decay")
 		r.gate.SetPeer("p", loads(4, 2), time.Now())
-		r.granted(lookup)
-		rest := r.waits(r.launch("", lookup), "more than the share of 8 slots among 2 daemons")
+		r.mustAcquire(lookup)
+		rest := r.expectWaiting(r.start("", lookup), "more than the quota of 8 slots among 2 daemons")
 		r.gate.DropPeer("p")
 		synctest.Wait()
 		r.Expect(rest.grant()).NotTo(gomega.BeNil(), "a peer that left keeps its slots")
 	})
 }
 
-// The report is the mean since the last one, so that one instant does not stand for
-// an interval.
+// Guards against a report that holds the requests in flight at one moment instead of
+// their mean since the last report.
 func TestReportIsMean(t *testing.T) {
-	inBubble(t, ready(1, 2), func(r *rig) {
-		gr := r.granted(lookup)
+	inBubble(t, readySnapshot(1, 2), func(r *harness) {
+		gr := r.mustAcquire(lookup)
 		time.Sleep(500 * time.Millisecond)
 		gr.Release(limit.Served)
 		time.Sleep(1500 * time.Millisecond)
--- a/core/limit/property_test.go
+++ b/core/limit/property_test.go
@@ -17,9 +17,9 @@
 	"wisteriarelay.example/core/limit"
 )
 
-// model repeats random operations on a gate and counts its grants exactly.
-type model struct {
-	*rig
+// stateModel runs random operations on a gate and keeps an exact count of its grants.
+type stateModel struct {
+	*harness
 	rng   *rand.Rand
 	snap  *limit.Snapshot
 	peers bool
@@ -27,12 +27,12 @@
 	held  map[fleet.TargetID]int
 }
 
-func (m *model) step() {
+func (m *stateModel) step() {
 	switch n := m.rng.IntN(20); {
 	case n < 8:
-		m.calls = append(m.calls, m.launch("", m.ask()))
+		m.calls = append(m.calls, m.start("", m.newRequest()))
 	case n < 14 && len(m.calls) > 0:
-		m.end(m.calls[m.rng.IntN(len(m.calls))], limit.Result(m.rng.IntN(4)))
+		m.finish(m.calls[m.rng.IntN(len(m.calls))], limit.Result(m.rng.IntN(4)))
 	case n < 16:
 		m.snap = m.snapshot()
 		m.gate.Update(m.snap)
@@ -44,33 +44,33 @@
 	synctest.Wait()
 }
 
-func (m *model) ask() limit.Ask {
-	a := ask(fleet.Kind(m.rng.IntN(3)), fleet.WorkspaceID(fmt.Sprint("w", m.rng.IntN(4))))
+func (m *stateModel) newRequest() limit.Ask {
+	a := newRequest(fleet.Kind(m.rng.IntN(3)), fleet.WorkspaceID(fmt.Sprint("w", m.rng.IntN(4))))
 	if m.rng.IntN(4) == 0 {
 		a.Exclude = []fleet.TargetID{fleet.TargetID(fmt.Sprintf("t%02d", m.rng.IntN(6)))}
 	}
 	if m.rng.IntN(2) == 0 {
-		a = within(a, time.Duration(m.rng.IntN(2000))*time.Millisecond)
+		a = withDeadline(a, time.Duration(m.rng.IntN(2000))*time.Millisecond)
 	}
 	return a
 }
 
-// end releases the grant of c, or cancels c if it waits.
-func (m *model) end(c *call, r limit.Result) {
+// finish releases the grant of c, or cancels c if it waits.
+func (m *stateModel) finish(c *call, r limit.Result) {
 	c.cancel()
 	if c.grant() == nil {
 		return
 	}
-	if c.seen {
-		c.seen = false
+	if c.counted {
+		c.counted = false
 		m.held[c.grant().Target]--
 	}
 	c.grant().Release(r)
 }
 
-func (m *model) snapshot() *limit.Snapshot {
+func (m *stateModel) snapshot() *limit.Snapshot {
 	s := &limit.Snapshot{QueueLength: 1 + m.rng.IntN(10)}
-	for _, t := range ready(6, 2).Targets {
+	for _, t := range readySnapshot(6, 2).Targets {
 		if m.rng.IntN(4) > 0 {
 			t.Slots, t.State = 1+m.rng.IntN(3), choose.State(m.rng.IntN(5))
 			t.Weight, t.TrialAllowed = m.rng.Float64(), m.rng.IntN(2) == 0
@@ -81,7 +81,7 @@
 }
 
 // check compares the gate with the model.
-func (m *model) check() {
+func (m *stateModel) check() {
 	targets := map[fleet.TargetID]limit.Target{}
 	for _, t := range m.snap.Targets {
 		targets[t.ID] = t
@@ -90,10 +90,10 @@
 	for _, c := range m.calls {
 		if !c.done() {
 			waiting++
-			plain = plain || (c.ask.Kind == fleet.Lookup && len(c.ask.Exclude) == 0)
+			plain = plain || (c.req.Kind == fleet.Lookup && len(c.req.Exclude) == 0)
 		}
-		if gr := c.grant(); gr != nil && !c.seen && c.name == "" {
-			c.seen, c.name = true, "granted"
+		if gr := c.grant(); gr != nil && !c.counted && c.name == "" {
+			c.counted, c.name = true, "granted"
 			m.held[gr.Target]++
 			m.Expect(targets[gr.Target].State).NotTo(gomega.Equal(choose.Closed), "%s was granted while closed", gr.Target)
 			m.Expect(m.held[gr.Target]).To(gomega.BeNumerically("<=", targets[gr.Target].Slots), "%s has no slot", gr.Target)
@@ -115,12 +115,12 @@
 	}
 }
 
-// Any order of operations must keep the exact count of slots in use and, without
-// peers, leave no slot idle while a lookup waits.
-func TestAccounting(t *testing.T) {
+// Guards against orders of operations that lose the exact count of slots in use or,
+// without peers, leave a slot idle while a lookup waits.
+func TestRandomOperationsKeepCounts(t *testing.T) {
 	for seed := range uint64(40) {
-		inBubble(t, ready(6, 2), func(r *rig) {
-			m := &model{rig: r, rng: rand.New(rand.NewPCG(seed, 1)), peers: seed%2 == 0, held: map[fleet.TargetID]int{}}
+		inBubble(t, readySnapshot(6, 2), func(r *harness) {
+			m := &stateModel{harness: r, rng: rand.New(rand.NewPCG(seed, 1)), peers: seed%2 == 0, held: map[fleet.TargetID]int{}}
 			m.snap = m.snapshot()
 			r.gate.Update(m.snap)
 			for range 300 {
@@ -128,7 +128,7 @@
 				m.check()
 			}
 			for _, c := range m.calls {
-				m.end(c, limit.Served)
+				m.finish(c, limit.Served)
 				synctest.Wait()
 			}
 			r.Expect(r.gate.InUse()).To(gomega.BeEmpty(), "seed %d", seed)
@@ -137,23 +137,24 @@
 	}
 }
 
-// crowd uses a gate from many goroutines and watches the targets' slots.
-type crowd struct {
+// stressTest uses a gate from many goroutines and checks that the targets' slots are
+// not exceeded.
+type stressTest struct {
 	sync.WaitGroup
-	gate *limit.Gate
-	held [6]atomic.Int64
-	over atomic.Int64
+	gate      *limit.Gate
+	held      [6]atomic.Int64
+	overSlots atomic.Int64
 }
 
-func (c *crowd) run(seed uint64) {
+func (c *stressTest) run(seed uint64) {
 	defer c.Done()
 	rng := rand.New(rand.NewPCG(seed, 2))
 	for range 300 {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(rng.IntN(2000))*time.Microsecond)
-		if gr, err := c.gate.Acquire(ctx, ask(fleet.Kind(rng.IntN(3)), fleet.WorkspaceID(fmt.Sprint(rng.IntN(3))))); err == nil {
+		if gr, err := c.gate.Acquire(ctx, newRequest(fleet.Kind(rng.IntN(3)), fleet.WorkspaceID(fmt.Sprint(rng.IntN(3))))); err == nil {
 			n := &c.held[gr.Target[2]-'0']
 			if n.Add(1) > 2 {
-				c.over.Add(1)
+				c.overSlots.Add(1)
 			}
 			n.Add(-1)
 			gr.Release(limit.Result(rng.IntN(4)))
@@ -162,20 +163,20 @@
 	}
 }
 
-// Concurrent use must neither exceed the slots nor lose any.
-func TestCrowd(t *testing.T) {
+// Guards against concurrent use that exceeds the slots or loses some.
+func TestConcurrentUse(t *testing.T) {
 	g := gomega.NewWithT(t)
-	c := &crowd{gate: limit.New("vm", limit.WithSnapshot(ready(6, 2)))}
+	c := &stressTest{gate: limit.New("vm", limit.WithSnapshot(readySnapshot(6, 2)))}
 	c.Add(16)
 	for i := range 16 {
 		go c.run(uint64(i))
 	}
 	for i := range 200 {
-		c.gate.Update(&limit.Snapshot{Targets: ready(6, 2).Targets[i%3:]})
+		c.gate.Update(&limit.Snapshot{Targets: readySnapshot(6, 2).Targets[i%3:]})
 		c.gate.SetPeer("p", loads(i%3, 1), time.Now())
 	}
 	c.Wait()
-	g.Expect(c.over.Load()).To(gomega.BeZero())
+	g.Expect(c.overSlots.Load()).To(gomega.BeZero())
 	g.Expect(c.gate.InUse()).To(gomega.BeEmpty())
 	g.Expect(c.gate.Stats().Waiting).To(gomega.BeZero())
 }
--- a/core/limit/sim_test.go
+++ b/core/limit/sim_test.go
@@ -16,17 +16,18 @@
 )
 
 const (
-	simSeeds    = 5
-	simSpan     = 60 * time.Second
-	simService  = 40 * time.Millisecond
-	simReports  = 3 * time.Second
-	simTargets  = 10
-	simSlots    = 2
-	simCapacity = simTargets * simSlots * float64(time.Second/simService) // requests per second
+	simSeeds          = 5
+	simDuration       = 60 * time.Second
+	simService        = 40 * time.Millisecond
+	simReportInterval = 3 * time.Second
+	simTargets        = 10
+	simSlots          = 2
+	simCapacity       = simTargets * simSlots * float64(time.Second/simService) // requests per second
 )
 
-// virtual runs f in a bubble: benchmarks of behaviour measure virtual time.
-func virtual(b *testing.B, f func()) {
+// runVirtual runs f in a synctest bubble, so that a benchmark of behaviour runs in
+// virtual time.
+func runVirtual(b *testing.B, f func()) {
 	b.Helper()
 	all := func(string, string) (bool, error) { return true, nil }
 	bubble := func(t *testing.T) { synctest.Test(t, func(*testing.T) { f() }) }
@@ -35,91 +36,92 @@
 	}
 }
 
-// world is a set of fake targets behind gates. Work above a target's slots waits at
-// the target; mu guards what follows it.
-type world struct {
+// simulation is a set of simulated targets and of daemons with one gate each. Requests
+// above a target's slots wait at the target. mu guards the fields below it.
+type simulation struct {
 	sync.WaitGroup
 	gates []*limit.Gate
 	slots map[fleet.TargetID]chan struct{}
 	stop  chan struct{}
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	busy    map[fleet.TargetID]int
-	began   map[fleet.TargetID]int
-	moved   time.Time
-	over    time.Duration
-	offered [3]int
-	inTime  [3]int
-	late    int
-	waits   []time.Duration
+	mu         sync.Mutex
+	rng        *rand.Rand
+	inFlight   map[fleet.TargetID]int
+	started    map[fleet.TargetID]int
+	lastChange time.Time
+	overSlots  time.Duration
+	offered    [3]int
+	inTime     [3]int
+	lateGrants int
+	waits      []time.Duration
 }
 
-func newWorld(daemons int, seed uint64) *world {
-	w := &world{
-		rng: rand.New(rand.NewPCG(seed, 3)), busy: map[fleet.TargetID]int{}, began: map[fleet.TargetID]int{}, moved: time.Now(),
+func newSimulation(daemons int, seed uint64) *simulation {
+	w := &simulation{
+		rng: rand.New(rand.NewPCG(seed, 3)), inFlight: map[fleet.TargetID]int{}, started: map[fleet.TargetID]int{}, lastChange: time.Now(),
 		slots: map[fleet.TargetID]chan struct{}{}, stop: make(chan struct{}),
 	}
 	for i := range daemons {
 		vm := fleet.VMID(fmt.Sprint("vm", i))
-		w.gates = append(w.gates, limit.New(vm, limit.WithSeed(seed), limit.WithSnapshot(near(simTargets, simSlots, i))))
+		w.gates = append(w.gates, limit.New(vm, limit.WithSeed(seed), limit.WithSnapshot(daemonSnapshot(simTargets, simSlots, i))))
 	}
-	for _, t := range ready(simTargets, simSlots).Targets {
+	for _, t := range readySnapshot(simTargets, simSlots).Targets {
 		w.slots[t.ID] = make(chan struct{}, simSlots)
 	}
 	return w
 }
 
-// move changes the work at a target and adds up the time above the slots.
-func (w *world) move(id fleet.TargetID, n int) {
+// changeInFlight changes the number of requests at a target by n and adds up the time
+// that targets spend above their slots.
+func (w *simulation) changeInFlight(id fleet.TargetID, n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, k := range w.busy {
+	for _, k := range w.inFlight {
 		if k > simSlots {
-			w.over += time.Since(w.moved)
+			w.overSlots += time.Since(w.lastChange)
 		}
 	}
-	w.moved = time.Now()
-	w.busy[id] += n
+	w.lastChange = time.Now()
+	w.inFlight[id] += n
 	if n > 0 {
-		w.began[id]++
+		w.started[id]++
 	}
 }
 
-// request is one simulated request.
-type request struct {
-	ask     limit.Ask
+// simRequest is one simulated request.
+type simRequest struct {
+	req     limit.Ask
 	service time.Duration
 }
 
-func (q request) run(w *world, g *limit.Gate) {
+func (q simRequest) run(w *simulation, g *limit.Gate) {
 	defer w.Done()
-	gr, err := g.Acquire(context.Background(), q.ask)
+	gr, err := g.Acquire(context.Background(), q.req)
 	if err != nil {
 		return
 	}
-	w.move(gr.Target, 1)
+	w.changeInFlight(gr.Target, 1)
 	w.slots[gr.Target] <- struct{}{}
 	time.Sleep(q.service)
 	<-w.slots[gr.Target]
-	w.move(gr.Target, -1)
+	w.changeInFlight(gr.Target, -1)
 	gr.Release(limit.Served)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if q.ask.Kind != fleet.Batch {
+	if q.req.Kind != fleet.Batch {
 		w.waits = append(w.waits, gr.Waited)
 	}
-	if time.Now().After(q.ask.Deadline) {
-		w.late++
+	if time.Now().After(q.req.Deadline) {
+		w.lateGrants++
 		return
 	}
-	w.inTime[q.ask.Kind]++
+	w.inTime[q.req.Kind]++
 }
 
-// loop sends the work of gate i to the other gates at the interval of the reports.
-func (w *world) loop(i int) {
-	time.Sleep(simReports * time.Duration(i) / time.Duration(len(w.gates)))
-	tick := time.NewTicker(simReports)
+// loop sends the loads of gate i to the other gates at the interval of the reports.
+func (w *simulation) loop(i int) {
+	time.Sleep(simReportInterval * time.Duration(i) / time.Duration(len(w.gates)))
+	tick := time.NewTicker(simReportInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -127,37 +129,39 @@
 			return
 		case <-tick.C:
 		}
-		work := w.gates[i].InFlight()
+		loads := w.gates[i].InFlight()
 		for j, g := range w.gates {
 			if j != i {
-				g.SetPeer(fleet.VMID(fmt.Sprint("vm", i)), work, time.Now())
+				g.SetPeer(fleet.VMID(fmt.Sprint("vm", i)), loads, time.Now())
 			}
 		}
 	}
 }
 
-// mixed is 60% lookups, 20% orders and 20% batch from 8 workspaces.
-func (w *world) mixed() request {
+// mixedRequest returns a random request: 60% lookups, 20% orders and 20% batch, from
+// 8 workspaces.
+func (w *simulation) mixedRequest() simRequest {
 	ws := fleet.WorkspaceID(fmt.Sprint("w", w.rng.IntN(8)))
-	q := request{service: time.Duration(w.rng.ExpFloat64() * float64(simService))}
+	q := simRequest{service: time.Duration(w.rng.ExpFloat64() * float64(simService))}
 	switch n := w.rng.IntN(10); {
 	case n < 6:
-		q.ask = within(ask(fleet.Lookup, ws), time.Duration(100+w.rng.IntN(400))*time.Millisecond)
+		q.req = withDeadline(newRequest(fleet.Lookup, ws), time.Duration(100+w.rng.IntN(400))*time.Millisecond)
 	case n < 8:
-		q.ask = within(ask(fleet.Order, ws), 500*time.Millisecond)
+		q.req = withDeadline(newRequest(fleet.Order, ws), 500*time.Millisecond)
 	default:
-		q.ask = within(ask(fleet.Batch, ws), 5*time.Second)
+		q.req = withDeadline(newRequest(fleet.Batch, ws), 5*time.Second)
 	}
 	return q
 }
 
-// load sends requests to random gates at a part of the capacity of the targets.
-func (w *world) load(factor float64, span time.Duration) {
+// offerLoad sends requests to random gates; factor is their rate relative to the
+// capacity of the targets.
+func (w *simulation) offerLoad(factor float64, span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); {
 		w.mu.Lock()
 		gap := time.Duration(w.rng.ExpFloat64() / factor / simCapacity * float64(time.Second))
-		q, g := w.mixed(), w.gates[w.rng.IntN(len(w.gates))]
-		w.offered[q.ask.Kind]++
+		q, g := w.mixedRequest(), w.gates[w.rng.IntN(len(w.gates))]
+		w.offered[q.req.Kind]++
 		w.mu.Unlock()
 		w.Add(1)
 		go q.run(w, g)
@@ -165,21 +169,21 @@
 	}
 }
 
-// start starts the reports of the gates.
-func (w *world) start() {
+// startReports starts the reports of the gates.
+func (w *simulation) startReports() {
 	for i := range w.gates {
 		go w.loop(i)
 	}
 }
 
-// end waits for the requests and ends the reports.
-func (w *world) end() {
+// stopReports waits for the requests and stops the reports.
+func (w *simulation) stopReports() {
 	w.Wait()
 	close(w.stop)
 }
 
-// figures adds the measured figures to sums, refusals in percent of all requests.
-func (w *world) figures(sums map[string]float64) {
+// addFigures adds the measured values to sums; refusals are in percent of all requests.
+func (w *simulation) addFigures(sums map[string]float64) {
 	for k, n := range w.offered {
 		sums["%"+fleet.Kind(k).String()+"-in-time"] += 100 * float64(w.inTime[k]) / float64(n)
 	}
@@ -190,25 +194,26 @@
 		sums["%refused-late"] += percent * float64(s.RefusedLate)
 		sums["%refused-full"] += percent * float64(s.RefusedFull)
 	}
-	sums["%granted-too-late"] += percent * float64(w.late)
-	sums["%over-slots"] += 100 * float64(w.over) / float64(simSpan*simTargets)
+	sums["%granted-too-late"] += percent * float64(w.lateGrants)
+	sums["%over-slots"] += 100 * float64(w.overSlots) / float64(simDuration*simTargets)
 	slices.Sort(w.waits)
 	sums["p99-urgent-wait-ms"] += float64(w.waits[len(w.waits)*99/100].Milliseconds())
 }
 
-// BenchmarkLoad reports the means over five seeds of what callers and targets see.
+// BenchmarkLoad reports refusals, waits and the overload of targets as means over five
+// seeds.
 func BenchmarkLoad(b *testing.B) {
 	for _, daemons := range []int{1, 6} {
 		for _, factor := range []float64{0.3, 0.6, 0.9, 2} {
 			b.Run(fmt.Sprintf("daemons=%d/load=%v", daemons, factor), func(b *testing.B) {
 				sums := map[string]float64{}
 				for seed := range uint64(simSeeds) {
-					virtual(b, func() {
-						w := newWorld(daemons, seed)
-						w.start()
-						w.load(factor, simSpan)
-						w.end()
-						w.figures(sums)
+					runVirtual(b, func() {
+						w := newSimulation(daemons, seed)
+						w.startReports()
+						w.offerLoad(factor, simDuration)
+						w.stopReports()
+						w.addFigures(sums)
 					})
 				}
 				for unit, sum := range sums {
@@ -219,30 +224,31 @@
 	}
 }
 
-// BenchmarkHerd closes three of ten targets for 6 s and opens them again, fifty times.
-// It reports the mean part of the work of the next 100 ms that the busiest of the
-// three receives, if they return ready and in slow start.
+// BenchmarkHerd measures how many requests herd to a target that becomes usable again.
+// It closes three of ten targets for 6 s and opens them again, fifty times, in the state
+// ready or in slow start. It reports the fraction of the requests in the next 100 ms
+// that the busiest of the three receives.
 func BenchmarkHerd(b *testing.B) {
 	for _, back := range []limit.Target{{State: choose.Ready}, {State: choose.SlowStart, Weight: 0.1}} {
 		for _, factor := range []float64{0.3, 0.6} {
 			b.Run(fmt.Sprintf("weight=%v/load=%v", back.Weight, factor), func(b *testing.B) {
 				most, all := 0, 0
-				virtual(b, func() {
-					w := newWorld(6, 1)
-					w.start()
+				runVirtual(b, func() {
+					w := newSimulation(6, 1)
+					w.startReports()
 					for range 50 {
 						w.reopen(limit.Target{State: choose.Closed})
-						w.load(factor, 6*time.Second)
+						w.offerLoad(factor, 6*time.Second)
 						w.reopen(back)
-						w.load(factor, 100*time.Millisecond)
+						w.offerLoad(factor, 100*time.Millisecond)
 						w.mu.Lock()
-						most += max(w.began["t00"], w.began["t01"], w.began["t02"])
-						for _, n := range w.began {
+						most += max(w.started["t00"], w.started["t01"], w.started["t02"])
+						for _, n := range w.started {
 							all += n
 						}
 						w.mu.Unlock()
 					}
-					w.end()
+					w.stopReports()
 				})
 				b.ReportMetric(100*float64(most)/float64(all), "%herd")
 			})
@@ -250,10 +256,10 @@
 	}
 }
 
-// reopen gives three targets the state of a target at all gates and counts anew.
-func (w *world) reopen(state limit.Target) {
+// reopen sets three targets to the given state at all gates and resets the counts.
+func (w *simulation) reopen(state limit.Target) {
 	for i, g := range w.gates {
-		s := near(simTargets, simSlots, i)
+		s := daemonSnapshot(simTargets, simSlots, i)
 		for k := range s.Targets[:3] {
 			s.Targets[k].State, s.Targets[k].Weight = state.State, state.Weight
 		}
@@ -261,5 +267,5 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	clear(w.began)
+	clear(w.started)
 }
