--- a/core/link/conn.go
+++ b/core/link/conn.go
@@ -10,84 +10,87 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxHeadBytes bounds the head of a response, as net/http does for requests by default.
+// maxHeadBytes is the maximum size of a response head, so that a target cannot exhaust
+// the memory with a head without end.
 const maxHeadBytes = 64 << 10
 
-const bufferBytes = 4 << 10
+const bufferSize = 4 << 10
 
 var errHeadTooLarge = errors.New("response head is larger than 64 KiB")
 
-// conn is one connection to a target with its buffers.
+// conn is a connection to a target with its buffers.
 type conn struct {
-	net      net.Conn
-	reader   *bufio.Reader
-	writer   *bufio.Writer
-	lastUsed time.Time
-	sent     int64
-	// used says that the connection carried an exchange before.
-	used bool
-	// keepAlive is the idle time after which the target closes the connection,
-	// as it stated; 0 if it did not.
-	keepAlive time.Duration
-	// headLeft counts down the bytes that response heads may still take while
-	// limited is set.
-	headLeft int64
-	limited  bool
+	netConn   net.Conn
+	reader    *bufio.Reader
+	writer    *bufio.Writer
+	lastUsed  time.Time
+	bytesSent int64
+	// reused is set if the connection carried an exchange before the current one.
+	reused bool
+	// keepAliveTimeout is the idle time after which the target closes the
+	// connection, from its Keep-Alive header; 0 if it sent none.
+	keepAliveTimeout time.Duration
+	// headBytesLeft is the number of bytes that response heads may still have. It
+	// applies while readingHead is set.
+	headBytesLeft int64
+	readingHead   bool
 }
 
 func newConn(n net.Conn) *conn {
-	c := &conn{net: n}
-	c.reader = bufio.NewReaderSize(readFrom{c}, bufferBytes)
-	c.writer = bufio.NewWriterSize(writeTo{c}, bufferBytes)
+	c := &conn{netConn: n}
+	c.reader = bufio.NewReaderSize(limitedReader{c}, bufferSize)
+	c.writer = bufio.NewWriterSize(countingWriter{c}, bufferSize)
 	return c
 }
 
-// readFrom applies the limit on response heads.
-type readFrom struct{ c *conn }
+// limitedReader reads from the connection and applies the limit on response heads.
+type limitedReader struct{ c *conn }
 
-// Read fails once a response head has used up its limit.
-func (r readFrom) Read(p []byte) (int, error) {
-	if !r.c.limited {
-		return r.c.net.Read(p)
+// Read returns errHeadTooLarge once a response head exceeds its limit.
+func (r limitedReader) Read(p []byte) (int, error) {
+	if !r.c.readingHead {
+		return r.c.netConn.Read(p)
 	}
-	if r.c.headLeft <= 0 {
+	if r.c.headBytesLeft <= 0 {
 		return 0, errHeadTooLarge
 	}
-	n, err := r.c.net.Read(p[:min(int64(len(p)), r.c.headLeft)])
-	r.c.headLeft -= int64(n)
+	n, err := r.c.netConn.Read(p[:min(int64(len(p)), r.c.headBytesLeft)])
+	r.c.headBytesLeft -= int64(n)
 	return n, err
 }
 
-// writeTo counts the bytes that left the process, which decides whether a
-// failed request may have been acted on.
-type writeTo struct{ c *conn }
+// countingWriter writes to the connection and counts the bytes. The count decides
+// whether the target may have acted on a failed request.
+type countingWriter struct{ c *conn }
 
-// Write passes the bytes on and counts them.
-func (w writeTo) Write(p []byte) (int, error) {
-	n, err := w.c.net.Write(p)
-	w.c.sent += int64(n)
+// Write writes p to the connection and adds the written bytes to bytesSent.
+func (w countingWriter) Write(p []byte) (int, error) {
+	n, err := w.c.netConn.Write(p)
+	w.c.bytesSent += int64(n)
 	return n, err
 }
 
-// closeMargin is how long before the stated end of its idle time a connection
-// is no longer reused: a request that crosses the close has an unknown outcome.
-const closeMargin = time.Second
+// keepAliveMargin is how long before the keep-alive timeout a connection is no
+// longer reused. If the target closes it while a request is on the way, the outcome
+// of the request is unknown.
+const keepAliveMargin = time.Second
 
-// idleLimit returns the longest idle time after which the connection may be reused.
-func (c *conn) idleLimit() time.Duration {
-	if c.keepAlive == 0 {
+// maxIdle returns the longest idle time after which the connection may be reused,
+// from the target's keep-alive timeout.
+func (c *conn) maxIdle() time.Duration {
+	if c.keepAliveTimeout == 0 {
 		return time.Duration(math.MaxInt64)
 	}
-	return c.keepAlive - closeMargin
+	return c.keepAliveTimeout - keepAliveMargin
 }
 
-// alive reports whether an idle connection is open and holds no bytes; bytes
-// on an idle connection belong to no request.
+// alive reports whether an idle connection is open and has no unread bytes, which
+// would belong to no request.
 func (c *conn) alive() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	sc, ok := c.net.(syscall.Conn)
+	sc, ok := c.netConn.(syscall.Conn)
 	if !ok {
 		return true
 	}
@@ -106,5 +109,5 @@
 }
 
 func (c *conn) close() {
-	_ = c.net.Close()
+	_ = c.netConn.Close()
 }
--- a/core/link/doc.go
+++ b/core/link/doc.go
@@ -1,6 +1,6 @@
-// Package link carries HTTP/1.1 exchanges with one target over pooled
-// connections. A connection is reused only after an exchange that ended
-// exactly as framed; after an overdue, abandoned, truncated or unexpected
-// response it is closed. A request is written at most once: nothing here
-// retries, because the caller must know whether a byte may have been acted on.
+// Package link is an HTTP/1.1 client with a connection pool for one target. A
+// connection is reused only if the response ended exactly where its framing says;
+// after a timed out, cancelled, truncated or unexpected response it is closed. A
+// request is written at most once. The package never retries, because its user must
+// know whether the target may have acted on a part of the request.
 package link
--- a/core/link/failure.go
+++ b/core/link/error.go
@@ -22,7 +22,7 @@
 	StageWrite
 	// StageHead means that the request was sent and no whole response head came back.
 	StageHead
-	// StageBody means that the response broke off inside its body.
+	// StageBody means that the connection failed while the response body was read.
 	StageBody
 )
 
@@ -31,21 +31,21 @@
 	return [...]string{"dial", "unsent", "write", "head", "body"}[s]
 }
 
-// Failure is the error of an exchange.
+// Failure is the error of a failed exchange.
 type Failure struct {
 	Stage Stage
-	// Refused says that the target's host refused the connection.
+	// Refused is set if the target's host refused the connection.
 	Refused bool
-	// TimedOut says that the deadline passed.
+	// TimedOut is set if the deadline passed.
 	TimedOut bool
-	// Cancelled says that the caller gave the exchange up.
+	// Cancelled is set if the context was cancelled.
 	Cancelled bool
-	// Protocol says that the target broke HTTP/1.1.
+	// Protocol is set if the target violated HTTP/1.1.
 	Protocol bool
 	Cause    error
 }
 
-// Error returns stage and cause on one line.
+// Error returns the stage and the cause.
 func (f *Failure) Error() string {
 	return fmt.Sprintf("exchange failed at %s: %v", f.Stage, f.Cause)
 }
@@ -55,12 +55,13 @@
 	return f.Cause
 }
 
-// Unsent reports whether it is certain that the target saw no byte of the request.
+// Unsent reports whether it is certain that no byte of the request was sent, so that
+// the request can be retried even if it is not idempotent.
 func (f *Failure) Unsent() bool {
 	return f.Stage == StageDial || f.Stage == StageUnsent
 }
 
-func newFailure(ctx context.Context, stage Stage, cause error) *Failure {
+func newError(ctx context.Context, stage Stage, cause error) *Failure {
 	f := &Failure{Stage: stage, Cause: cause}
 	f.Refused = errors.Is(cause, syscall.ECONNREFUSED)
 	var netErr net.Error
@@ -75,6 +76,6 @@
 	return f
 }
 
-func newProtocolFailure(cause error) *Failure {
+func newProtocolError(cause error) *Failure {
 	return &Failure{Stage: StageHead, Protocol: true, Cause: cause}
 }
--- a/core/link/link_test.go
+++ b/core/link/link_test.go
@@ -21,23 +21,24 @@
 	RunSpecs(t, "link")
 }
 
-// script is a target that answers each request on a connection with the next text.
-type script struct {
+// scriptedTarget is a target that answers each request on a connection with the next
+// reply.
+type scriptedTarget struct {
 	replies []string
-	// cut closes the connection after the last reply.
-	cut   bool
-	dials int
-	seen  chan string
+	// closeAtEnd closes the connection after the last reply.
+	closeAtEnd bool
+	dials      int
+	seen       chan string
 }
 
-func (s *script) dial(context.Context, string, string) (net.Conn, error) {
+func (s *scriptedTarget) dial(context.Context, string, string) (net.Conn, error) {
 	s.dials++
-	near, far := net.Pipe()
-	go s.run(far)
-	return near, nil
+	daemonSide, targetSide := net.Pipe()
+	go s.run(targetSide)
+	return daemonSide, nil
 }
 
-func (s *script) run(c net.Conn) {
+func (s *scriptedTarget) run(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for _, reply := range s.replies {
@@ -49,13 +50,13 @@
 		s.seen <- req.Method + " " + req.URL.Path
 		_, _ = io.WriteString(c, reply)
 	}
-	if !s.cut {
+	if !s.closeAtEnd {
 		_, _ = io.Copy(io.Discard, r)
 	}
 }
 
-func newScript(cut bool, replies ...string) *script {
-	return &script{replies: replies, cut: cut, seen: make(chan string, len(replies))}
+func newScriptedTarget(closeAtEnd bool, replies ...string) *scriptedTarget {
+	return &scriptedTarget{replies: replies, closeAtEnd: closeAtEnd, seen: make(chan string, len(replies))}
 }
 
 func get(ctx context.Context, p *Pool, method string) (string, error) {
@@ -81,7 +82,7 @@
 	ctx := context.Background()
 
 	It("reuses a connection after a response that ended as framed", func() {
-		s := newScript(false, okReply, chunkReply, okReply)
+		s := newScriptedTarget(false, okReply, chunkReply, okReply)
 		p := NewPool("target", WithDial(s.dial))
 		for range 3 {
 			Expect(get(ctx, p, "GET")).To(Equal("ok"))
@@ -92,7 +93,7 @@
 
 	DescribeTable("never reuses a connection that could hand one caller another's response",
 		func(reply string) {
-			s := newScript(false, reply, okReply)
+			s := newScriptedTarget(false, reply, okReply)
 			p := NewPool("target", WithDial(s.dial))
 			_, _ = get(ctx, p, "GET")
 			Expect(p.Counts().Idle).To(BeZero())
@@ -107,7 +108,7 @@
 
 	DescribeTable("reports a truncated response, so that it is not taken for a whole one",
 		func(reply string) {
-			p := NewPool("target", WithDial(newScript(true, reply).dial))
+			p := NewPool("target", WithDial(newScriptedTarget(true, reply).dial))
 			_, err := get(ctx, p, "GET")
 			var f *Failure
 			Expect(errors.As(err, &f)).To(BeTrue())
@@ -126,7 +127,7 @@
 	})
 
 	It("does not say so when the target closes after the request", func() {
-		_, err := get(ctx, NewPool("target", WithDial(newScript(true, "").dial)), "POST")
+		_, err := get(ctx, NewPool("target", WithDial(newScriptedTarget(true, "").dial)), "POST")
 		var f *Failure
 		Expect(errors.As(err, &f)).To(BeTrue())
 		Expect(f.Stage).To(Equal(StageHead))
@@ -135,7 +136,7 @@
 
 	It("refuses a response head without end, so that a target cannot exhaust memory", func() {
 		long := "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("a", maxHeadBytes) + "\r\n\r\n"
-		_, err := get(ctx, NewPool("target", WithDial(newScript(false, long).dial)), "GET")
+		_, err := get(ctx, NewPool("target", WithDial(newScriptedTarget(false, long).dial)), "GET")
 		Expect(err).To(MatchError(errHeadTooLarge))
 	})
 
@@ -154,11 +155,12 @@
 	})
 })
 
-// A late response must not reach the next request on the same connection.
-func TestOverdueConnectionIsClosed(t *testing.T) {
+// Guards against a late response that is taken for the response to the next request on
+// the same connection.
+func TestConnectionIsClosedAfterTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		s := newScript(false, "", okReply)
+		s := newScriptedTarget(false, "", okReply)
 		p := NewPool("target", WithDial(s.dial))
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -170,15 +172,16 @@
 	})
 }
 
-// A connection that was idle for long is likelier to be closed by its target
-// while an order is on its way, which would leave the outcome unknown.
-func TestStrictRequestsAvoidLongIdleConnections(t *testing.T) {
+// Guards against a non-idempotent request on a connection that was idle for long: the
+// target is likelier to close it while the request is on the way, which would leave the
+// outcome unknown.
+func TestNonIdempotentRequestsAvoidLongIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		s := newScript(false, okReply, okReply)
+		s := newScriptedTarget(false, okReply, okReply)
 		p := NewPool("target", WithDial(s.dial))
 		g.Expect(get(context.Background(), p, "POST")).To(Equal("ok"))
-		time.Sleep(2 * strictIdle)
+		time.Sleep(2 * nonIdempotentMaxIdle)
 		g.Expect(get(context.Background(), p, "POST")).To(Equal("ok"))
 		g.Expect(s.dials).To(Equal(2))
 		p.Close()
--- a/core/link/pool.go
+++ b/core/link/pool.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	defaultMaxIdle     = 16
-	defaultIdleTimeout = 30 * time.Second
-	defaultDialTimeout = time.Second
-	// strictIdle is the longest idle time of a connection that carries a
-	// request which must not be repeated. A target that closes an idle
-	// connection while the request is on its way leaves the outcome unknown,
-	// and that is likelier the longer the connection was idle.
-	strictIdle = time.Second
+	defaultMaxIdleConns = 16
+	defaultIdleTimeout  = 30 * time.Second
+	defaultDialTimeout  = time.Second
+	// nonIdempotentMaxIdle is the longest idle time of a connection that is reused
+	// for a non-idempotent request. If the target closes an idle connection while the
+	// request is on the way, the outcome is unknown, and that is likelier the longer
+	// the connection was idle.
+	nonIdempotentMaxIdle = time.Second
 )
 
 var errPoolClosed = errors.New("pool is closed")
 
-// Pool holds the connections to one target.
+// Pool is a pool of connections to one target. It is safe for concurrent use.
 type Pool struct {
 	address     string
 	dial        func(ctx context.Context, network, address string) (net.Conn, error)
@@ -38,25 +38,26 @@
 	discards    atomic.Int64
 }
 
-// Option changes a Pool.
+// Option configures a Pool.
 type Option func(*Pool)
 
-// WithDial replaces the function that opens connections.
+// WithDial sets the function that opens connections.
 func WithDial(dial func(ctx context.Context, network, address string) (net.Conn, error)) Option {
 	return func(p *Pool) { p.dial = dial }
 }
 
-// WithMaxIdle bounds the number of idle connections.
+// WithMaxIdle sets the maximum number of idle connections.
 func WithMaxIdle(n int) Option {
 	return func(p *Pool) { p.idle.limit = n }
 }
 
-// WithIdleTimeout sets the longest idle time of a reused connection.
+// WithIdleTimeout sets how long a connection may be idle before it is closed instead
+// of reused.
 func WithIdleTimeout(d time.Duration) Option {
 	return func(p *Pool) { p.idleTimeout = d }
 }
 
-// WithDialTimeout sets the longest wait for a connection.
+// WithDialTimeout sets the timeout for opening a connection.
 func WithDialTimeout(d time.Duration) Option {
 	return func(p *Pool) { p.dialTimeout = d }
 }
@@ -66,7 +67,7 @@
 	p := &Pool{
 		address:     address,
 		dial:        (&net.Dialer{}).DialContext,
-		idle:        stack[*conn]{limit: defaultMaxIdle},
+		idle:        stack[*conn]{limit: defaultMaxIdleConns},
 		idleTimeout: defaultIdleTimeout,
 		dialTimeout: defaultDialTimeout,
 	}
@@ -76,7 +77,8 @@
 	return p
 }
 
-// Counts are the figures of a pool for metrics and state dumps.
+// Counts holds the statistics of a pool for metrics and state dumps: the open and idle
+// connections now, and the dials and the connections discarded after an exchange so far.
 type Counts struct {
 	Open     int64 `json:"open"`
 	Idle     int   `json:"idle"`
@@ -84,39 +86,39 @@
 	Discards int64 `json:"discards"`
 }
 
-// Counts returns the current figures of the pool.
+// Counts returns the current statistics of the pool.
 func (p *Pool) Counts() Counts {
 	return Counts{Open: p.open.Load(), Idle: p.idle.len(), Dials: p.dials.Load(), Discards: p.discards.Load()}
 }
 
-// Close closes the idle connections; exchanges in progress end as usual and
-// their connections are closed afterwards.
+// Close closes the idle connections. Exchanges in progress continue, and their
+// connections are closed afterwards.
 func (p *Pool) Close() {
 	p.closed.Store(true)
-	for _, c := range p.idle.take(func(*conn) bool { return true }) {
-		p.drop(c)
+	for _, c := range p.idle.removeIf(func(*conn) bool { return true }) {
+		p.closeConn(c)
 	}
 }
 
-// Prune closes connections that were idle for longer than the idle timeout.
+// Prune closes connections that have been idle for longer than the idle timeout.
 func (p *Pool) Prune(now time.Time) {
 	expired := func(c *conn) bool { return now.Sub(c.lastUsed) > p.idleTimeout }
-	for _, c := range p.idle.take(expired) {
-		p.drop(c)
+	for _, c := range p.idle.removeIf(expired) {
+		p.closeConn(c)
 	}
 }
 
-// Do sends the request once and returns the response with its body still to
-// be read. The body must be closed. With strict set, only a connection used
-// within the last second is reused. Errors are of type *Failure.
-func (p *Pool) Do(ctx context.Context, req *http.Request, strict bool) (*http.Response, error) {
-	c, err := p.get(ctx, strict)
+// Do sends the request once and returns the response, whose body is still to be read
+// and must be closed. If nonIdempotent is set, only a connection that was used within
+// the last second is reused. Errors are of type *Failure.
+func (p *Pool) Do(ctx context.Context, req *http.Request, nonIdempotent bool) (*http.Response, error) {
+	c, err := p.get(ctx, nonIdempotent)
 	if err != nil {
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, func() { abort(c) })
-	x := &exchange{pool: p, conn: c, stop: stop, ctx: ctx}
-	resp, err := x.start(req)
+	x := &exchange{pool: p, conn: c, stopAbort: stop, ctx: ctx}
+	resp, err := x.roundTrip(req)
 	if err != nil {
 		x.finish(false)
 		return nil, err
@@ -124,45 +126,45 @@
 	return resp, nil
 }
 
-// abort makes pending reads and writes of the connection fail.
+// abort makes blocked and future reads and writes of the connection fail.
 func abort(c *conn) {
-	_ = c.net.SetDeadline(time.Unix(1, 0))
+	_ = c.netConn.SetDeadline(time.Unix(1, 0))
 }
 
-func (p *Pool) get(ctx context.Context, strict bool) (*conn, error) {
-	limit := p.idleTimeout
-	if strict {
-		limit = min(limit, strictIdle)
+func (p *Pool) get(ctx context.Context, nonIdempotent bool) (*conn, error) {
+	maxIdle := p.idleTimeout
+	if nonIdempotent {
+		maxIdle = min(maxIdle, nonIdempotentMaxIdle)
 	}
-	return p.getWithin(ctx, limit)
+	return p.getConn(ctx, maxIdle)
 }
 
-// getWithin returns a connection that was idle for at most limit, or a new one.
-func (p *Pool) getWithin(ctx context.Context, limit time.Duration) (*conn, error) {
+// getConn returns a connection that was idle for at most maxIdle, or a new one.
+func (p *Pool) getConn(ctx context.Context, maxIdle time.Duration) (*conn, error) {
 	for {
 		c, ok := p.idle.pop()
 		if !ok {
-			return p.connect(ctx)
+			return p.dialConn(ctx)
 		}
 		idle := time.Since(c.lastUsed)
-		if idle <= limit && idle <= c.idleLimit() && c.alive() {
-			c.used = true
+		if idle <= maxIdle && idle <= c.maxIdle() && c.alive() {
+			c.reused = true
 			return c, nil
 		}
-		p.drop(c)
+		p.closeConn(c)
 	}
 }
 
-func (p *Pool) connect(ctx context.Context) (*conn, error) {
+func (p *Pool) dialConn(ctx context.Context) (*conn, error) {
 	if p.closed.Load() {
-		return nil, newFailure(ctx, StageDial, errPoolClosed)
+		return nil, newError(ctx, StageDial, errPoolClosed)
 	}
 	p.dials.Add(1)
 	dialCtx, cancel := context.WithTimeout(ctx, p.dialTimeout)
 	defer cancel()
 	n, err := p.dial(dialCtx, "tcp", p.address)
 	if err != nil {
-		return nil, newFailure(ctx, StageDial, err)
+		return nil, newError(ctx, StageDial, err)
 	}
 	p.open.Add(1)
 	return newConn(n), nil
@@ -171,27 +173,27 @@
 func (p *Pool) put(c *conn) {
 	c.lastUsed = time.Now()
 	if p.closed.Load() || !p.idle.push(c) {
-		p.drop(c)
+		p.closeConn(c)
 	}
 }
 
-func (p *Pool) drop(c *conn) {
+func (p *Pool) closeConn(c *conn) {
 	p.open.Add(-1)
 	c.close()
 }
 
 // exchange is one request and its response on one connection.
 type exchange struct {
-	pool     *Pool
-	conn     *conn
-	stop     func() bool
-	ctx      context.Context
-	sender   *sender
-	finished atomic.Bool
+	pool      *Pool
+	conn      *conn
+	stopAbort func() bool
+	ctx       context.Context
+	sender    *sender
+	finished  atomic.Bool
 }
 
-func (x *exchange) start(req *http.Request) (*http.Response, error) {
-	x.conn.sent = 0
+func (x *exchange) roundTrip(req *http.Request) (*http.Response, error) {
+	x.conn.bytesSent = 0
 	if err := x.send(req); err != nil {
 		return nil, err
 	}
@@ -199,13 +201,13 @@
 	if err != nil {
 		return nil, err
 	}
-	resp.Body = &body{exchange: x, inner: resp.Body, keep: !resp.Close}
+	resp.Body = &responseBody{exchange: x, wrapped: resp.Body, reusable: !resp.Close}
 	return resp, nil
 }
 
-// send writes the request. A request with a body that is not in memory is
-// written by a goroutine of its own, so that a response that comes before the
-// whole request is sent can be read.
+// send writes the request. If the body is not in memory, another goroutine writes the
+// request, so that a response that arrives before the whole request is sent can be
+// read. Such a body has no GetBody function.
 func (x *exchange) send(req *http.Request) error {
 	write := func(w *bufio.Writer) error { return req.Write(w) }
 	x.sender = &sender{conn: x.conn, write: write, done: make(chan struct{})}
@@ -222,38 +224,38 @@
 	if err == nil {
 		return nil
 	}
-	if x.conn.sent == 0 {
-		return newFailure(x.ctx, StageUnsent, err)
+	if x.conn.bytesSent == 0 {
+		return newError(x.ctx, StageUnsent, err)
 	}
-	// A target may refuse a request early and close; its response can still
-	// be read although the rest of the request was not sent.
+	// A target may answer before it has read the whole request and close the
+	// connection. Its response can still be read.
 	if x.ctx.Err() == nil {
 		return nil
 	}
-	return newFailure(x.ctx, StageWrite, err)
+	return newError(x.ctx, StageWrite, err)
 }
 
 func (x *exchange) readHead(req *http.Request) (*http.Response, error) {
-	x.conn.headLeft = maxHeadBytes
-	resp, err := x.readResponse(req)
+	x.conn.headBytesLeft = maxHeadBytes
+	resp, err := x.readFinalHead(req)
 	if err != nil {
 		return nil, err
 	}
 	return x.checkFraming(req, resp)
 }
 
-// readResponse reads the head of the next final response. Interim responses use
-// up the limit on heads too.
-func (x *exchange) readResponse(req *http.Request) (*http.Response, error) {
+// readFinalHead reads the head of the next final response. Interim responses (1xx) are
+// skipped and count towards the limit on heads.
+func (x *exchange) readFinalHead(req *http.Request) (*http.Response, error) {
 	for {
-		x.conn.limited = true
+		x.conn.readingHead = true
 		resp, err := http.ReadResponse(x.conn.reader, req)
-		x.conn.limited = false
+		x.conn.readingHead = false
 		if err != nil {
-			return nil, x.headFailure(err)
+			return nil, x.headError(err)
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, newProtocolFailure(errors.New("target switched protocols unasked"))
+			return nil, newProtocolError(errors.New("target switched protocols without a request to do so"))
 		}
 		if resp.StatusCode >= http.StatusOK {
 			return resp, nil
@@ -261,45 +263,46 @@
 	}
 }
 
-// checkFraming refuses a response whose end cannot be told from a cut
-// connection.
+// checkFraming rejects a response that ends with the connection: its end could not be
+// distinguished from a truncation.
 func (x *exchange) checkFraming(req *http.Request, resp *http.Response) (*http.Response, error) {
-	if !endIsKnown(req.Method, resp) {
-		return nil, newProtocolFailure(errors.New("response has neither a length nor chunked framing"))
+	if !selfDelimited(req.Method, resp) {
+		return nil, newProtocolError(errors.New("response has neither a length nor chunked framing"))
 	}
 	return resp, nil
 }
 
-// bodyless reports whether responses to the method or with the status have no body.
-func bodyless(method string, status int) bool {
+// hasNoBody reports whether responses to the method or with the status have no body.
+func hasNoBody(method string, status int) bool {
 	return method == http.MethodHead || status == http.StatusNoContent || status == http.StatusNotModified
 }
 
-func (x *exchange) headFailure(err error) error {
-	f := newFailure(x.ctx, StageHead, err)
-	if x.sender.finished() && x.conn.sent == 0 {
+func (x *exchange) headError(err error) error {
+	f := newError(x.ctx, StageHead, err)
+	if x.sender.finished() && x.conn.bytesSent == 0 {
 		f.Stage = StageUnsent
 	}
 	var netErr net.Error
-	closed := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &netErr)
-	f.Protocol = !closed && !f.TimedOut && !f.Cancelled
+	connectionLost := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &netErr)
+	f.Protocol = !connectionLost && !f.TimedOut && !f.Cancelled
 	return f
 }
 
-// finish returns the connection to the pool if the exchange ended as framed,
-// and closes it otherwise.
-func (x *exchange) finish(clean bool) {
+// finish returns the connection to the pool if the response ended where its framing says
+// and nothing is left to write or read, and closes it otherwise. Only the first call has
+// an effect.
+func (x *exchange) finish(complete bool) {
 	if !x.finished.CompareAndSwap(false, true) {
 		return
 	}
-	stopped := x.stop()
-	reusable := clean && stopped && x.sender.finished() && x.sender.err == nil && x.conn.reader.Buffered() == 0
+	stopped := x.stopAbort()
+	reusable := complete && stopped && x.sender.finished() && x.sender.err == nil && x.conn.reader.Buffered() == 0
 	if reusable {
 		x.pool.put(x.conn)
 		return
 	}
 	x.pool.discards.Add(1)
-	x.pool.drop(x.conn)
+	x.pool.closeConn(x.conn)
 }
 
 // sender writes one request to a connection.
@@ -328,31 +331,32 @@
 	}
 }
 
-// body is the body of a response; it settles the exchange when it ends.
-type body struct {
+// responseBody is the body of a response. It finishes the exchange at its end.
+type responseBody struct {
 	exchange *exchange
-	inner    io.ReadCloser
-	keep     bool
+	wrapped  io.ReadCloser
+	reusable bool
 }
 
-// Read reads the body and reports a truncated one as *Failure.
-func (b *body) Read(p []byte) (int, error) {
-	n, err := b.inner.Read(p)
+// Read reads the body. A truncated body results in a *Failure.
+func (b *responseBody) Read(p []byte) (int, error) {
+	n, err := b.wrapped.Read(p)
 	switch {
 	case err == nil:
 		return n, nil
 	case errors.Is(err, io.EOF):
-		b.exchange.finish(b.keep)
+		b.exchange.finish(b.reusable)
 		return n, io.EOF
 	default:
-		failure := newFailure(b.exchange.ctx, StageBody, err)
+		failure := newError(b.exchange.ctx, StageBody, err)
 		b.exchange.finish(false)
 		return n, failure
 	}
 }
 
-// Close ends the exchange; a body that was not read to its end costs the connection.
-func (b *body) Close() error {
+// Close finishes the exchange. If the body was not read to its end, the connection is
+// closed, not reused.
+func (b *responseBody) Close() error {
 	b.exchange.finish(false)
 	return nil
 }
--- a/core/link/stack.go
+++ b/core/link/stack.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// stack is a bounded LIFO container, so that the connections used last stay
-// warm and the oldest age out.
+// stack is a bounded stack. As the connection that was used last is reused first,
+// surplus connections stay idle and expire.
 type stack[T any] struct {
 	mu    sync.Mutex
 	items []T
 	limit int
 }
 
-// push adds an item and returns false if the stack is full.
+// push adds an item. It returns false if the stack is full.
 func (s *stack[T]) push(item T) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -21,7 +21,8 @@
 	return true
 }
 
-// pop removes the newest item.
+// pop removes and returns the item that was pushed last; it returns false if the stack
+// is empty.
 func (s *stack[T]) pop() (T, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,22 +37,22 @@
 	return item, true
 }
 
-// take removes and returns the items for which drop is true.
-func (s *stack[T]) take(drop func(T) bool) []T {
+// removeIf removes and returns the items for which match returns true.
+func (s *stack[T]) removeIf(match func(T) bool) []T {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var taken []T
+	var removed []T
 	kept := s.items[:0]
 	for _, item := range s.items {
-		if drop(item) {
-			taken = append(taken, item)
+		if match(item) {
+			removed = append(removed, item)
 			continue
 		}
 		kept = append(kept, item)
 	}
 	clear(s.items[len(kept):])
 	s.items = kept
-	return taken
+	return removed
 }
 
 func (s *stack[T]) len() int {
