--- a/core/caller/message.go
+++ b/core/caller/message.go
@@ -35,7 +35,7 @@
 	Body   []byte
 	// Rest is the rest of the body after Body, as a stream; it may be nil.
 	Rest io.ReadCloser
-	// Length is the length of the whole body in bytes, or negative if it is unknown.
+	// Length is the length of the whole body in bytes; below 0 if it is unknown.
 	Length int64
 	// Done, if set, releases the resources of the response. It is called once, when the
 	// response has been written or discarded.
--- a/core/choose/choose.go
+++ b/core/choose/choose.go
@@ -34,10 +34,10 @@
 	// TrialAllowed says that this daemon may send trial requests to the target.
 	TrialAllowed   bool
 	SameDataCentre bool
-	// Confirm gives the target an additional part of the idempotent requests, because
-	// this daemon has too few results of its own to judge a suspect target. State
-	// still applies, so that the target keeps counting as capacity.
-	Confirm bool
+	// NeedsEvidence is set if this daemon has too few results of its own to judge a
+	// suspect target. The target then receives an additional fraction of the idempotent
+	// requests. State still applies, so that the target keeps counting as capacity.
+	NeedsEvidence bool
 	// Weight is the fraction of full traffic in the state SlowStart, and the fraction
 	// of idempotent requests used as trials in the state Trial. It is in [0, 1].
 	Weight float64
@@ -46,9 +46,9 @@
 	// PeerInFlight is the number of requests that the other daemons have in flight
 	// at the target, as last reported.
 	PeerInFlight int
-	// Share is this daemon's quota: the number of the target's slots assigned to it
-	// when the slots are divided among the daemons.
-	Share int
+	// Quota is the number of the target's slots that are assigned to this daemon when
+	// the slots are divided among the daemons.
+	Quota int
 	// Limit is the maximum of InFlight that is allowed now.
 	Limit int
 	// Slots is the number of requests that the target processes concurrently.
@@ -164,7 +164,7 @@
 		return unusableCost
 	}
 	cost := uint64(class) << (loadBits + 2)
-	if c.InFlight >= c.Share {
+	if c.InFlight >= c.Quota {
 		cost |= overQuotaBit
 	}
 	if !c.SameDataCentre {
@@ -177,7 +177,7 @@
 // class returns the preference class of the candidate for a request. A target in
 // slow start counts as ready for the fraction of requests that Weight states.
 func (c *Candidate) class(idempotent bool, random uint64) int {
-	if c.Confirm && idempotent && c.InFlight == 0 && c.sampled(random, evidenceShare) {
+	if c.NeedsEvidence && idempotent && c.InFlight == 0 && c.sampled(random, evidenceShare) {
 		return classTrialDue
 	}
 	switch c.State {
--- a/core/choose/choose_test.go
+++ b/core/choose/choose_test.go
@@ -132,8 +132,8 @@
 // Guards against a suspect target that receives no orders while results about it are
 // collected: it still counts as capacity, and without it a service could fall below
 // its floor although nothing was ejected.
-var _ = Describe("Confirm", func() {
-	suspect := choose.Candidate{State: choose.Ready, Confirm: true, Limit: 2, Slots: 2}
+var _ = Describe("NeedsEvidence", func() {
+	suspect := choose.Candidate{State: choose.Ready, NeedsEvidence: true, Limit: 2, Slots: 2}
 	healthy := choose.Candidate{State: choose.Ready, SameDataCentre: true, Limit: 2, Slots: 2}
 
 	It("leaves the target open to orders, also as the only one", func() {
--- a/core/limit/gate.go
+++ b/core/limit/gate.go
@@ -188,7 +188,7 @@
 		for i := range cands {
 			// A request that failed once is not put at risk again as a trial or to
 			// collect evidence about a suspect target.
-			cands[i].Confirm = false
+			cands[i].NeedsEvidence = false
 			if cands[i].State == choose.Trial || slices.Contains(req.Exclude, v.entries[i].usage.id) {
 				cands[i].State = choose.Closed
 			}
