--- a/core/choose/choose_test.go
+++ b/core/choose/choose_test.go
@@ -50,17 +50,17 @@
 			Expect(pickRates([]choose.Candidate{a, b}, true)[0]).To(BeNumerically("~", 1, 1e-9))
 			Expect(pickRates([]choose.Candidate{b, a}, true)[1]).To(BeNumerically("~", 1, 1e-9))
 		},
-		Entry("ready over avoided, although it is busier and farther", remote(candidate(choose.Ready, 1, 0)), candidate(choose.Avoided, 0, 0)),
+		Entry("ready over avoided, although it is busier and in another data centre", remote(candidate(choose.Ready, 1, 0)), candidate(choose.Avoided, 0, 0)),
 		Entry("a free slot over none", candidate(choose.Avoided, 0, 0), candidate(choose.Ready, 1, 1)),
-		Entry("same data centre over less work", candidate(choose.Ready, 1, 0), remote(candidate(choose.Ready, 0, 0))),
+		Entry("same data centre over less load", candidate(choose.Ready, 1, 0), remote(candidate(choose.Ready, 0, 0))),
 		Entry("another data centre over a busy target", remote(candidate(choose.Ready, 1, 0)), candidate(choose.Ready, 2, 0)),
-		Entry("less own work", candidate(choose.Ready, 0, 0), candidate(choose.Ready, 1, 0)),
-		Entry("less work of peers", candidate(choose.Ready, 0, 0), candidate(choose.Ready, 0, 1)),
+		Entry("fewer own requests in flight", candidate(choose.Ready, 0, 0), candidate(choose.Ready, 1, 0)),
+		Entry("fewer requests of peers in flight", candidate(choose.Ready, 0, 0), candidate(choose.Ready, 0, 1)),
 		Entry("the lower rank among two equals", withRank(candidate(choose.Ready, 0, 0), 1), withRank(candidate(choose.Ready, 0, 0), 2)),
 		Entry("anything over closed", candidate(choose.Avoided, 1, 0), candidate(choose.Closed, 0, 0)),
 	)
 
-	It("gives a target in slow start its weight's part of a fair share", func() {
+	It("gives a target in slow start the fraction of a full share that its weight states", func() {
 		cands := []choose.Candidate{candidate(choose.Ready, 0, 0), candidate(choose.Ready, 0, 0), candidate(choose.Ready, 0, 0), candidate(choose.SlowStart, 0, 0)}
 		for i := range cands {
 			cands[i].Rank = choose.Rank("vm", fleet.TargetID(fmt.Sprint(i)))
@@ -91,7 +91,7 @@
 		Expect(pickRates([]choose.Candidate{trial}, true)[1]).To(BeNumerically("~", 1, 1e-9), "not allowed")
 	})
 
-	It("spreads over many equals and favours the better ranks", func() {
+	It("spreads over many candidates of equal cost and prefers the lower ranks", func() {
 		var cands []choose.Candidate
 		for r := range 10 {
 			cands = append(cands, withRank(candidate(choose.Ready, 0, 0), uint64(r)))
@@ -141,7 +141,7 @@
 		Expect(ok).To(BeTrue())
 		for draw := range uint64(1000) {
 			pos, _ := choose.Pick([]choose.Candidate{suspect, healthy}, false, draw)
-			Expect(pos).To(Equal(1), "orders are not spent on finding out")
+			Expect(pos).To(Equal(1), "orders are not used to collect evidence")
 		}
 	})
 
--- a/core/limit/gate_test.go
+++ b/core/limit/gate_test.go
@@ -139,7 +139,7 @@
 		ctx, cancel := context.WithTimeoutCause(r.ctx, time.Millisecond, errors.New("attempt timeout"))
 		defer cancel()
 		_, err := r.gate.Acquire(ctx, lookup)
-		r.Expect(fault.Is(err, fault.DeadlineExceeded)).To(gomega.BeTrue(), "a context with its own cause reads as a caller that left")
+		r.Expect(fault.Is(err, fault.DeadlineExceeded)).To(gomega.BeTrue(), "a context with its own cause is reported as a caller that left")
 	})
 }
 
@@ -177,7 +177,7 @@
 		time.Sleep(200 * time.Millisecond)
 		second.grant().Release(limit.Unused)
 		synctest.Wait()
-		r.Expect(third.grant()).NotTo(gomega.BeNil(), "the slot idles")
+		r.Expect(third.grant()).NotTo(gomega.BeNil(), "the slot stays idle")
 	})
 }
 
--- a/core/link/endless_test.go
+++ b/core/link/endless_test.go
@@ -46,13 +46,13 @@
 	piece := strings.Repeat("a", 4<<10)
 	const other = "HTTP/1.1 200 OK\r\nRequest-Id: other\r\n"
 	cases := map[string]*endlessTarget{
-		"head":                          {prefix: "HTTP/1.1 200 OK\r\nX: ", repeat: piece},
-		"no HTTP":                       {prefix: "", repeat: piece},
-		"interim answers":               {prefix: "", repeat: "HTTP/1.1 103 Early Hints\r\n\r\n"},
-		"answers to others":             {prefix: "", repeat: other + "Content-Length: 0\r\n\r\n"},
-		"body of another's answer":      {prefix: other + "Content-Length: 99999999999\r\n\r\n", repeat: piece},
-		"chunks of another's answer":    {prefix: other + "Transfer-Encoding: chunked\r\n\r\n", repeat: "1000\r\n" + piece + "\r\n"},
-		"another's answer until closed": {prefix: other + "\r\n", repeat: piece},
+		"head":                             {prefix: "HTTP/1.1 200 OK\r\nX: ", repeat: piece},
+		"no HTTP":                          {prefix: "", repeat: piece},
+		"interim responses":                {prefix: "", repeat: "HTTP/1.1 103 Early Hints\r\n\r\n"},
+		"responses to other requests":      {prefix: "", repeat: other + "Content-Length: 0\r\n\r\n"},
+		"body of another response":         {prefix: other + "Content-Length: 99999999999\r\n\r\n", repeat: piece},
+		"chunks of another response":       {prefix: other + "Transfer-Encoding: chunked\r\n\r\n", repeat: "1000\r\n" + piece + "\r\n"},
+		"another response without framing": {prefix: other + "\r\n", repeat: piece},
 	}
 	for name, f := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/core/link/link_test.go
+++ b/core/link/link_test.go
@@ -91,7 +91,7 @@
 		Expect(p.Counts()).To(Equal(Counts{Open: 1, Idle: 1, Dials: 1}))
 	})
 
-	DescribeTable("never reuses a connection that could hand one caller another's response",
+	DescribeTable("never reuses a connection that could deliver the response to another request",
 		func(reply string) {
 			s := newScriptedTarget(false, reply, okReply)
 			p := NewPool("target", WithDial(s.dial))
@@ -99,7 +99,7 @@
 			Expect(p.Counts().Idle).To(BeZero())
 			Expect(p.Counts().Discards).To(BeEquivalentTo(1))
 		},
-		Entry("bytes behind the response", okReply+"HTTP/1.1 200 OK\r\n"),
+		Entry("bytes after the response", okReply+"HTTP/1.1 200 OK\r\n"),
 		Entry("Connection: close", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"),
 		Entry("a switch of protocols", "HTTP/1.1 101 Switching Protocols\r\n\r\n"),
 		Entry("no framing", "HTTP/1.1 200 OK\r\n\r\nok"),
@@ -118,7 +118,7 @@
 		Entry("without the last chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"),
 	)
 
-	It("says that nothing was sent when the dial fails, so that an order may be tried again", func() {
+	It("reports a request as unsent when the dial fails, so that an order may be retried", func() {
 		refuse := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("no route") }
 		_, err := get(ctx, NewPool("target", WithDial(refuse)), "POST")
 		var f *Failure
@@ -126,7 +126,7 @@
 		Expect(f.Unsent()).To(BeTrue())
 	})
 
-	It("does not say so when the target closes after the request", func() {
+	It("does not report a request as unsent when the target closes after it", func() {
 		_, err := get(ctx, NewPool("target", WithDial(newScriptedTarget(true, "").dial)), "POST")
 		var f *Failure
 		Expect(errors.As(err, &f)).To(BeTrue())
