--- a/core/limit/harness_test.go
+++ b/core/limit/harness_test.go
@@ -83,7 +83,7 @@
 	gate *limit.Gate
 }
 
-func inBubble(t *testing.T, s *limit.Snapshot, f func(r *harness)) {
+func inBubble(t *testing.T, s *limit.Snapshot, f func(h *harness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -93,36 +93,36 @@
 }
 
 // start makes a request and returns when it is granted, refused or waiting.
-func (r *harness) start(name string, req limit.Ask) *call {
+func (h *harness) start(name string, req limit.Ask) *call {
 	c := &call{name: name, req: req}
 	var ctx context.Context
-	ctx, c.cancel = context.WithCancel(r.ctx)
-	go c.run(ctx, r.gate)
+	ctx, c.cancel = context.WithCancel(h.ctx)
+	go c.run(ctx, h.gate)
 	synctest.Wait()
 	return c
 }
 
 // mustAcquire makes a request that must be granted at once.
-func (r *harness) mustAcquire(req limit.Ask) *limit.Grant {
-	c := r.start("", req)
-	r.ExpectWithOffset(1, c.grant()).NotTo(gomega.BeNil(), "the request waits or is refused")
+func (h *harness) mustAcquire(req limit.Ask) *limit.Grant {
+	c := h.start("", req)
+	h.ExpectWithOffset(1, c.grant()).NotTo(gomega.BeNil(), "the request waits or is refused")
 	return c.grant()
 }
 
 // expectWaiting checks that a request is neither granted nor refused.
-func (r *harness) expectWaiting(c *call, why string) *call {
-	r.ExpectWithOffset(1, c.done()).To(gomega.BeFalse(), why)
+func (h *harness) expectWaiting(c *call, why string) *call {
+	h.ExpectWithOffset(1, c.done()).To(gomega.BeFalse(), why)
 	return c
 }
 
 // expectRefused checks that a request was refused with the error kind, and that its
 // outcome is not-run.
-func (r *harness) expectRefused(c *call, k fault.Kind) *fault.Error {
-	r.ExpectWithOffset(1, c.done()).To(gomega.BeTrue(), "the request waits")
-	r.ExpectWithOffset(1, c.err).To(gomega.HaveOccurred())
+func (h *harness) expectRefused(c *call, k fault.Kind) *fault.Error {
+	h.ExpectWithOffset(1, c.done()).To(gomega.BeTrue(), "the request waits")
+	h.ExpectWithOffset(1, c.err).To(gomega.HaveOccurred())
 	e := fault.From(c.err)
-	r.ExpectWithOffset(1, e.Kind).To(gomega.Equal(k), c.err.Error())
-	r.ExpectWithOffset(1, e.Outcome).To(gomega.Equal(fault.NotRun))
+	h.ExpectWithOffset(1, e.Kind).To(gomega.Equal(k), c.err.Error())
+	h.ExpectWithOffset(1, e.Outcome).To(gomega.Equal(fault.NotRun))
 	return e
 }
 
--- a/core/limit/peers_test.go
+++ b/core/limit/peers_test.go
@@ -24,16 +24,16 @@
 // those reported by peers must stay within the slots, except that this daemon may always
 // use its quota, which is one slot of each target here.
 func TestPeerLoadLimitsGrants(t *testing.T) {
-	inBubble(t, readySnapshot(4, 2), func(r *harness) {
-		r.gate.SetPeer("p", append(loads(1, 2), limit.Load{Target: "t01", InFlight: 1}), time.Now())
+	inBubble(t, readySnapshot(4, 2), func(h *harness) {
+		h.gate.SetPeer("p", append(loads(1, 2), limit.Load{Target: "t01", InFlight: 1}), time.Now())
 		for range 6 {
-			r.mustAcquire(lookup)
+			h.mustAcquire(lookup)
 		}
-		r.Expect(r.gate.InUse()).To(gomega.Equal(map[fleet.TargetID]int{"t00": 1, "t01": 1, "t02": 2, "t03": 2}))
-		w := r.expectWaiting(r.start("", lookup), "a slot in use by a peer was granted")
-		r.gate.SetPeer("p", nil, time.Now())
+		h.Expect(h.gate.InUse()).To(gomega.Equal(map[fleet.TargetID]int{"t00": 1, "t01": 1, "t02": 2, "t03": 2}))
+		w := h.expectWaiting(h.start("", lookup), "a slot in use by a peer was granted")
+		h.gate.SetPeer("p", nil, time.Now())
 		synctest.Wait()
-		r.Expect(w.grant()).NotTo(gomega.BeNil(), "a slot that a peer freed is not used")
+		h.Expect(w.grant()).NotTo(gomega.BeNil(), "a slot that a peer freed is not used")
 	})
 }
 
@@ -42,18 +42,18 @@
 func TestQuotasAddUpToSlots(t *testing.T) {
 	used := map[fleet.TargetID]int{}
 	for i := range 6 {
-		inBubble(t, daemonSnapshot(10, 2, i), func(r *harness) {
+		inBubble(t, daemonSnapshot(10, 2, i), func(h *harness) {
 			vm := func(i int) fleet.VMID { return fleet.VMID(fmt.Sprint("vm", i)) }
-			r.gate = limit.New(vm(i), limit.WithSnapshot(daemonSnapshot(10, 2, i)))
+			h.gate = limit.New(vm(i), limit.WithSnapshot(daemonSnapshot(10, 2, i)))
 			for p := range 6 {
 				if p != i {
-					r.gate.SetPeer(vm(p), loads(10, 2), time.Now())
+					h.gate.SetPeer(vm(p), loads(10, 2), time.Now())
 				}
 			}
 			for range 20 {
-				r.start("", lookup)
+				h.start("", lookup)
 			}
-			for id, n := range r.gate.InUse() {
+			for id, n := range h.gate.InUse() {
 				used[id] += n
 			}
 		})
@@ -65,23 +65,23 @@
 
 // Guards against a daemon without a quota that never receives a slot.
 func TestDaemonWithoutQuotaIsServed(t *testing.T) {
-	inBubble(t, readySnapshot(1, 1), func(r *harness) {
+	inBubble(t, readySnapshot(1, 1), func(h *harness) {
 		for p := range 20 {
-			r.gate.SetPeer(fleet.VMID(fmt.Sprint("p", p)), loads(1, 1), time.Now())
+			h.gate.SetPeer(fleet.VMID(fmt.Sprint("p", p)), loads(1, 1), time.Now())
 		}
-		r.mustAcquire(lookup)
-		r.expectWaiting(r.start("", lookup), "more than one slot without a quota")
+		h.mustAcquire(lookup)
+		h.expectWaiting(h.start("", lookup), "more than one slot without a quota")
 	})
 }
 
 // Guards against a report that arrives late and replaces a newer one.
 func TestOldReportIsIgnored(t *testing.T) {
-	inBubble(t, readySnapshot(1, 2), func(r *harness) {
+	inBubble(t, readySnapshot(1, 2), func(h *harness) {
 		time.Sleep(time.Second)
-		r.gate.SetPeer("p", loads(1, 1), time.Now())
-		r.gate.SetPeer("p", nil, time.Now().Add(-time.Second))
-		r.mustAcquire(lookup)
-		r.expectWaiting(r.start("", lookup), "the older report was used")
+		h.gate.SetPeer("p", loads(1, 1), time.Now())
+		h.gate.SetPeer("p", nil, time.Now().Add(-time.Second))
+		h.mustAcquire(lookup)
+		h.expectWaiting(h.start("", lookup), "the older report was used")
 	})
 }
 
@@ -89,33 +89,33 @@
 // as in use, repeatedly or in a last report before they fall silent. The load of a silent
 // peer must decay.
 func TestSilentPeersDoNotStarveDaemon(t *testing.T) {
-	inBubble(t, readySnapshot(4, 2), func(r *harness) {
-		r.gate.SetPeer("p", loads(4, 2), time.Now())
-		r.gate.SetPeer("q", loads(4, 100), time.Now())
-		r.mustAcquire(lookup)
-		r.mustAcquire(lookup)
-		w := r.expectWaiting(r.start("", lookup), "more than the quota of 8 slots among 3 daemons")
+	inBubble(t, readySnapshot(4, 2), func(h *harness) {
+		h.gate.SetPeer("p", loads(4, 2), time.Now())
+		h.gate.SetPeer("q", loads(4, 100), time.Now())
+		h.mustAcquire(lookup)
+		h.mustAcquire(lookup)
+		w := h.expectWaiting(h.start("", lookup), "more than the quota of 8 slots among 3 daemons")
 		advance(15 * time.Second)
-		r.Expect(w.grant()).NotTo(gomega.BeNil(), "the load of a silent peer does not decay")
-		r.gate.SetPeer("p", loads(4, 2), time.Now())
-		r.mustAcquire(lookup)
-		rest := r.expectWaiting(r.start("", lookup), "more than the quota of 8 slots among 2 daemons")
-		r.gate.DropPeer("p")
+		h.Expect(w.grant()).NotTo(gomega.BeNil(), "the load of a silent peer does not decay")
+		h.gate.SetPeer("p", loads(4, 2), time.Now())
+		h.mustAcquire(lookup)
+		rest := h.expectWaiting(h.start("", lookup), "more than the quota of 8 slots among 2 daemons")
+		h.gate.DropPeer("p")
 		synctest.Wait()
-		r.Expect(rest.grant()).NotTo(gomega.BeNil(), "a peer that left keeps its slots")
+		h.Expect(rest.grant()).NotTo(gomega.BeNil(), "a peer that left keeps its slots")
 	})
 }
 
 // Guards against a report that holds the requests in flight at one moment instead of
 // their mean since the last report.
 func TestReportIsMean(t *testing.T) {
-	inBubble(t, readySnapshot(1, 2), func(r *harness) {
-		gr := r.mustAcquire(lookup)
+	inBubble(t, readySnapshot(1, 2), func(h *harness) {
+		gr := h.mustAcquire(lookup)
 		time.Sleep(500 * time.Millisecond)
 		gr.Release(limit.Served)
 		time.Sleep(1500 * time.Millisecond)
-		r.Expect(r.gate.InFlight()).To(gomega.Equal([]limit.Load{{Target: "t00", InFlight: 0.25}}))
+		h.Expect(h.gate.InFlight()).To(gomega.Equal([]limit.Load{{Target: "t00", InFlight: 0.25}}))
 		time.Sleep(2 * time.Second)
-		r.Expect(r.gate.InFlight()).To(gomega.BeEmpty())
+		h.Expect(h.gate.InFlight()).To(gomega.BeEmpty())
 	})
 }
--- a/core/limit/property_test.go
+++ b/core/limit/property_test.go
@@ -86,11 +86,11 @@
 	for _, t := range m.snap.Targets {
 		targets[t.ID] = t
 	}
-	waiting, plain := 0, false
+	waiting, lookupWaits := 0, false
 	for _, c := range m.calls {
 		if !c.done() {
 			waiting++
-			plain = plain || (c.req.Kind == fleet.Lookup && len(c.req.Exclude) == 0)
+			lookupWaits = lookupWaits || (c.req.Kind == fleet.Lookup && len(c.req.Exclude) == 0)
 		}
 		if gr := c.grant(); gr != nil && !c.counted && c.name == "" {
 			c.counted, c.name = true, "granted"
@@ -105,7 +105,7 @@
 	for id, n := range m.held {
 		m.Expect(used[id]).To(gomega.Equal(n), "slots in use at %s", id)
 	}
-	if !plain || m.peers || m.gate.Stats().Shed > 0 {
+	if !lookupWaits || m.peers || m.gate.Stats().Shed > 0 {
 		return
 	}
 	for id, t := range targets {
@@ -119,10 +119,10 @@
 // without peers, leave a slot idle while a lookup waits.
 func TestRandomOperationsKeepCounts(t *testing.T) {
 	for seed := range uint64(40) {
-		inBubble(t, readySnapshot(6, 2), func(r *harness) {
-			m := &stateModel{harness: r, rng: rand.New(rand.NewPCG(seed, 1)), peers: seed%2 == 0, held: map[fleet.TargetID]int{}}
+		inBubble(t, readySnapshot(6, 2), func(h *harness) {
+			m := &stateModel{harness: h, rng: rand.New(rand.NewPCG(seed, 1)), peers: seed%2 == 0, held: map[fleet.TargetID]int{}}
 			m.snap = m.snapshot()
-			r.gate.Update(m.snap)
+			h.gate.Update(m.snap)
 			for range 300 {
 				m.step()
 				m.check()
@@ -131,8 +131,8 @@
 				m.finish(c, limit.Served)
 				synctest.Wait()
 			}
-			r.Expect(r.gate.InUse()).To(gomega.BeEmpty(), "seed %d", seed)
-			r.Expect(r.gate.Stats().Waiting).To(gomega.BeZero(), "seed %d", seed)
+			h.Expect(h.gate.InUse()).To(gomega.BeEmpty(), "seed %d", seed)
+			h.Expect(h.gate.Stats().Waiting).To(gomega.BeZero(), "seed %d", seed)
 		})
 	}
 }
--- a/core/limit/sim_test.go
+++ b/core/limit/sim_test.go
@@ -57,34 +57,34 @@
 }
 
 func newSimulation(daemons int, seed uint64) *simulation {
-	w := &simulation{
+	sim := &simulation{
 		rng: rand.New(rand.NewPCG(seed, 3)), inFlight: map[fleet.TargetID]int{}, started: map[fleet.TargetID]int{}, lastChange: time.Now(),
 		slots: map[fleet.TargetID]chan struct{}{}, stop: make(chan struct{}),
 	}
 	for i := range daemons {
 		vm := fleet.VMID(fmt.Sprint("vm", i))
-		w.gates = append(w.gates, limit.New(vm, limit.WithSeed(seed), limit.WithSnapshot(daemonSnapshot(simTargets, simSlots, i))))
+		sim.gates = append(sim.gates, limit.New(vm, limit.WithSeed(seed), limit.WithSnapshot(daemonSnapshot(simTargets, simSlots, i))))
 	}
 	for _, t := range readySnapshot(simTargets, simSlots).Targets {
-		w.slots[t.ID] = make(chan struct{}, simSlots)
+		sim.slots[t.ID] = make(chan struct{}, simSlots)
 	}
-	return w
+	return sim
 }
 
 // changeInFlight changes the number of requests at a target by n and adds up the time
 // that targets spend above their slots.
-func (w *simulation) changeInFlight(id fleet.TargetID, n int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, k := range w.inFlight {
+func (sim *simulation) changeInFlight(id fleet.TargetID, n int) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, k := range sim.inFlight {
 		if k > simSlots {
-			w.overSlots += time.Since(w.lastChange)
+			sim.overSlots += time.Since(sim.lastChange)
 		}
 	}
-	w.lastChange = time.Now()
-	w.inFlight[id] += n
+	sim.lastChange = time.Now()
+	sim.inFlight[id] += n
 	if n > 0 {
-		w.started[id]++
+		sim.started[id]++
 	}
 }
 
@@ -94,43 +94,43 @@
 	service time.Duration
 }
 
-func (q simRequest) run(w *simulation, g *limit.Gate) {
-	defer w.Done()
+func (q simRequest) run(sim *simulation, g *limit.Gate) {
+	defer sim.Done()
 	gr, err := g.Acquire(context.Background(), q.req)
 	if err != nil {
 		return
 	}
-	w.changeInFlight(gr.Target, 1)
-	w.slots[gr.Target] <- struct{}{}
+	sim.changeInFlight(gr.Target, 1)
+	sim.slots[gr.Target] <- struct{}{}
 	time.Sleep(q.service)
-	<-w.slots[gr.Target]
-	w.changeInFlight(gr.Target, -1)
+	<-sim.slots[gr.Target]
+	sim.changeInFlight(gr.Target, -1)
 	gr.Release(limit.Served)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	if q.req.Kind != fleet.Batch {
-		w.waits = append(w.waits, gr.Waited)
+		sim.waits = append(sim.waits, gr.Waited)
 	}
 	if time.Now().After(q.req.Deadline) {
-		w.lateGrants++
+		sim.lateGrants++
 		return
 	}
-	w.inTime[q.req.Kind]++
+	sim.inTime[q.req.Kind]++
 }
 
 // loop sends the loads of gate i to the other gates at the interval of the reports.
-func (w *simulation) loop(i int) {
-	time.Sleep(simReportInterval * time.Duration(i) / time.Duration(len(w.gates)))
+func (sim *simulation) loop(i int) {
+	time.Sleep(simReportInterval * time.Duration(i) / time.Duration(len(sim.gates)))
 	tick := time.NewTicker(simReportInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-w.stop:
+		case <-sim.stop:
 			return
 		case <-tick.C:
 		}
-		loads := w.gates[i].InFlight()
-		for j, g := range w.gates {
+		loads := sim.gates[i].InFlight()
+		for j, g := range sim.gates {
 			if j != i {
 				g.SetPeer(fleet.VMID(fmt.Sprint("vm", i)), loads, time.Now())
 			}
@@ -140,12 +140,12 @@
 
 // mixedRequest returns a random request: 60% lookups, 20% orders and 20% batch, from
 // 8 workspaces.
-func (w *simulation) mixedRequest() simRequest {
-	ws := fleet.WorkspaceID(fmt.Sprint("w", w.rng.IntN(8)))
-	q := simRequest{service: time.Duration(w.rng.ExpFloat64() * float64(simService))}
-	switch n := w.rng.IntN(10); {
+func (sim *simulation) mixedRequest() simRequest {
+	ws := fleet.WorkspaceID(fmt.Sprint("w", sim.rng.IntN(8)))
+	q := simRequest{service: time.Duration(sim.rng.ExpFloat64() * float64(simService))}
+	switch n := sim.rng.IntN(10); {
 	case n < 6:
-		q.req = withDeadline(newRequest(fleet.Lookup, ws), time.Duration(100+w.rng.IntN(400))*time.Millisecond)
+		q.req = withDeadline(newRequest(fleet.Lookup, ws), time.Duration(100+sim.rng.IntN(400))*time.Millisecond)
 	case n < 8:
 		q.req = withDeadline(newRequest(fleet.Order, ws), 500*time.Millisecond)
 	default:
@@ -156,48 +156,48 @@
 
 // offerLoad sends requests to random gates; factor is their rate relative to the
 // capacity of the targets.
-func (w *simulation) offerLoad(factor float64, span time.Duration) {
+func (sim *simulation) offerLoad(factor float64, span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); {
-		w.mu.Lock()
-		gap := time.Duration(w.rng.ExpFloat64() / factor / simCapacity * float64(time.Second))
-		q, g := w.mixedRequest(), w.gates[w.rng.IntN(len(w.gates))]
-		w.offered[q.req.Kind]++
-		w.mu.Unlock()
-		w.Add(1)
-		go q.run(w, g)
+		sim.mu.Lock()
+		gap := time.Duration(sim.rng.ExpFloat64() / factor / simCapacity * float64(time.Second))
+		q, g := sim.mixedRequest(), sim.gates[sim.rng.IntN(len(sim.gates))]
+		sim.offered[q.req.Kind]++
+		sim.mu.Unlock()
+		sim.Add(1)
+		go q.run(sim, g)
 		time.Sleep(gap)
 	}
 }
 
 // startReports starts the reports of the gates.
-func (w *simulation) startReports() {
-	for i := range w.gates {
-		go w.loop(i)
+func (sim *simulation) startReports() {
+	for i := range sim.gates {
+		go sim.loop(i)
 	}
 }
 
 // stopReports waits for the requests and stops the reports.
-func (w *simulation) stopReports() {
-	w.Wait()
-	close(w.stop)
+func (sim *simulation) stopReports() {
+	sim.Wait()
+	close(sim.stop)
 }
 
 // addFigures adds the measured values to sums; refusals are in percent of all requests.
-func (w *simulation) addFigures(sums map[string]float64) {
-	for k, n := range w.offered {
-		sums["%"+fleet.Kind(k).String()+"-in-time"] += 100 * float64(w.inTime[k]) / float64(n)
+func (sim *simulation) addFigures(sums map[string]float64) {
+	for k, n := range sim.offered {
+		sums["%"+fleet.Kind(k).String()+"-in-time"] += 100 * float64(sim.inTime[k]) / float64(n)
 	}
-	percent := 100 / float64(w.offered[0]+w.offered[1]+w.offered[2])
-	for _, g := range w.gates {
-		s := g.Stats()
-		sums["%refused-early"] += percent * float64(s.RefusedEarly)
-		sums["%refused-late"] += percent * float64(s.RefusedLate)
-		sums["%refused-full"] += percent * float64(s.RefusedFull)
+	percent := 100 / float64(sim.offered[0]+sim.offered[1]+sim.offered[2])
+	for _, g := range sim.gates {
+		stats := g.Stats()
+		sums["%refused-early"] += percent * float64(stats.RefusedEarly)
+		sums["%refused-late"] += percent * float64(stats.RefusedLate)
+		sums["%refused-full"] += percent * float64(stats.RefusedFull)
 	}
-	sums["%granted-too-late"] += percent * float64(w.lateGrants)
-	sums["%over-slots"] += 100 * float64(w.overSlots) / float64(simDuration*simTargets)
-	slices.Sort(w.waits)
-	sums["p99-urgent-wait-ms"] += float64(w.waits[len(w.waits)*99/100].Milliseconds())
+	sums["%granted-too-late"] += percent * float64(sim.lateGrants)
+	sums["%over-slots"] += 100 * float64(sim.overSlots) / float64(simDuration*simTargets)
+	slices.Sort(sim.waits)
+	sums["p99-urgent-wait-ms"] += float64(sim.waits[len(sim.waits)*99/100].Milliseconds())
 }
 
 // BenchmarkLoad reports refusals, waits and the overload of targets as means over five
@@ -209,11 +209,11 @@
 				sums := map[string]float64{}
 				for seed := range uint64(simSeeds) {
 					runVirtual(b, func() {
-						w := newSimulation(daemons, seed)
-						w.startReports()
-						w.offerLoad(factor, simDuration)
-						w.stopReports()
-						w.addFigures(sums)
+						sim := newSimulation(daemons, seed)
+						sim.startReports()
+						sim.offerLoad(factor, simDuration)
+						sim.stopReports()
+						sim.addFigures(sums)
 					})
 				}
 				for unit, sum := range sums {
@@ -234,21 +234,21 @@
 			b.Run(fmt.Sprintf("weight=%v/load=%v", back.Weight, factor), func(b *testing.B) {
 				most, all := 0, 0
 				runVirtual(b, func() {
-					w := newSimulation(6, 1)
-					w.startReports()
+					sim := newSimulation(6, 1)
+					sim.startReports()
 					for range 50 {
-						w.reopen(limit.Target{State: choose.Closed})
-						w.offerLoad(factor, 6*time.Second)
-						w.reopen(back)
-						w.offerLoad(factor, 100*time.Millisecond)
-						w.mu.Lock()
-						most += max(w.started["t00"], w.started["t01"], w.started["t02"])
-						for _, n := range w.started {
+						sim.reopen(limit.Target{State: choose.Closed})
+						sim.offerLoad(factor, 6*time.Second)
+						sim.reopen(back)
+						sim.offerLoad(factor, 100*time.Millisecond)
+						sim.mu.Lock()
+						most += max(sim.started["t00"], sim.started["t01"], sim.started["t02"])
+						for _, n := range sim.started {
 							all += n
 						}
-						w.mu.Unlock()
+						sim.mu.Unlock()
 					}
-					w.stopReports()
+					sim.stopReports()
 				})
 				b.ReportMetric(100*float64(most)/float64(all), "%herd")
 			})
@@ -257,15 +257,15 @@
 }
 
 // reopen sets three targets to the given state at all gates and resets the counts.
-func (w *simulation) reopen(state limit.Target) {
-	for i, g := range w.gates {
+func (sim *simulation) reopen(state limit.Target) {
+	for i, g := range sim.gates {
 		s := daemonSnapshot(simTargets, simSlots, i)
 		for k := range s.Targets[:3] {
 			s.Targets[k].State, s.Targets[k].Weight = state.State, state.Weight
 		}
 		g.Update(s)
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	clear(w.started)
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	clear(sim.started)
 }
