--- a/core/choose/choose.go
+++ b/core/choose/choose.go
@@ -16,7 +16,7 @@
 const (
 	// Closed candidates receive no requests.
 	Closed State = iota
-	// Ready candidates receive requests without restriction.
+	// Ready candidates receive all requests, up to their limit.
 	Ready
 	// SlowStart candidates receive the part of full traffic that Weight states, and
 	// more if no ready candidate is free.
@@ -31,7 +31,7 @@
 // Candidate describes one target at the time of the choice.
 type Candidate struct {
 	State State
-	// TrialAllowed says that this daemon may send trial requests to the target.
+	// TrialAllowed is set if this daemon may send trial requests to the target.
 	TrialAllowed   bool
 	SameDataCentre bool
 	// NeedsEvidence is set if this daemon has too few results of its own to judge a
