--- a/core/limit/sim_test.go
+++ b/core/limit/sim_test.go
@@ -16,17 +16,18 @@
 )
 
 const (
-	simSeeds    = 5
-	simSpan     = 60 * time.Second
-	simService  = 40 * time.Millisecond
-	simReports  = 3 * time.Second
-	simTargets  = 10
-	simSlots    = 2
-	simCapacity = simTargets * simSlots * float64(time.Second/simService) // requests per second
+	simSeeds          = 5
+	simDuration       = 60 * time.Second
+	simService        = 40 * time.Millisecond
+	simReportInterval = 3 * time.Second
+	simTargets        = 10
+	simSlots          = 2
+	simCapacity       = simTargets * simSlots * float64(time.Second/simService) // requests per second
 )
 
-// virtual runs f in a bubble: benchmarks of behaviour measure virtual time.
-func virtual(b *testing.B, f func()) {
+// runVirtual runs f in a synctest bubble, so that a benchmark of behaviour runs in
+// virtual time.
+func runVirtual(b *testing.B, f func()) {
 	b.Helper()
 	all := func(string, string) (bool, error) { return true, nil }
 	bubble := func(t *testing.T) { synctest.Test(t, func(*testing.T) { f() }) }
@@ -35,180 +36,184 @@
 	}
 }
 
-// world is a set of fake targets behind gates. Work above a target's slots waits at
-// the target; mu guards what follows it.
-type world struct {
+// simulation is a set of simulated targets and of daemons with one gate each. Requests
+// above a target's slots wait at the target. mu guards the fields below it.
+type simulation struct {
 	sync.WaitGroup
 	gates []*limit.Gate
 	slots map[fleet.TargetID]chan struct{}
 	stop  chan struct{}
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	busy    map[fleet.TargetID]int
-	began   map[fleet.TargetID]int
-	moved   time.Time
-	over    time.Duration
-	offered [3]int
-	inTime  [3]int
-	late    int
-	waits   []time.Duration
+	mu         sync.Mutex
+	rng        *rand.Rand
+	inFlight   map[fleet.TargetID]int
+	started    map[fleet.TargetID]int
+	lastChange time.Time
+	overSlots  time.Duration
+	offered    [3]int
+	inTime     [3]int
+	lateGrants int
+	waits      []time.Duration
 }
 
-func newWorld(daemons int, seed uint64) *world {
-	w := &world{
-		rng: rand.New(rand.NewPCG(seed, 3)), busy: map[fleet.TargetID]int{}, began: map[fleet.TargetID]int{}, moved: time.Now(),
+func newSimulation(daemons int, seed uint64) *simulation {
+	sim := &simulation{
+		rng: rand.New(rand.NewPCG(seed, 3)), inFlight: map[fleet.TargetID]int{}, started: map[fleet.TargetID]int{}, lastChange: time.Now(),
 		slots: map[fleet.TargetID]chan struct{}{}, stop: make(chan struct{}),
 	}
 	for i := range daemons {
 		vm := fleet.VMID(fmt.Sprint("vm", i))
-		w.gates = append(w.gates, limit.New(vm, limit.WithSeed(seed), limit.WithSnapshot(near(simTargets, simSlots, i))))
+		sim.gates = append(sim.gates, limit.New(vm, limit.WithSeed(seed), limit.WithSnapshot(daemonSnapshot(simTargets, simSlots, i))))
 	}
-	for _, t := range ready(simTargets, simSlots).Targets {
-		w.slots[t.ID] = make(chan struct{}, simSlots)
+	for _, t := range readySnapshot(simTargets, simSlots).Targets {
+		sim.slots[t.ID] = make(chan struct{}, simSlots)
 	}
-	return w
+	return sim
 }
 
-// move changes the work at a target and adds up the time above the slots.
-func (w *world) move(id fleet.TargetID, n int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, k := range w.busy {
+// changeInFlight changes the number of requests at a target by n and adds up the time
+// that targets spend above their slots.
+func (sim *simulation) changeInFlight(id fleet.TargetID, n int) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, k := range sim.inFlight {
 		if k > simSlots {
-			w.over += time.Since(w.moved)
+			sim.overSlots += time.Since(sim.lastChange)
 		}
 	}
-	w.moved = time.Now()
-	w.busy[id] += n
+	sim.lastChange = time.Now()
+	sim.inFlight[id] += n
 	if n > 0 {
-		w.began[id]++
+		sim.started[id]++
 	}
 }
 
-// request is one simulated request.
-type request struct {
-	ask     limit.Ask
+// simRequest is one simulated request.
+type simRequest struct {
+	req     limit.Ask
 	service time.Duration
 }
 
-func (q request) run(w *world, g *limit.Gate) {
-	defer w.Done()
-	gr, err := g.Acquire(context.Background(), q.ask)
+func (q simRequest) run(sim *simulation, g *limit.Gate) {
+	defer sim.Done()
+	gr, err := g.Acquire(context.Background(), q.req)
 	if err != nil {
 		return
 	}
-	w.move(gr.Target, 1)
-	w.slots[gr.Target] <- struct{}{}
+	sim.changeInFlight(gr.Target, 1)
+	sim.slots[gr.Target] <- struct{}{}
 	time.Sleep(q.service)
-	<-w.slots[gr.Target]
-	w.move(gr.Target, -1)
+	<-sim.slots[gr.Target]
+	sim.changeInFlight(gr.Target, -1)
 	gr.Release(limit.Served)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if q.ask.Kind != fleet.Batch {
-		w.waits = append(w.waits, gr.Waited)
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if q.req.Kind != fleet.Batch {
+		sim.waits = append(sim.waits, gr.Waited)
 	}
-	if time.Now().After(q.ask.Deadline) {
-		w.late++
+	if time.Now().After(q.req.Deadline) {
+		sim.lateGrants++
 		return
 	}
-	w.inTime[q.ask.Kind]++
+	sim.inTime[q.req.Kind]++
 }
 
-// loop sends the work of gate i to the other gates at the interval of the reports.
-func (w *world) loop(i int) {
-	time.Sleep(simReports * time.Duration(i) / time.Duration(len(w.gates)))
-	tick := time.NewTicker(simReports)
+// loop sends the loads of gate i to the other gates at the interval of the reports.
+func (sim *simulation) loop(i int) {
+	time.Sleep(simReportInterval * time.Duration(i) / time.Duration(len(sim.gates)))
+	tick := time.NewTicker(simReportInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-w.stop:
+		case <-sim.stop:
 			return
 		case <-tick.C:
 		}
-		work := w.gates[i].InFlight()
-		for j, g := range w.gates {
+		loads := sim.gates[i].InFlight()
+		for j, g := range sim.gates {
 			if j != i {
-				g.SetPeer(fleet.VMID(fmt.Sprint("vm", i)), work, time.Now())
+				g.SetPeer(fleet.VMID(fmt.Sprint("vm", i)), loads, time.Now())
 			}
 		}
 	}
 }
 
-// mixed is 60% lookups, 20% orders and 20% batch from 8 workspaces.
-func (w *world) mixed() request {
-	ws := fleet.WorkspaceID(fmt.Sprint("w", w.rng.IntN(8)))
-	q := request{service: time.Duration(w.rng.ExpFloat64() * float64(simService))}
-	switch n := w.rng.IntN(10); {
+// mixedRequest returns a random request: 60% lookups, 20% orders and 20% batch, from
+// 8 workspaces.
+func (sim *simulation) mixedRequest() simRequest {
+	ws := fleet.WorkspaceID(fmt.Sprint("w", sim.rng.IntN(8)))
+	q := simRequest{service: time.Duration(sim.rng.ExpFloat64() * float64(simService))}
+	switch n := sim.rng.IntN(10); {
 	case n < 6:
-		q.ask = within(ask(fleet.Lookup, ws), time.Duration(100+w.rng.IntN(400))*time.Millisecond)
+		q.req = withDeadline(newRequest(fleet.Lookup, ws), time.Duration(100+sim.rng.IntN(400))*time.Millisecond)
 	case n < 8:
-		q.ask = within(ask(fleet.Order, ws), 500*time.Millisecond)
+		q.req = withDeadline(newRequest(fleet.Order, ws), 500*time.Millisecond)
 	default:
-		q.ask = within(ask(fleet.Batch, ws), 5*time.Second)
+		q.req = withDeadline(newRequest(fleet.Batch, ws), 5*time.Second)
 	}
 	return q
 }
 
-// load sends requests to random gates at a part of the capacity of the targets.
-func (w *world) load(factor float64, span time.Duration) {
+// offerLoad sends requests to random gates; factor is their rate relative to the
+// capacity of the targets.
+func (sim *simulation) offerLoad(factor float64, span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); {
-		w.mu.Lock()
-		gap := time.Duration(w.rng.ExpFloat64() / factor / simCapacity * float64(time.Second))
-		q, g := w.mixed(), w.gates[w.rng.IntN(len(w.gates))]
-		w.offered[q.ask.Kind]++
-		w.mu.Unlock()
-		w.Add(1)
-		go q.run(w, g)
+		sim.mu.Lock()
+		gap := time.Duration(sim.rng.ExpFloat64() / factor / simCapacity * float64(time.Second))
+		q, g := sim.mixedRequest(), sim.gates[sim.rng.IntN(len(sim.gates))]
+		sim.offered[q.req.Kind]++
+		sim.mu.Unlock()
+		sim.Add(1)
+		go q.run(sim, g)
 		time.Sleep(gap)
 	}
 }
 
-// start starts the reports of the gates.
-func (w *world) start() {
-	for i := range w.gates {
-		go w.loop(i)
+// startReports starts the reports of the gates.
+func (sim *simulation) startReports() {
+	for i := range sim.gates {
+		go sim.loop(i)
 	}
 }
 
-// end waits for the requests and ends the reports.
-func (w *world) end() {
-	w.Wait()
-	close(w.stop)
+// stopReports waits for the requests and stops the reports.
+func (sim *simulation) stopReports() {
+	sim.Wait()
+	close(sim.stop)
 }
 
-// figures adds the measured figures to sums, refusals in percent of all requests.
-func (w *world) figures(sums map[string]float64) {
-	for k, n := range w.offered {
-		sums["%"+fleet.Kind(k).String()+"-in-time"] += 100 * float64(w.inTime[k]) / float64(n)
+// addFigures adds the measured values to sums; refusals are in percent of all requests.
+func (sim *simulation) addFigures(sums map[string]float64) {
+	for k, n := range sim.offered {
+		sums["%"+fleet.Kind(k).String()+"-in-time"] += 100 * float64(sim.inTime[k]) / float64(n)
 	}
-	percent := 100 / float64(w.offered[0]+w.offered[1]+w.offered[2])
-	for _, g := range w.gates {
-		s := g.Stats()
-		sums["%refused-early"] += percent * float64(s.RefusedEarly)
-		sums["%refused-late"] += percent * float64(s.RefusedLate)
-		sums["%refused-full"] += percent * float64(s.RefusedFull)
+	percent := 100 / float64(sim.offered[0]+sim.offered[1]+sim.offered[2])
+	for _, g := range sim.gates {
+		stats := g.Stats()
+		sums["%refused-early"] += percent * float64(stats.RefusedEarly)
+		sums["%refused-late"] += percent * float64(stats.RefusedLate)
+		sums["%refused-full"] += percent * float64(stats.RefusedFull)
 	}
-	sums["%granted-too-late"] += percent * float64(w.late)
-	sums["%over-slots"] += 100 * float64(w.over) / float64(simSpan*simTargets)
-	slices.Sort(w.waits)
-	sums["p99-urgent-wait-ms"] += float64(w.waits[len(w.waits)*99/100].Milliseconds())
+	sums["%granted-too-late"] += percent * float64(sim.lateGrants)
+	sums["%over-slots"] += 100 * float64(sim.overSlots) / float64(simDuration*simTargets)
+	slices.Sort(sim.waits)
+	sums["p99-urgent-wait-ms"] += float64(sim.waits[len(sim.waits)*99/100].Milliseconds())
 }
 
-// BenchmarkLoad reports the means over five seeds of what callers and targets see.
+// BenchmarkLoad reports refusals, waits and the overload of targets as means over five
+// seeds.
 func BenchmarkLoad(b *testing.B) {
 	for _, daemons := range []int{1, 6} {
 		for _, factor := range []float64{0.3, 0.6, 0.9, 2} {
 			b.Run(fmt.Sprintf("daemons=%d/load=%v", daemons, factor), func(b *testing.B) {
 				sums := map[string]float64{}
 				for seed := range uint64(simSeeds) {
-					virtual(b, func() {
-						w := newWorld(daemons, seed)
-						w.start()
-						w.load(factor, simSpan)
-						w.end()
-						w.figures(sums)
+					runVirtual(b, func() {
+						sim := newSimulation(daemons, seed)
+						sim.startReports()
+						sim.offerLoad(factor, simDuration)
+						sim.stopReports()
+						sim.addFigures(sums)
 					})
 				}
 				for unit, sum := range sums {
@@ -219,30 +224,31 @@
 	}
 }
 
-// BenchmarkHerd closes three of ten targets for 6 s and opens them again, fifty times.
-// It reports the mean part of the work of the next 100 ms that the busiest of the
-// three receives, if they return ready and in slow start.
+// BenchmarkHerd measures how many requests herd to a target that becomes usable again.
+// It closes three of ten targets for 6 s and opens them again, fifty times, in the state
+// ready or in slow start. It reports the fraction of the requests in the next 100 ms
+// that the busiest of the three receives.
 func BenchmarkHerd(b *testing.B) {
 	for _, back := range []limit.Target{{State: choose.Ready}, {State: choose.SlowStart, Weight: 0.1}} {
 		for _, factor := range []float64{0.3, 0.6} {
 			b.Run(fmt.Sprintf("weight=%v/load=%v", back.Weight, factor), func(b *testing.B) {
 				most, all := 0, 0
-				virtual(b, func() {
-					w := newWorld(6, 1)
-					w.start()
+				runVirtual(b, func() {
+					sim := newSimulation(6, 1)
+					sim.startReports()
 					for range 50 {
-						w.reopen(limit.Target{State: choose.Closed})
-						w.load(factor, 6*time.Second)
-						w.reopen(back)
-						w.load(factor, 100*time.Millisecond)
-						w.mu.Lock()
-						most += max(w.began["t00"], w.began["t01"], w.began["t02"])
-						for _, n := range w.began {
+						sim.reopen(limit.Target{State: choose.Closed})
+						sim.offerLoad(factor, 6*time.Second)
+						sim.reopen(back)
+						sim.offerLoad(factor, 100*time.Millisecond)
+						sim.mu.Lock()
+						most += max(sim.started["t00"], sim.started["t01"], sim.started["t02"])
+						for _, n := range sim.started {
 							all += n
 						}
-						w.mu.Unlock()
+						sim.mu.Unlock()
 					}
-					w.end()
+					sim.stopReports()
 				})
 				b.ReportMetric(100*float64(most)/float64(all), "%herd")
 			})
@@ -250,16 +256,16 @@
 	}
 }
 
-// reopen gives three targets the state of a target at all gates and counts anew.
-func (w *world) reopen(state limit.Target) {
-	for i, g := range w.gates {
-		s := near(simTargets, simSlots, i)
+// reopen sets three targets to the given state at all gates and resets the counts.
+func (sim *simulation) reopen(state limit.Target) {
+	for i, g := range sim.gates {
+		s := daemonSnapshot(simTargets, simSlots, i)
 		for k := range s.Targets[:3] {
 			s.Targets[k].State, s.Targets[k].Weight = state.State, state.Weight
 		}
 		g.Update(s)
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	clear(w.began)
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	clear(sim.started)
 }
