--- a/core/judge/belief.go
+++ b/core/judge/belief.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// Result is what one request, or the wait for it, says about a target.
+// Result classifies what one request, or its duration so far, shows about a target.
 type Result uint8
 
-// The results. The zero value says nothing.
+// The results. The zero value carries no evidence.
 const (
-	// Nothing is a request that ended for a reason of its caller.
+	// Nothing is a request that ended for a reason on the caller's side.
 	Nothing Result = iota
-	// Served is a whole answer that was not a failure.
+	// Served is a complete response that is not a failure.
 	Served
-	// Failed is an answer with which the target reports its own failure.
+	// Failed is a response in which the target reports its own failure.
 	Failed
-	// Broken is a reset, a cut or garbled answer, or no answer in the time allowed.
+	// Broken is a connection reset, a truncated or malformed response, or a timeout.
 	Broken
-	// Overdue is a request that runs for much longer than usual and goes on.
+	// Overdue is a request that is still pending long after the usual time.
 	Overdue
 	// Unreached is a connection that could not be opened.
 	Unreached
-	// Shed is a refusal before the request ran.
+	// Shed is a request that the target refused before running it.
 	Shed
-	// Slow is a request that runs for longer than most and goes on.
+	// Slow is a request that is still pending after most requests have completed.
 	Slow
-	// Late is a whole answer, as Served, to a request that was Slow before.
+	// Late is a Served response to a request that was reported as Slow before.
 	Late
 	resultCount
 )
@@ -40,36 +40,36 @@
 	return names[r]
 }
 
-// Bad reports whether the result speaks against the target.
+// Bad reports whether the result is neither a success nor without evidence.
 func (r Result) Bad() bool {
-	return r != Nothing && !r.Good()
+	return r != Nothing && !r.Success()
 }
 
-// Good reports whether the result is a whole answer that was not a failure.
-func (r Result) Good() bool {
+// Success reports whether the result is a complete response that is not a failure.
+func (r Result) Success() bool {
 	return r == Served || r == Late
 }
 
-// level is how badly off a target is.
-type level int
+// healthState is a hidden state of the model: how many of its requests a target fails.
+type healthState int
 
-// The levels. An impaired target fails a part of its requests, a sick one most.
+// The health states. A degraded target fails some of its requests, a failing one most.
 const (
-	well level = iota
-	impaired
-	sick
-	levelCount
+	healthy healthState = iota
+	degraded
+	failing
+	stateCount
 )
 
-// chances are probabilities, one for each level.
-type chances [levelCount]float64
+// perState holds one probability for each health state.
+type perState [stateCount]float64
 
-// likelihoods holds, for each result, how often it occurs at each level. A
-// request in a hundred fails by itself, so one Failed answer says little; a
-// reset hardly ever occurs while the target is well. A refusal speaks of load:
-// taken as sickness, a service that refuses half of its requests everywhere
-// would hide which of its targets also lose requests.
-var likelihoods = [resultCount]chances{
+// resultLikelihoods holds the probability of each result in each health state. One
+// request in a hundred fails even on a healthy target, so a single Failed response is
+// weak evidence; a healthy target almost never resets a connection. Shed is neutral,
+// because it is a sign of load: if it counted as failure, a service that refuses half
+// of its requests everywhere would hide which of its targets also lose requests.
+var resultLikelihoods = [resultCount]perState{
 	Nothing:   {1, 1, 1},
 	Served:    {0.98, 0.6, 0.18},
 	Failed:    {0.012, 0.2, 0.25},
@@ -79,109 +79,115 @@
 }
 
 const (
-	// SlowShare is the share of answered requests that are slow, OverdueShare the
-	// share of those that are overdue.
+	// SlowShare is the share of answered requests that take long enough to be
+	// reported as Slow, OverdueShare the share of those reported as Overdue.
 	SlowShare    = 0.1
 	OverdueShare = 0.02
 )
 
-// likelihood returns how often the result occurs at each level. A request that
-// goes on speaks against a target as far as failures of the service are silent;
-// an answer in the end takes that back.
-func (m Model) likelihood(r Result) chances {
-	var out chances
+// likelihood returns the probability of the result in each health state. A pending
+// request is evidence against the target only to the extent that failed requests of
+// the service time out; a Late response cancels the evidence of the earlier Slow.
+func (m Model) likelihood(r Result) perState {
+	var out perState
 	for i := range out {
 		switch r {
 		case Slow:
-			out[i] = m.open(SlowShare, level(i))
+			out[i] = m.pending(SlowShare, healthState(i))
 		case Overdue:
-			out[i] = m.open(OverdueShare, level(i)) / m.open(SlowShare, level(i))
+			out[i] = m.pending(OverdueShare, healthState(i)) / m.pending(SlowShare, healthState(i))
 		case Late:
-			out[i] = likelihoods[Served][i] / m.open(SlowShare, level(i))
+			out[i] = resultLikelihoods[Served][i] / m.pending(SlowShare, healthState(i))
 		default:
-			out[i] = likelihoods[r][i]
+			out[i] = resultLikelihoods[r][i]
 		}
 	}
 	return out
 }
 
-// open returns the probability that a request is still without an answer when
-// only the given share of the answered ones takes longer.
-func (m Model) open(share float64, l level) float64 {
-	if l == well {
-		return share
+// pending returns the probability that a request is still pending at the time
+// which only tailShare of the answered requests exceed.
+func (m Model) pending(tailShare float64, s healthState) float64 {
+	if s == healthy {
+		return tailShare
 	}
-	return share + (1-share)*m.Silent*failRates[l]
+	return tailShare + (1-tailShare)*m.TimeoutShare*failRates[s]
 }
 
-// failRates is the share of requests that a target fails at each level.
-var failRates = chances{0.012, 0.4, 0.82}
+// failRates holds the share of requests that a target fails in each health state.
+var failRates = perState{0.012, 0.4, 0.82}
 
-// Model describes the spells of sickness of a service's targets.
+// Model describes the failure episodes of a service's targets. An episode is a
+// period in which a target is degraded or failing.
 type Model struct {
-	// Spell is the usual duration of a spell.
-	Spell time.Duration
-	// Impaired and Sick are the shares of time that a target is at these levels.
-	Impaired float64
-	Sick     float64
-	// Silent is the share of failed requests that get no answer until their
+	// EpisodeDuration is the usual duration of an episode in the failing state.
+	EpisodeDuration time.Duration
+	// DegradedShare and FailingShare are the shares of time that a target spends in
+	// these states.
+	DegradedShare float64
+	FailingShare  float64
+	// TimeoutShare is the share of failed requests that get no response until their
 	// deadline; the others are reset or answered with an error at once.
-	Silent float64
+	TimeoutShare float64
 }
 
-func (m Model) prior() chances {
-	return chances{1 - m.Impaired - m.Sick, m.Impaired, m.Sick}
+func (m Model) prior() perState {
+	return perState{1 - m.DegradedShare - m.FailingShare, m.DegradedShare, m.FailingShare}
 }
 
-// impairedSpell is the part of the usual duration that a spell of impairment lasts.
-const impairedSpell = 0.5
+// degradedDurationRatio is the usual duration of an episode in the degraded state
+// as a fraction of EpisodeDuration.
+const degradedDurationRatio = 0.5
 
-// fadeShare is the part of the usual duration within which a spell that has
-// lasted as long as usual is expected to end.
-const fadeShare = 0.1
+// survivalDecay is the time constant, as a fraction of the usual duration, with
+// which the survival probability falls once the usual duration has passed.
+const survivalDecay = 0.1
 
-// persists returns the probability that a spell goes on at the elapsed time
-// after its onset. Spells of one service are of similar length, so that little
-// changes before the usual duration has passed, and much after it.
-func persists(elapsed, usual time.Duration) float64 {
+// survival returns the probability that an episode is still in progress at the elapsed
+// time after its start. Episodes of one service have similar durations, so the
+// probability is 1 up to the usual duration and falls quickly after it.
+func survival(elapsed, usual time.Duration) float64 {
 	over := elapsed - usual
 	if over <= 0 {
 		return 1
 	}
-	return math.Exp(-float64(over) / (fadeShare * float64(usual)))
+	return math.Exp(-float64(over) / (survivalDecay * float64(usual)))
 }
 
-// sickFrom is the probability of not being well from which a spell has begun.
-const sickFrom = 0.5
+// episodeThreshold is the probability of being degraded or failing at which an
+// episode is taken to have started.
+const episodeThreshold = 0.5
 
-// Belief is the estimate for one target. The zero value knows nothing.
-type Belief struct {
-	// at holds the probabilities at asOf.
-	at    chances
-	asOf  time.Time
-	onset time.Time
-	known bool
+// Estimate is the estimated health of one target. The zero value has no evidence.
+type Estimate struct {
+	// probabilities holds the probability of each health state at asOf.
+	probabilities perState
+	asOf          time.Time
+	// episodeStart is zero while no episode is in progress.
+	episodeStart time.Time
+	known        bool
 }
 
-// now returns the probabilities at the moment. Those of a spell that ends are
-// spread as for a target of which nothing is known.
-func (b *Belief) now(m Model, now time.Time) chances {
+// predict returns the probability of each health state at now. The probability of
+// an episode that has ended is distributed according to the prior, as for a target
+// without evidence.
+func (e *Estimate) predict(m Model, now time.Time) perState {
 	prior := m.prior()
-	if !b.known {
+	if !e.known {
 		return prior
 	}
-	age := max(now.Sub(b.asOf), 0)
-	stays := chances{well: math.Exp(-float64(age) / float64(m.Spell)), impaired: 1, sick: 1}
-	if !b.onset.IsZero() {
-		elapsed := now.Sub(b.onset)
-		stays[impaired] = persists(elapsed, time.Duration(impairedSpell*float64(m.Spell)))
-		stays[sick] = persists(elapsed, m.Spell)
+	age := max(now.Sub(e.asOf), 0)
+	stays := perState{healthy: math.Exp(-float64(age) / float64(m.EpisodeDuration)), degraded: 1, failing: 1}
+	if !e.episodeStart.IsZero() {
+		elapsed := now.Sub(e.episodeStart)
+		stays[degraded] = survival(elapsed, time.Duration(degradedDurationRatio*float64(m.EpisodeDuration)))
+		stays[failing] = survival(elapsed, m.EpisodeDuration)
 	}
-	var out chances
+	var out perState
 	moved := 0.0
 	for i := range out {
-		out[i] = b.at[i] * stays[i]
-		moved += b.at[i] * (1 - stays[i])
+		out[i] = e.probabilities[i] * stays[i]
+		moved += e.probabilities[i] * (1 - stays[i])
 	}
 	for i := range out {
 		out[i] += moved * prior[i]
@@ -190,66 +196,69 @@
 }
 
 // FailRate returns the share of requests that the target is expected to fail.
-func (b *Belief) FailRate(m Model, now time.Time) float64 {
+func (e *Estimate) FailRate(m Model, now time.Time) float64 {
 	rate := 0.0
-	for i, p := range b.now(m, now) {
+	for i, p := range e.predict(m, now) {
 		rate += p * failRates[i]
 	}
 	return rate
 }
 
-// Observe takes in a result.
-func (b *Belief) Observe(m Model, now time.Time, r Result) {
+// Observe updates the estimate with a result by Bayes' rule.
+func (e *Estimate) Observe(m Model, now time.Time, r Result) {
 	if r == Nothing || r >= resultCount {
 		return
 	}
-	before := b.now(m, now)
+	before := e.predict(m, now)
 	likelihood := m.likelihood(r)
 	total := 0.0
-	for i := range b.at {
-		b.at[i] = before[i] * likelihood[i]
-		total += b.at[i]
+	for i := range e.probabilities {
+		e.probabilities[i] = before[i] * likelihood[i]
+		total += e.probabilities[i]
 	}
-	for i := range b.at {
-		b.at[i] /= total
+	for i := range e.probabilities {
+		e.probabilities[i] /= total
 	}
-	b.asOf = now
-	b.known = true
+	e.asOf = now
+	e.known = true
 	switch {
-	case 1-b.at[well] < sickFrom:
-		b.onset = time.Time{}
-	case 1-before[well] < sickFrom || b.onset.IsZero():
-		b.onset = now
+	case 1-e.probabilities[healthy] < episodeThreshold:
+		e.episodeStart = time.Time{}
+	case 1-before[healthy] < episodeThreshold || e.episodeStart.IsZero():
+		e.episodeStart = now
 	}
 }
 
-// Snapshot is a belief in a form that can be passed on.
+// Snapshot is an estimate in a form that can be sent to a peer. It holds ages
+// instead of times, so that it does not depend on the sender's clock.
 type Snapshot struct {
+	// Impaired and Sick are the probabilities of the degraded and failing states.
 	Impaired float64
 	Sick     float64
-	// Age is the time since the last result, OnsetAge that since the spell began;
-	// a negative one stands for no spell.
-	Age      time.Duration
+	// Age is the time since the last result.
+	Age time.Duration
+	// OnsetAge is the time since the episode started; it is negative without an episode.
 	OnsetAge time.Duration
 }
 
-// Snapshot returns the belief; ok is false if nothing is known.
-func (b *Belief) Snapshot(now time.Time) (s Snapshot, ok bool) {
-	s = Snapshot{Impaired: b.at[impaired], Sick: b.at[sick], Age: now.Sub(b.asOf), OnsetAge: -1}
-	if !b.onset.IsZero() {
-		s.OnsetAge = now.Sub(b.onset)
+// Snapshot returns the estimate; ok is false if there is no evidence.
+func (e *Estimate) Snapshot(now time.Time) (s Snapshot, ok bool) {
+	s = Snapshot{Impaired: e.probabilities[degraded], Sick: e.probabilities[failing], Age: now.Sub(e.asOf), OnsetAge: -1}
+	if !e.episodeStart.IsZero() {
+		s.OnsetAge = now.Sub(e.episodeStart)
 	}
-	return s, b.known
+	return s, e.known
 }
 
-// Adopt takes over the belief of another observer where nothing newer is known.
-func (b *Belief) Adopt(now time.Time, s Snapshot) {
+// Merge replaces the estimate with the snapshot of another observer, unless the
+// estimate rests on a newer result.
+func (e *Estimate) Merge(now time.Time, s Snapshot) {
 	asOf := now.Add(-s.Age)
-	if b.known && !asOf.After(b.asOf) {
+	if e.known && !asOf.After(e.asOf) {
 		return
 	}
-	*b = Belief{at: chances{1 - s.Impaired - s.Sick, s.Impaired, s.Sick}, asOf: asOf, known: true}
+	*e = Estimate{probabilities: perState{1 - s.Impaired - s.Sick, s.Impaired, s.Sick}, asOf: asOf, known: true}
 	if s.OnsetAge >= 0 {
-		b.onset = now.Add(-s.OnsetAge)
+		e.episodeStart = now.Add(-s.OnsetAge)
 	}
 }
--- a/core/judge/doc.go
+++ b/core/judge/doc.go
@@ -1,7 +1,8 @@
-// Package judge estimates which part of its requests a target fails. Gray targets
-// fail for a spell of seconds and recover without a sign, so a [Belief] is the
-// state of a hidden semi-Markov model with three levels: each result of a request
-// moves it by Bayes' rule, and when a spell has lasted as long as usual it moves
-// back to the shares of time that targets of the service usually spend at the
-// levels. It neither reads a clock nor does input or output.
+// Package judge estimates the share of its requests that a target fails. Targets
+// can fail partially for a period of seconds, an episode, and recover without any
+// signal. An [Estimate] is therefore the belief state of a hidden semi-Markov model
+// with three health states. The result of each request updates it by Bayes' rule.
+// When an episode has lasted as long as usual, the estimate returns to the prior:
+// the shares of time that targets of the service usually spend in each state. The
+// package neither reads the clock nor performs I/O.
 package judge
--- a/core/judge/export_test.go
+++ b/core/judge/export_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Sick returns the probability that the target is in a spell, impaired or worse.
-func (b *Belief) Sick(m Model, now time.Time) float64 {
-	return 1 - b.now(m, now)[well]
+// EpisodeProbability returns the probability that the target is degraded or failing.
+func (e *Estimate) EpisodeProbability(m Model, now time.Time) float64 {
+	return 1 - e.predict(m, now)[healthy]
 }
--- a/core/judge/judge_test.go
+++ b/core/judge/judge_test.go
@@ -9,30 +9,31 @@
 	"wisteriarelay.example/core/judge"
 )
 
-var model = judge.Model{Spell: 10 * time.Second, Impaired: 0.05, Sick: 0.25}
+var model = judge.Model{EpisodeDuration: 10 * time.Second, DegradedShare: 0.05, FailingShare: 0.25}
 
-func observe(b *judge.Belief, at time.Time, results ...judge.Result) time.Time {
+func observe(e *judge.Estimate, at time.Time, results ...judge.Result) time.Time {
 	for _, r := range results {
-		b.Observe(model, at, r)
+		e.Observe(model, at, r)
 		at = at.Add(100 * time.Millisecond)
 	}
 	return at
 }
 
-// Guards against a target that keeps losing orders because one reset does not count.
-func TestOneResetMakesAKnownTargetSick(t *testing.T) {
+// Guards against a target that keeps losing requests because a single reset is too
+// little evidence to avoid it.
+func TestSingleResetStartsEpisode(t *testing.T) {
 	g := NewWithT(t)
-	var b judge.Belief
-	now := observe(&b, time.Unix(0, 0), judge.Served, judge.Served, judge.Served, judge.Broken)
-	g.Expect(b.Sick(model, now)).To(BeNumerically(">", 0.8))
-	g.Expect(b.FailRate(model, now)).To(BeNumerically(">", 0.5))
+	var e judge.Estimate
+	now := observe(&e, time.Unix(0, 0), judge.Served, judge.Served, judge.Served, judge.Broken)
+	g.Expect(e.EpisodeProbability(model, now)).To(BeNumerically(">", 0.8))
+	g.Expect(e.FailRate(model, now)).To(BeNumerically(">", 0.5))
 }
 
-// Load pattern: some targets lose a third of their answers, others most. Guards
-// against taking all of them for equally sick when only they are left.
-func TestImpairedIsToldFromSick(t *testing.T) {
+// Guards against rating a target that loses a third of its responses as badly as one
+// that loses nearly all: when no healthy target is left, the better one must be known.
+func TestDegradedDiffersFromFailing(t *testing.T) {
 	g := NewWithT(t)
-	var third, most judge.Belief
+	var third, most judge.Estimate
 	now := time.Unix(0, 0)
 	for range 5 {
 		_ = observe(&third, now, judge.Served, judge.Broken, judge.Served)
@@ -42,68 +43,69 @@
 	g.Expect(most.FailRate(model, now)).To(BeNumerically(">", 0.75))
 }
 
-// Guards against ejecting targets for the failures that every target has.
-func TestOneFailedAnswerIsOrdinary(t *testing.T) {
+// Guards against avoiding targets for the occasional error response that every
+// healthy target returns.
+func TestSingleFailedResponseIsWeakEvidence(t *testing.T) {
 	g := NewWithT(t)
-	var b judge.Belief
-	now := observe(&b, time.Unix(0, 0), judge.Served, judge.Served, judge.Served, judge.Served, judge.Failed)
-	g.Expect(b.Sick(model, now)).To(BeNumerically("<", 0.5))
-	g.Expect(b.FailRate(model, now)).To(BeNumerically("<", 0.15))
-	now = observe(&b, now, judge.Failed)
-	g.Expect(b.Sick(model, now)).To(BeNumerically(">", 0.5))
-	now = observe(&b, now, judge.Failed)
-	g.Expect(b.FailRate(model, now)).To(BeNumerically(">", 0.3))
+	var e judge.Estimate
+	now := observe(&e, time.Unix(0, 0), judge.Served, judge.Served, judge.Served, judge.Served, judge.Failed)
+	g.Expect(e.EpisodeProbability(model, now)).To(BeNumerically("<", 0.5))
+	g.Expect(e.FailRate(model, now)).To(BeNumerically("<", 0.15))
+	now = observe(&e, now, judge.Failed)
+	g.Expect(e.EpisodeProbability(model, now)).To(BeNumerically(">", 0.5))
+	now = observe(&e, now, judge.Failed)
+	g.Expect(e.FailRate(model, now)).To(BeNumerically(">", 0.3))
 }
 
-// Guards against sending requests into a spell again and again before its usual
-// end, which lost seven orders in each spell of nine seconds.
-func TestSpellIsExpectedToLast(t *testing.T) {
+// Guards against retrying a target several times before its episode usually ends,
+// which lost seven requests in each episode of nine seconds.
+func TestEpisodeLastsItsUsualDuration(t *testing.T) {
 	g := NewWithT(t)
-	var b judge.Belief
-	now := observe(&b, time.Unix(0, 0), judge.Served, judge.Broken)
-	g.Expect(b.Sick(model, now.Add(9*time.Second))).To(BeNumerically(">", 0.7))
-	g.Expect(b.FailRate(model, now.Add(9*time.Second))).To(BeNumerically(">", 0.5))
-	g.Expect(b.Sick(model, now.Add(14*time.Second))).To(BeNumerically("<", 0.4))
+	var e judge.Estimate
+	now := observe(&e, time.Unix(0, 0), judge.Served, judge.Broken)
+	g.Expect(e.EpisodeProbability(model, now.Add(9*time.Second))).To(BeNumerically(">", 0.7))
+	g.Expect(e.FailRate(model, now.Add(9*time.Second))).To(BeNumerically(">", 0.5))
+	g.Expect(e.EpisodeProbability(model, now.Add(14*time.Second))).To(BeNumerically("<", 0.4))
 }
 
-// Guards against a service that refuses half of its requests everywhere hiding
-// which of its targets lose requests.
-func TestRefusalIsNoSickness(t *testing.T) {
+// Guards against counting refusals as failures: in a service that refuses half of its
+// requests everywhere, that hides which targets also lose requests.
+func TestShedIsNotEvidenceOfFailure(t *testing.T) {
 	g := NewWithT(t)
-	var refusing, losing judge.Belief
+	var refusing, losing judge.Estimate
 	now := observe(&refusing, time.Unix(0, 0), judge.Served, judge.Shed, judge.Shed, judge.Shed)
 	_ = observe(&losing, time.Unix(0, 0), judge.Served, judge.Shed, judge.Broken, judge.Shed)
-	g.Expect(refusing.Sick(model, now)).To(BeNumerically("<", 0.2))
-	g.Expect(losing.Sick(model, now)).To(BeNumerically(">", 0.8))
+	g.Expect(refusing.EpisodeProbability(model, now)).To(BeNumerically("<", 0.2))
+	g.Expect(losing.EpisodeProbability(model, now)).To(BeNumerically(">", 0.8))
 }
 
-// Guards against a restarted daemon that learns at the callers' cost what its
-// peers know, and against an old word that replaces a newer one.
-func TestAdoptTakesOnlyNewerBeliefs(t *testing.T) {
+// Guards against a restarted daemon that loses requests to learn what its peers
+// already know, and against an old snapshot that replaces a newer estimate.
+func TestMergeKeepsNewerEstimate(t *testing.T) {
 	g := NewWithT(t)
-	var known, fresh judge.Belief
+	var known, fresh judge.Estimate
 	now := observe(&known, time.Unix(100, 0), judge.Served, judge.Broken)
 	snapshot, ok := known.Snapshot(now)
 	g.Expect(ok).To(BeTrue())
 
-	fresh.Adopt(now, snapshot)
-	g.Expect(fresh.Sick(model, now)).To(BeNumerically("~", known.Sick(model, now), 1e-9))
+	fresh.Merge(now, snapshot)
+	g.Expect(fresh.EpisodeProbability(model, now)).To(BeNumerically("~", known.EpisodeProbability(model, now), 1e-9))
 	g.Expect(fresh.FailRate(model, now)).To(BeNumerically("~", known.FailRate(model, now), 1e-9))
-	g.Expect(fresh.Sick(model, now.Add(14*time.Second))).To(BeNumerically("<", 0.4))
+	g.Expect(fresh.EpisodeProbability(model, now.Add(14*time.Second))).To(BeNumerically("<", 0.4))
 
 	later := observe(&fresh, now.Add(20*time.Second), judge.Served, judge.Served, judge.Served)
 	snapshot.Age = 30 * time.Second
-	fresh.Adopt(later, snapshot)
-	g.Expect(fresh.Sick(model, later)).To(BeNumerically("<", 0.1))
+	fresh.Merge(later, snapshot)
+	g.Expect(fresh.EpisodeProbability(model, later)).To(BeNumerically("<", 0.1))
 }
 
-// Load pattern: a target answers everything with its own failure while it passes
-// health checks. Guards against taking it for one that fails a part: during a
-// burst it had the most room, and got three and a half times the mean.
-func TestTargetThatFailsAllIsSick(t *testing.T) {
+// Guards against rating a target as degraded when it answers every request with an
+// error but passes its health checks. Because errors are fast, such a target had the
+// most free slots during a burst and got three and a half times the mean load.
+func TestTargetThatFailsEverythingIsFailing(t *testing.T) {
 	g := NewWithT(t)
-	var b judge.Belief
-	now := observe(&b, time.Unix(0, 0), judge.Served, judge.Served, judge.Served)
-	now = observe(&b, now, judge.Failed, judge.Failed, judge.Failed, judge.Failed, judge.Failed)
-	g.Expect(b.FailRate(model, now)).To(BeNumerically(">", 0.5))
+	var e judge.Estimate
+	now := observe(&e, time.Unix(0, 0), judge.Served, judge.Served, judge.Served)
+	now = observe(&e, now, judge.Failed, judge.Failed, judge.Failed, judge.Failed, judge.Failed)
+	g.Expect(e.FailRate(model, now)).To(BeNumerically(">", 0.5))
 }
--- a/core/sched/bench_test.go
+++ b/core/sched/bench_test.go
@@ -9,9 +9,9 @@
 	"wisteriarelay.example/core/judge"
 )
 
-// crowded returns a pool of the size of a large service whose targets are all full
-// while requests wait.
-func crowded(b testing.TB, targets, waiting int) *Pool {
+// fullPool returns the pool of a large service. All targets are full, and the given
+// number of requests wait.
+func fullPool(b testing.TB, targets, waiting int) *Pool {
 	b.Helper()
 	p := NewPool("orders", "a")
 	var all []Target
@@ -23,8 +23,8 @@
 		p.Learn("peer", Event{Target: t.Key, InFlight: 8, Result: judge.Served, Latency: 400 * time.Millisecond})
 	}
 	for range waiting {
-		a := Ask{Last: true, Deadline: time.Now().Add(time.Hour), Objective: time.Now().Add(time.Hour)}
-		w, g, err := p.ask(a)
+		req := Ask{Last: true, Deadline: time.Now().Add(time.Hour), Objective: time.Now().Add(time.Hour)}
+		w, g, err := p.grantOrQueue(req)
 		if w == nil {
 			b.Fatal(g, err)
 		}
@@ -32,12 +32,12 @@
 	return p
 }
 
-// The cost of an event of a peer while requests wait; it comes with each request of
-// the whole fleet.
-func BenchmarkLearnWhileRequestsWait(b *testing.B) {
+// Measures the cost of a peer event while requests wait. Each request of the whole fleet
+// causes such events.
+func BenchmarkPeerEventWhileRequestsWait(b *testing.B) {
 	for _, waiting := range []int{0, 10, 100} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
-			p := crowded(b, 231, waiting)
+			p := fullPool(b, 231, waiting)
 			key := Key{ID: "t7", Born: 1}
 			for b.Loop() {
 				p.Learn("peer", Event{Target: key, InFlight: 8, Result: judge.Served, Latency: 400 * time.Millisecond})
@@ -46,9 +46,9 @@
 	}
 }
 
-// The cost of placing one request.
+// Measures the cost of choosing a target for one request.
 func BenchmarkAcquire(b *testing.B) {
-	p := crowded(b, 231, 0)
+	p := fullPool(b, 231, 0)
 	p.Learn("peer", Event{Target: Key{ID: "t7", Born: 1}, Result: judge.Served, Latency: 400 * time.Millisecond})
 	for b.Loop() {
 		g, err := p.Acquire(context.Background(), Ask{Last: true, Deadline: time.Now().Add(time.Second)})
--- a/core/sched/choice.go
+++ b/core/sched/choice.go
@@ -8,43 +8,46 @@
 )
 
 const (
-	// queueDepth is the work beyond its slots that a target is given. A longer
-	// queue at the target would tie requests to it that another could serve sooner.
-	queueDepth = 2
-	// lossPenalty is the delay that the loss of a request is worth.
+	// targetQueueDepth is the number of requests beyond its slots that a target is
+	// given. A longer queue at the target would hold requests that another target
+	// could serve sooner.
+	targetQueueDepth = 2
+	// lossPenalty is the delay that is considered as bad as the loss of a request.
 	lossPenalty = 6 * time.Second
-	// sickRate is the expected share of failures from which a request rather waits
-	// than goes to the target. A target of which nothing is known stays below it:
-	// the service needs to learn of its capacity when the known targets are full.
-	sickRate = 0.45
-	// tendedRate is the same for a target that daemons of its own data centre look
-	// after: nothing has to be learnt of it here.
-	tendedRate = 0.15
-	// retryPenalty is the delay that a failure costs if the request is sent again.
+	// failRateLimit is the expected failure rate from which a request may wait for
+	// another target. A target without evidence is below it: when the known targets
+	// are full, the service has to find out whether the others have capacity.
+	failRateLimit = 0.45
+	// monitoredFailRateLimit is the same limit for targets that the daemons of their
+	// own data centre monitor: this daemon does not have to find out about them.
+	monitoredFailRateLimit = 0.15
+	// retryPenalty is the delay that a failure costs if the request can be retried.
 	retryPenalty = 600 * time.Millisecond
-	// remotePenalty and remotePerKB prefer targets of the own data centre: traffic
-	// between data centres is paid for by its bytes.
-	remotePenalty = 60 * time.Millisecond
-	remotePerKB   = 25 * time.Millisecond
-	// maxRemotePenalty is below what a sick target costs a request that can be sent
-	// again, so that large answers come from elsewhere rather than late.
+	// baseRemotePenalty and remotePenaltyPerKB make targets of this daemon's data
+	// centre preferred: traffic between data centres is billed by volume.
+	baseRemotePenalty  = 60 * time.Millisecond
+	remotePenaltyPerKB = 25 * time.Millisecond
+	// maxRemotePenalty is less than what a failing target costs a request that can be
+	// retried, so that a large response comes from another data centre rather than late.
 	maxRemotePenalty = 450 * time.Millisecond
-	// connectPenalty is charged for a target to which this daemon probably holds no
-	// connection, because it has not used it within connectMemory.
-	connectPenalty = 60 * time.Millisecond
-	connectMemory  = 6 * time.Second
-	// shedPenalty is charged for a target that refused a request within shedMemory.
+	// connectPenalty is added for a target to which this daemon probably holds no
+	// idle connection, because the target served no request of this daemon within
+	// connectionReuseWindow.
+	connectPenalty        = 60 * time.Millisecond
+	connectionReuseWindow = 6 * time.Second
+	// shedPenalty is added for a target that refused a request within shedWindow.
 	shedPenalty = 60 * time.Millisecond
-	shedMemory  = 300 * time.Millisecond
-	// coldPenalty is charged for a target that has just started and is slow.
+	shedWindow  = 300 * time.Millisecond
+	// coldPenalty is added for a target that has just started and is still slow.
 	coldPenalty = 150 * time.Millisecond
 )
 
-// pathModel describes how long a way between a daemon and a target stays cut.
-var pathModel = judge.Model{Spell: 4 * time.Second, Impaired: 0.01, Sick: 0.02}
+// pathModel describes the failure episodes of the network path between a daemon
+// and a target.
+var pathModel = judge.Model{EpisodeDuration: 4 * time.Second, DegradedShare: 0.01, FailingShare: 0.02}
 
-func (a Ask) tried(k Key) bool {
-	return slices.Contains(a.Tried, k)
+func (req Ask) hasTried(k Key) bool {
+	return slices.Contains(req.Tried, k)
 }
 
 // Reason says why a target was chosen.
@@ -52,112 +55,112 @@
 
 // The reasons.
 const (
-	// Cheapest is the target with the lowest expected cost.
+	// Cheapest means that the target had the lowest expected cost.
 	Cheapest Reason = "cheapest"
-	// Introduction is a target that nobody has used yet.
+	// Introduction means that no daemon had used the target before.
 	Introduction Reason = "introduction"
-	// Floor is a target that gets work to keep the service at its floor.
+	// Floor means that the target got a request so that enough targets stay in use.
 	Floor Reason = "floor"
 )
 
-// choice is a target for a request with what decided for it.
+// choice is the target chosen for a request.
 type choice struct {
 	member *member
 	rate   float64
 	reason Reason
 }
 
-// choose returns the target for a request; its member is nil if the request should wait.
-func (p *Pool) choose(a Ask, now time.Time) choice {
-	if len(a.Tried) == 0 {
-		if m, why := p.duty(a, now); m != nil {
+// choose returns the target for a request; its member is nil if the request has to wait.
+func (p *Pool) choose(req Ask, now time.Time) choice {
+	if len(req.Tried) == 0 {
+		if m, why := p.requiredTarget(req, now); m != nil {
 			return choice{member: m, rate: m.failRate(p.model, now), reason: why}
 		}
 	}
-	free, full := p.best(a, now)
-	if full.member != nil && p.worthWaiting(a, now, free, full) {
+	free, full := p.cheapest(req, now)
+	if full.member != nil && p.worthWaiting(req, now, free, full) {
 		return choice{}
 	}
 	return choice{member: free.member, rate: free.rate, reason: Cheapest}
 }
 
-// option is a target that a request could go to.
-type option struct {
+// candidate is a target considered for a request. Its rate is the expected failure rate.
+type candidate struct {
 	member *member
 	cost   time.Duration
 	rate   float64
 }
 
-func (o option) cheaper(other option) bool {
-	return other.member == nil || o.cost < other.cost
+func (c candidate) cheaperThan(other candidate) bool {
+	return other.member == nil || c.cost < other.cost
 }
 
-// best returns the cheapest target that has room and the cheapest that has none.
-func (p *Pool) best(a Ask, now time.Time) (free, full option) {
+// cheapest returns the cheapest target with free capacity and the cheapest one without.
+func (p *Pool) cheapest(req Ask, now time.Time) (free, full candidate) {
 	for k, m := range p.members {
-		if a.tried(k) {
+		if req.hasTried(k) {
 			continue
 		}
-		p.weighed++
-		o := option{member: m, rate: m.failRate(p.model, now)}
-		o.cost = p.cost(m, a, now, o.rate)
+		p.evaluatedCount++
+		c := candidate{member: m, rate: m.failRate(p.model, now)}
+		c.cost = p.cost(m, req, now, c.rate)
 		switch {
-		case m.load(now) < m.target.Slots+queueDepth:
-			if o.cheaper(free) {
-				free = o
+		case m.load(now) < m.target.Slots+targetQueueDepth:
+			if c.cheaperThan(free) {
+				free = c
 			}
-		case o.cheaper(full):
-			full = o
+		case c.cheaperThan(full):
+			full = c
 		}
 	}
 	return free, full
 }
 
-// worthWaiting reports whether the request should wait for a target without
-// room. Load pattern: the targets that are well are full while sick ones stand
-// idle; a request that is sent to those is most likely lost, and room at the
-// others is a fraction of a second away. A request that would miss its objective
-// does not wait, because it would take the room from one that can still meet it.
-func (p *Pool) worthWaiting(a Ask, now time.Time, free, full option) bool {
+// worthWaiting reports whether the request should wait for a target that is full.
+// This matters when the healthy targets are full and the failing ones are idle: a
+// request sent to a failing target would most likely be lost, although a healthy one
+// has capacity again within a fraction of a second. A request that would miss its
+// objective does not wait, because it would take the slot of one that can still meet it.
+func (p *Pool) worthWaiting(req Ask, now time.Time, free, full candidate) bool {
 	if free.member == nil {
 		return true
 	}
-	if free.rate < p.waitRate(free.member) {
+	if free.rate < p.failRateLimitFor(free.member) {
 		return false
 	}
-	wait := p.expectedWait(a, now)
-	if now.Add(wait + p.serviceTime()).After(a.objective()) {
+	wait := p.expectedWait(req, now)
+	if now.Add(wait + p.serviceTime()).After(req.objective()) {
 		return false
 	}
 	return full.cost+wait < free.cost
 }
 
-// waitRate returns the expected share of failures from which a request rather waits
-// than goes to the target.
-func (p *Pool) waitRate(m *member) float64 {
-	if p.tended[m.target.DataCentre] {
-		return tendedRate
+// failRateLimitFor returns the expected failure rate of the target from which a
+// request may wait for another one.
+func (p *Pool) failRateLimitFor(m *member) float64 {
+	if p.monitoredElsewhere[m.target.DataCentre] {
+		return monitoredFailRateLimit
 	}
-	return sickRate
+	return failRateLimit
 }
 
-// cost returns the expected delay of a request at the target. All reasons for
-// and against a target are expressed in time, so that they can be weighed.
-func (p *Pool) cost(m *member, a Ask, now time.Time, rate float64) time.Duration {
+// cost returns the expected delay of a request at the target. All criteria are
+// expressed as time, so that they can be added up and compared.
+func (p *Pool) cost(m *member, req Ask, now time.Time, rate float64) time.Duration {
 	penalty := retryPenalty
-	if a.Last {
+	if req.Last {
 		penalty = lossPenalty
 	}
 	cost := time.Duration(rate * float64(penalty))
-	cost += p.waitAt(m, now)
-	cost += m.speed.excess(now, p.serviceTime())
+	cost += p.slotWait(m, now)
+	cost += m.latency.excess(now, p.serviceTime())
 	if m.target.DataCentre != p.dataCentre {
-		cost += a.remotePenalty()
+		cost += req.remotePenalty()
 	}
-	if now.Sub(m.servedAt) >= connectMemory {
+	if now.Sub(m.servedAt) >= connectionReuseWindow {
 		cost += connectPenalty
 	}
-	if now.Sub(m.shedAt) < shedMemory {
+	if now.Sub(m.shedAt) < shedWindow {
 		cost += shedPenalty
 	}
 	if now.Before(m.target.WarmAt) {
@@ -166,21 +169,22 @@
 	return cost
 }
 
-// remotePenalty returns what another data centre costs the request.
-func (a Ask) remotePenalty() time.Duration {
-	return min(remotePenalty+time.Duration(a.Bytes)*remotePerKB/(1<<10), maxRemotePenalty)
+// remotePenalty returns the cost of sending the request to another data centre.
+func (req Ask) remotePenalty() time.Duration {
+	return min(baseRemotePenalty+time.Duration(req.Bytes)*remotePenaltyPerKB/(1<<10), maxRemotePenalty)
 }
 
-// waitAt returns the expected wait for a slot at the target. A target in use
-// is charged a little even with a slot free, so that load spreads among equals.
-func (p *Pool) waitAt(m *member, now time.Time) time.Duration {
+// slotWait returns the expected wait for a slot of the target. A target with free
+// slots costs a little more the more of its slots are in use, so that load spreads
+// over equal targets.
+func (p *Pool) slotWait(m *member, now time.Time) time.Duration {
 	load := m.load(now)
 	slots := max(m.target.Slots, 1)
 	if load < slots {
-		return p.serviceTime() * time.Duration(load) / time.Duration(slots*spreadShare)
+		return p.serviceTime() * time.Duration(load) / time.Duration(slots*spreadDivisor)
 	}
 	return p.serviceTime() * time.Duration(load-slots+1) / time.Duration(slots)
 }
 
-// spreadShare divides the charge for a target that is in use with a slot free.
-const spreadShare = 10
+// spreadDivisor reduces the cost of the slots in use while a slot is free.
+const spreadDivisor = 10
--- a/core/sched/doc.go
+++ b/core/sched/doc.go
@@ -1,5 +1,5 @@
-// Package sched decides which target of a service a request goes to, and which
-// request goes first when there is room for only some. A [Pool] holds what this
-// daemon and its peers know of the service's targets: results, work in flight
-// and speed. It does no input or output; a request waits in [Pool.Acquire].
+// Package sched chooses the target of a service for each request, and the order in
+// which requests are served when the targets lack capacity. A [Pool] holds what this
+// daemon and its peers observe of the service's targets: request results, requests
+// in flight and latency. The package performs no I/O; requests wait in [Pool.Acquire].
 package sched
--- /dev/null
+++ b/core/sched/estimates.go
@@ -0,0 +1,52 @@
+package sched
+
+import (
+	"time"
+
+	"wisteriarelay.example/core/judge"
+)
+
+// TargetBelief is the state of one target as sent to a peer that needs it, for
+// example because the peer starts to handle the service.
+type TargetBelief struct {
+	ID       string
+	Born     int64
+	Snapshot judge.Snapshot
+	// Load is the number of requests that the whole fleet has in flight at the target.
+	Load int
+}
+
+// Beliefs returns the state of all targets with evidence about their health.
+func (p *Pool) Beliefs() []TargetBelief {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := time.Now()
+	var out []TargetBelief
+	for k, m := range p.members {
+		if s, ok := m.estimate.Snapshot(now); ok {
+			out = append(out, TargetBelief{ID: k.ID, Born: k.Born, Snapshot: s, Load: m.load(now)})
+		}
+	}
+	return out
+}
+
+// allPeers is the peer name under which the load received with a [TargetBelief] is
+// stored: the sum over all other daemons.
+const allPeers = "all"
+
+// Adopt merges the state of targets received from a peer. The load is used only
+// without peer events, because a daemon that receives these counts from them.
+func (p *Pool) Adopt(beliefs []TargetBelief) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := time.Now()
+	for _, b := range beliefs {
+		if m := p.members[Key{ID: b.ID, Born: b.Born}]; m != nil {
+			m.estimate.Merge(now, b.Snapshot)
+			m.invalidateFailRate()
+			if p.noPeerEvents {
+				m.setPeerLoad(allPeers, max(b.Load-m.ownLoad, 0), now)
+			}
+		}
+	}
+}
--- a/core/sched/floor.go
+++ b/core/sched/floor.go
@@ -2,100 +2,108 @@
 
 import "time"
 
+// The usage floor is the share of the targets that has to be in use. A target is in use
+// if it got a request within floorInterval.
 const (
-	// floorSpan is the time in which each target of the floor gets a request.
-	floorSpan = 1300 * time.Millisecond
-	// turnSpan bounds the random delay by which the daemons of a service take
-	// turns, so that only one of them sends a request to a target for the floor.
-	// Daemons of other data centres take theirs behind those of the target's own.
-	turnSpan = 250 * time.Millisecond
-	// defaultFloor is the part of the targets that always get work. A service must
-	// not be reduced to a few targets: what is believed of the others may be
-	// wrong, and when a part of the fleet fails there is no time to find out.
-	defaultFloor = 0.7
-	// repeatFloor is the same for requests that are sent again when they fail, so
-	// that knowledge of all targets costs little.
-	repeatFloor = 0.95
-	// largeFloor is the same for requests that are dear to carry between data
-	// centres; above it they only go to targets of the own one.
-	largeFloor = 0.8
-	// dearPenalty is the penalty for another data centre from which a request is dear.
-	dearPenalty = 250 * time.Millisecond
-	// failureMemory is how long a target that failed does not count for the floor.
-	failureMemory = 1900 * time.Millisecond
-	// introduceAfter is the time after which a target that nobody has used yet gets
-	// a request, so that new capacity is known before it is needed.
-	introduceAfter = 1500 * time.Millisecond
+	// floorInterval is the time within which each target in use gets a request.
+	floorInterval = 1300 * time.Millisecond
+	// floorJitter bounds the random delay after which a daemon sends a request to an
+	// unused target, so that only one of the daemons does so. The delay is longer for
+	// targets in another data centre, so that the daemons there come first.
+	floorJitter = 250 * time.Millisecond
+	// defaultUsageFloor is the usage floor. A service must not be reduced to a few
+	// targets: the estimates of the others may be wrong, and when a part of the fleet
+	// fails there is no time to find out.
+	defaultUsageFloor = 0.7
+	// retryableUsageFloor is the usage floor for requests that can be retried. It is
+	// higher, because learning about the targets with these costs little.
+	retryableUsageFloor = 0.95
+	// largeUsageFloor is the usage floor up to which retryable requests that are
+	// expensive to send to another data centre keep targets there in use. Above it
+	// they only go to unused targets of their own data centre.
+	largeUsageFloor = 0.8
+	// expensiveRemotePenalty is the remote penalty from which a request is expensive
+	// to send to another data centre.
+	expensiveRemotePenalty = 250 * time.Millisecond
+	// failureWindow is how long a target that failed is left out of the usage floor.
+	failureWindow = 1900 * time.Millisecond
+	// introductionDelay is the time after which a new target that no daemon has used
+	// gets a request, so that new capacity is known before it is needed.
+	introductionDelay = 1500 * time.Millisecond
 )
 
-// duty returns a target that has to get a request although another costs less:
-// one that nobody has used yet, or one that keeps the service at its floor. Load
-// pattern: hundreds of daemons get a stray request each. To those that do not hear
-// from their peers every target is new: a request that can be sent again may find
-// out what nobody knows, others go where they are served.
-func (p *Pool) duty(a Ask, now time.Time) (*member, Reason) {
-	if p.uninformed && a.Last {
+// requiredTarget returns a target that has to get a request even if another one costs
+// less: a target that no daemon has used yet, or an unused one that is needed for the
+// usage floor. Without peer events every target looks new. When hundreds of such daemons
+// get an occasional request each, only retryable requests may go to a new target; the
+// others go where they are most likely served.
+func (p *Pool) requiredTarget(req Ask, now time.Time) (*member, Reason) {
+	if p.noPeerEvents && req.Last {
 		return nil, ""
 	}
-	fits := p.unintroduced
-	if p.uninformed && a.remotePenalty() >= dearPenalty {
-		fits = p.unintroducedNear
+	eligible := p.needsIntroduction
+	if p.noPeerEvents && req.remotePenalty() >= expensiveRemotePenalty {
+		eligible = p.needsLocalIntroduction
 	}
-	if m := p.leastFailing(a, now, fits); m != nil {
+	if m := p.leastFailing(req, now, eligible); m != nil {
 		return m, Introduction
 	}
-	fits = p.due(a, now)
-	if fits == nil {
+	eligible = p.floorFilter(req, now)
+	if eligible == nil {
 		return nil, ""
 	}
-	return p.leastFailing(a, now, fits), Floor
+	return p.leastFailing(req, now, eligible), Floor
 }
 
-// due returns which targets have to get a request now, or nil if none has to.
-func (p *Pool) due(a Ask, now time.Time) func(*member, time.Time) bool {
+// floorFilter returns a filter for the targets to which the request may go to reach
+// the usage floor, or nil if the floor is reached.
+func (p *Pool) floorFilter(req Ask, now time.Time) func(*member, time.Time) bool {
 	used := p.usedShare(now)
 	switch {
-	case a.Last:
-		if used < p.floor {
+	case req.Last:
+		if used < p.usageFloor {
 			return p.unused
 		}
-	case used < largeFloor || used < repeatFloor && a.remotePenalty() < dearPenalty:
+	case used < largeUsageFloor || used < retryableUsageFloor && req.remotePenalty() < expensiveRemotePenalty:
 		return p.unused
-	case used < repeatFloor:
-		return p.unusedNear
+	case used < retryableUsageFloor:
+		return p.unusedLocal
 	}
 	return nil
 }
 
-func (p *Pool) unusedNear(m *member, now time.Time) bool {
+func (p *Pool) unusedLocal(m *member, now time.Time) bool {
 	return m.target.DataCentre == p.dataCentre && p.unused(m, now)
 }
 
-func (p *Pool) unintroduced(m *member, now time.Time) bool {
-	return !p.tended[m.target.DataCentre] && m.usedAt.IsZero() && now.Sub(m.addedAt) > introduceAfter+m.turn && now.After(m.target.WarmAt)
+// needsIntroduction reports whether the target is new and no daemon has used it in time.
+func (p *Pool) needsIntroduction(m *member, now time.Time) bool {
+	return !p.monitoredElsewhere[m.target.DataCentre] && m.usedAt.IsZero() && now.Sub(m.addedAt) > introductionDelay+m.jitter && now.After(m.target.WarmAt)
 }
 
-func (p *Pool) unintroducedNear(m *member, now time.Time) bool {
-	return m.target.DataCentre == p.dataCentre && p.unintroduced(m, now)
+func (p *Pool) needsLocalIntroduction(m *member, now time.Time) bool {
+	return m.target.DataCentre == p.dataCentre && p.needsIntroduction(m, now)
 }
 
+// unused reports whether this daemon has to send the target a request to bring it back
+// into use. A target that has just failed is exempt.
 func (p *Pool) unused(m *member, now time.Time) bool {
-	if p.tended[m.target.DataCentre] {
+	if p.monitoredElsewhere[m.target.DataCentre] {
 		return false
 	}
 	last := m.usedAt
 	if m.addedAt.After(last) {
 		last = m.addedAt
 	}
-	return now.Sub(last) > floorSpan+m.turn && now.Sub(m.badAt) >= failureMemory
+	return now.Sub(last) > floorInterval+m.jitter && now.Sub(m.failedAt) >= failureWindow
 }
 
-// usedShare returns the share of the targets that got a request in the span. Those
-// that have just failed are left out.
+// usedShare returns the share of the targets that are in use. Targets that have just
+// failed and targets monitored elsewhere are not counted.
 func (p *Pool) usedShare(now time.Time) float64 {
 	used, all := 0, 0
 	for _, m := range p.members {
-		if now.Sub(m.badAt) < failureMemory || p.tended[m.target.DataCentre] {
+		if now.Sub(m.failedAt) < failureWindow || p.monitoredElsewhere[m.target.DataCentre] {
 			continue
 		}
 		all++
@@ -109,11 +117,12 @@
 	return float64(used) / float64(all)
 }
 
-// leastFailing returns the target with a free slot that fits and is expected to fail least.
-func (p *Pool) leastFailing(a Ask, now time.Time, fits func(*member, time.Time) bool) *member {
+// leastFailing returns the eligible target with a free slot and the lowest expected
+// failure rate, or nil.
+func (p *Pool) leastFailing(req Ask, now time.Time, eligible func(*member, time.Time) bool) *member {
 	var best *member
 	for k, m := range p.members {
-		if !fits(m, now) || a.tried(k) || m.load(now) >= m.target.Slots {
+		if !eligible(m, now) || req.hasTried(k) || m.load(now) >= m.target.Slots {
 			continue
 		}
 		if best == nil || m.failRate(p.model, now) < best.failRate(p.model, now) {
--- a/core/sched/grant.go
+++ b/core/sched/grant.go
@@ -11,96 +11,100 @@
 // Ask describes a request that needs a target.
 type Ask struct {
 	Idempotent bool
-	// Last says that the request is lost if it fails: it must not be sent again,
-	// or may not because its attempts or the budget are used up.
+	// Last says that the request cannot be retried if it fails: because it is not
+	// idempotent, or because its attempts or the retry budget are used up.
 	Last bool
-	// Priority ranks the request; 0 is the highest.
+	// Priority is the priority of the request; 0 is the highest.
 	Priority int
 	Deadline time.Time
-	// Objective is the time until which an answer is worth most; zero if there is none.
+	// Objective is the time by which the response should arrive; zero if there is none.
 	Objective time.Time
-	// Bytes is the expected size of request and answer.
+	// Bytes is the expected size of request and response.
 	Bytes int64
-	// Tried are the targets that the request was sent to before.
+	// Tried holds the targets that the request was sent to before.
 	Tried []Key
-	// since is when the pool was asked, number the count of asks until then.
-	since  time.Time
-	number uint64
+	// arrivedAt is when the pool got the request, sequence its number in the pool.
+	arrivedAt time.Time
+	sequence  uint64
 }
 
-func (a Ask) objective() time.Time {
-	if a.Objective.IsZero() || a.Objective.After(a.Deadline) {
-		return a.Deadline
+func (req Ask) objective() time.Time {
+	if req.Objective.IsZero() || req.Objective.After(req.Deadline) {
+		return req.Deadline
 	}
-	return a.Objective
+	return req.Objective
 }
 
-// Grant is the permission to send one request to a target. It must be settled once.
+// Grant is the permission to send one request to a target. Its holder ends it with
+// [Grant.Settle].
 type Grant struct {
 	Target Target
-	// FailRate is the share of requests that the target was expected to fail.
+	// FailRate is the expected failure rate of the target when it was chosen.
 	FailRate float64
-	// Load is the work in flight of the whole fleet before this request.
+	// Load is the number of requests that the whole fleet had in flight at the target
+	// before this one.
 	Load   int
 	Reason Reason
 	pool   *Pool
 	member *member
-	// told is the last early result.
-	told    judge.Result
-	settled bool
+	// lastReported is the last result passed to Report.
+	lastReported judge.Result
+	completed    bool
 }
 
-// Acquire chooses a target, waiting for room if need be. It fails with
-// fault.NoTarget if there is none, with fault.QueueFull if the wait would
-// outlast the deadline, and with fault.CallerGone if ctx ends first.
-func (p *Pool) Acquire(ctx context.Context, a Ask) (*Grant, error) {
-	w, g, err := p.ask(a)
+// Acquire chooses a target and waits for capacity if necessary. It fails with
+// fault.NoTarget if all targets were tried, with fault.QueueFull if the request would
+// wait past its deadline, and with fault.CallerGone if ctx ends first.
+func (p *Pool) Acquire(ctx context.Context, req Ask) (*Grant, error) {
+	w, g, err := p.grantOrQueue(req)
 	if g != nil || err != nil {
 		return g, err
 	}
-	timer := time.NewTimer(time.Until(p.latestStart(a)))
+	timer := time.NewTimer(time.Until(p.latestStart(req)))
 	defer timer.Stop()
 	select {
 	case g := <-w.granted:
 		return g, nil
 	case <-ctx.Done():
-		p.giveUp(w)
-		return nil, fault.New(fault.CallerGone, "caller left while waiting for a target")
+		p.cancelWait(w)
+		return nil, fault.New(fault.CallerGone, "request cancelled while waiting for a target")
 	case <-timer.C:
-		p.giveUp(w)
-		return nil, fault.New(fault.QueueFull, "no target had room in time")
+		p.cancelWait(w)
+		return nil, fault.New(fault.QueueFull, "no target had capacity in time")
 	}
 }
 
-// latestStart returns when the request is given up if it still waits: another
-// target could not answer it until its deadline.
-func (p *Pool) latestStart(a Ask) time.Time {
-	return a.Deadline.Add(-p.ServiceTime() / 2)
+// latestStart returns the time after which a waiting request is refused, because no
+// target could answer it before its deadline any more.
+func (p *Pool) latestStart(req Ask) time.Time {
+	return req.Deadline.Add(-p.ServiceTime() / 2)
 }
 
-func (p *Pool) ask(a Ask) (*waiter, *Grant, error) {
+// grantOrQueue returns a grant if a target can be used at once. Otherwise it adds the
+// request to the queue and returns its waiter.
+func (p *Pool) grantOrQueue(req Ask) (*waiter, *Grant, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	p.asked++
-	a.since, a.number = now, p.asked
-	if g := p.grant(a, now); g != nil {
+	p.requestCount++
+	req.arrivedAt, req.sequence = now, p.requestCount
+	if g := p.tryGrant(req, now); g != nil {
 		return nil, g, nil
 	}
-	if p.untried(a) == 0 {
+	if p.untriedCount(req) == 0 {
 		return nil, nil, fault.New(fault.NoTarget, "service %s has no further target", p.service)
 	}
-	if wait := p.expectedWait(a, now); now.Add(wait + p.serviceTime()).After(a.Deadline) {
+	if wait := p.expectedWait(req, now); now.Add(wait + p.serviceTime()).After(req.Deadline) {
 		return nil, nil, fault.New(fault.QueueFull, "wait of %s would outlast the deadline", wait)
 	}
-	w := &waiter{ask: a, granted: make(chan *Grant, 1)}
+	w := &waiter{request: req, granted: make(chan *Grant, 1)}
 	p.queue.push(w)
 	return w, nil, nil
 }
 
-// giveUp takes a waiter out of the queue, or settles the grant that it was
-// given in the same moment.
-func (p *Pool) giveUp(w *waiter) {
+// cancelWait removes a waiter from the queue. If the waiter got a grant in the
+// meantime, the grant is settled.
+func (p *Pool) cancelWait(w *waiter) {
 	p.mu.Lock()
 	removed := p.queue.remove(w)
 	p.mu.Unlock()
@@ -111,57 +115,60 @@
 	g.Settle(judge.Nothing, 0)
 }
 
-func (p *Pool) grant(a Ask, now time.Time) *Grant {
-	c := p.choose(a, now)
+// tryGrant chooses a target and grants it, or returns nil if the request has to wait.
+func (p *Pool) tryGrant(req Ask, now time.Time) *Grant {
+	c := p.choose(req, now)
 	if c.member == nil {
 		return nil
 	}
-	return p.give(c, now)
+	return p.grantChoice(c, now)
 }
 
-// give grants the target of a choice.
-func (p *Pool) give(c choice, now time.Time) *Grant {
+// grantChoice grants the chosen target and sends the event to the peers.
+func (p *Pool) grantChoice(c choice, now time.Time) *Grant {
 	m := c.member
 	load := m.load(now)
-	m.own++
+	m.ownLoad++
 	m.usedAt = now
-	p.emit(Event{Service: p.service, Target: m.target.Key, InFlight: m.own})
+	p.emit(Event{Service: p.service, Target: m.target.Key, InFlight: m.ownLoad})
 	return &Grant{Target: m.target, FailRate: c.rate, Load: load, Reason: c.reason, pool: p, member: m}
 }
 
-// Settle ends a grant with what its request said about the target.
+// Settle ends the grant with the result and the latency of its request. Calls after
+// the first have no effect.
 func (g *Grant) Settle(r judge.Result, took time.Duration) {
 	p := g.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if g.settled {
+	if g.completed {
 		return
 	}
-	g.settled = true
-	if g.told != judge.Nothing && r == judge.Served {
+	g.completed = true
+	if g.lastReported != judge.Nothing && r == judge.Served {
 		r = judge.Late
 	}
 	now := time.Now()
-	g.member.own--
-	p.learn(g.member, now, r, took)
-	p.emit(Event{Service: p.service, Target: g.Target.Key, InFlight: g.member.own, Result: r, Latency: took})
-	p.serveRoom(g.member, now)
+	g.member.ownLoad--
+	p.recordOwn(g.member, now, r, took)
+	p.emit(Event{Service: p.service, Target: g.Target.Key, InFlight: g.member.ownLoad, Result: r, Latency: took})
+	p.grantWaiting(g.member, now)
 }
 
-// Report tells an early result of a request that goes on, judge.Slow and then
-// judge.Overdue. It returns whether the target is now expected to fail the request.
+// Report records that the request is still pending: judge.Slow first, judge.Overdue
+// later. Each result counts once. It returns whether the target is now expected to
+// fail the request.
 func (g *Grant) Report(r judge.Result) (lost bool) {
 	p := g.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if g.settled {
+	if g.completed {
 		return false
 	}
 	now := time.Now()
-	if g.told != r && g.told != judge.Overdue {
-		g.told = r
-		p.learn(g.member, now, r, 0)
-		p.emit(Event{Service: p.service, Target: g.Target.Key, InFlight: g.member.own, Result: r})
+	if g.lastReported != r && g.lastReported != judge.Overdue {
+		g.lastReported = r
+		p.recordOwn(g.member, now, r, 0)
+		p.emit(Event{Service: p.service, Target: g.Target.Key, InFlight: g.member.ownLoad, Result: r})
 	}
-	return g.member.failRate(p.model, now) >= sickRate
+	return g.member.failRate(p.model, now) >= failRateLimit
 }
--- a/core/sched/informed_test.go
+++ b/core/sched/peer_events_test.go
@@ -11,14 +11,14 @@
 	"wisteriarelay.example/core/sched"
 )
 
-// Load pattern: callers with an old address bring a request now and then to each of
-// hundreds of daemons that do not hear from the others. Guards against each of them
-// sending orders, or fetching large answers from other data centres, only because it
-// knows of no earlier use of their targets.
-func TestUninformedDaemonHasFewDuties(t *testing.T) {
-	large := ask(true)
+// Guards against sending orders to another data centre, or fetching large responses from
+// there, only because this daemon has not seen its targets in use. That happens when
+// callers with an outdated address send an occasional request to each of hundreds of
+// daemons that receive no peer events.
+func TestDaemonWithoutPeerEventsUsesLocalTargets(t *testing.T) {
+	large := newRequest(true)
 	large.Bytes = 100 << 10
-	for name, stray := range map[string]sched.Ask{"order": ask(false), "large answer": large} {
+	for name, occasional := range map[string]sched.Ask{"order": newRequest(false), "large answer": large} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
@@ -31,8 +31,8 @@
 				p.SetInformed(false)
 				for range 10 {
 					time.Sleep(3 * time.Second)
-					stray.Deadline = time.Now().Add(2 * time.Second)
-					grant, err := p.Acquire(t.Context(), stray)
+					occasional.Deadline = time.Now().Add(2 * time.Second)
+					grant, err := p.Acquire(t.Context(), occasional)
 					g.Expect(err).NotTo(HaveOccurred())
 					g.Expect(grant.Target.DataCentre).To(Equal("a"))
 					grant.Settle(judge.Served, 100*time.Millisecond)
@@ -42,11 +42,10 @@
 	}
 }
 
-// Load pattern: a large group, whose daemons hear little of the targets in other data
-// centres. Guards against lookups that go there only to find out, and against orders
-// that go to targets of which nothing is known while the known ones are full for a
-// moment.
-func TestTargetsTendedElsewhere(t *testing.T) {
+// In a large group, daemons receive few events about the targets in other data centres.
+// Guards against sending lookups there only to learn about these targets, and against
+// sending orders there while the local targets are full for a moment.
+func TestTargetsMonitoredElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		p := sched.NewPool(service, "a")
@@ -58,20 +57,20 @@
 		p.SetTended(map[string]bool{"b": true})
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			grant, err := p.Acquire(t.Context(), ask(true))
+			grant, err := p.Acquire(t.Context(), newRequest(true))
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(grant.Target.DataCentre).To(Equal("a"))
 			grant.Settle(judge.Served, 100*time.Millisecond)
 		}
 		for range 2 * (mixed[0].Slots + 2) {
-			grant, err := p.Acquire(t.Context(), ask(false))
+			grant, err := p.Acquire(t.Context(), newRequest(false))
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(grant.Target.DataCentre).To(Equal("a"))
-			s := &settling{grant: grant, after: 200 * time.Millisecond}
+			s := &delayedCompletion{grant: grant, after: 200 * time.Millisecond}
 			go s.run()
 		}
 		began := time.Now()
-		grant, err := p.Acquire(t.Context(), ask(false))
+		grant, err := p.Acquire(t.Context(), newRequest(false))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(grant.Target.DataCentre).To(Equal("a"))
 		g.Expect(time.Since(began)).To(BeNumerically(">", 0))
@@ -79,13 +78,13 @@
 	})
 }
 
-// settling ends a request after a while.
-type settling struct {
+// delayedCompletion ends a grant after a delay.
+type delayedCompletion struct {
 	grant *sched.Grant
 	after time.Duration
 }
 
-func (s *settling) run() {
+func (s *delayedCompletion) run() {
 	time.Sleep(s.after)
 	s.grant.Settle(judge.Served, s.after)
 }
--- a/core/sched/pool.go
+++ b/core/sched/pool.go
@@ -7,73 +7,76 @@
 	"wisteriarelay.example/core/judge"
 )
 
-// defaultService is the mean time of a request before any was measured.
-const defaultService = 200 * time.Millisecond
+// defaultServiceTime is the mean latency assumed before the first measurement.
+const defaultServiceTime = 200 * time.Millisecond
 
-// Event is something that peers should know: a change of the work in flight at
-// a target, or a result.
+// Event tells the peers about a change in the number of requests in flight at a
+// target, or about a result.
 type Event struct {
 	Service string
 	Target  Key
-	// InFlight is this daemon's work in flight at the target after the event.
+	// InFlight is the number of this daemon's requests in flight at the target after
+	// the event.
 	InFlight int
 	Result   judge.Result
-	// Latency is the time that a served request took.
+	// Latency is the latency of a request that ended, zero otherwise.
 	Latency time.Duration
 }
 
-// Pool holds the targets of one service.
+// Pool holds the targets of one service and the queue of requests that wait for one.
 type Pool struct {
 	service    string
 	dataCentre string
 	model      judge.Model
-	floor      float64
+	usageFloor float64
 	emit       func(Event)
 
 	mu      sync.Mutex
 	members map[Key]*member
-	usual   latency
-	// slow is the time that one answered request in ten exceeds.
-	slow  quantile
-	queue queue
-	// servedAt is when all waiters were last looked through.
-	servedAt time.Time
-	// asked counts the requests that asked for a target, weighed the targets that
-	// were weighed for them.
-	asked   uint64
-	weighed uint64
-	// tended are the data centres whose targets are looked after by their own daemons.
-	tended map[string]bool
-	// uninformed says that this daemon is not told the results of its peers.
-	uninformed bool
+	latency ewma
+	// slowThreshold is the latency that one answered request in ten exceeds.
+	slowThreshold quantile
+	queue         queue
+	// queueScannedAt is the time of the last scan over all waiters.
+	queueScannedAt time.Time
+	// requestCount counts the requests passed to Acquire, evaluatedCount the targets
+	// whose cost was computed for them.
+	requestCount   uint64
+	evaluatedCount uint64
+	// monitoredElsewhere holds the data centres whose targets only the daemons there
+	// monitor.
+	monitoredElsewhere map[string]bool
+	// noPeerEvents says that this daemon does not receive the events of its peers.
+	noPeerEvents bool
 }
 
-// Option changes a Pool.
+// Option configures a Pool.
 type Option func(*Pool)
 
-// WithModel sets how spells of sickness are expected to go.
+// WithModel sets the model of the targets' failure episodes.
 func WithModel(m judge.Model) Option {
 	return func(p *Pool) { p.model = m }
 }
 
-// WithEmit sets the function that is told each event; it must not block.
+// WithEmit sets the function that is called with each event; it must not block.
 func WithEmit(emit func(Event)) Option {
 	return func(p *Pool) { p.emit = emit }
 }
 
-// DefaultModel expects spells of about ten seconds in a third of the time.
-var DefaultModel = judge.Model{Spell: 10 * time.Second, Impaired: 0.05, Sick: 0.25, Silent: 0.5}
+// DefaultModel describes targets with episodes of about ten seconds that take up a
+// third of the time.
+var DefaultModel = judge.Model{EpisodeDuration: 10 * time.Second, DegradedShare: 0.05, FailingShare: 0.25, TimeoutShare: 0.5}
 
 // NewPool returns a pool without targets for a daemon in the data centre.
 func NewPool(service, dataCentre string, opts ...Option) *Pool {
 	p := &Pool{
-		service:    service,
-		dataCentre: dataCentre,
-		model:      DefaultModel,
-		floor:      defaultFloor,
-		emit:       func(Event) {},
-		members:    map[Key]*member{},
-		slow:       quantile{value: 2 * defaultService, share: judge.SlowShare},
+		service:       service,
+		dataCentre:    dataCentre,
+		model:         DefaultModel,
+		usageFloor:    defaultUsageFloor,
+		emit:          func(Event) {},
+		members:       map[Key]*member{},
+		slowThreshold: quantile{value: 2 * defaultServiceTime, tailShare: judge.SlowShare},
 	}
 	for _, o := range opts {
 		o(p)
@@ -81,8 +84,8 @@
 	return p
 }
 
-// SetTargets replaces the targets that get work. What is known of a target
-// that stays is kept.
+// SetTargets replaces the targets of the pool. Targets with the same key keep their
+// observed state.
 func (p *Pool) SetTargets(targets []Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,30 +100,30 @@
 		members[t.Key] = m
 	}
 	p.members = members
-	p.serveQueue(now)
+	p.scanQueue(now)
 }
 
-// SetInformed says whether this daemon is told the results of its peers; a pool
-// expects so at first.
+// SetInformed sets whether this daemon receives the events of its peers. The default
+// is true.
 func (p *Pool) SetInformed(informed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.uninformed = !informed
+	p.noPeerEvents = !informed
 }
 
-// SetTended sets the data centres whose targets are looked after by their own daemons:
-// this one hears little of them, and has no duties there.
+// SetTended sets the data centres whose targets only the daemons there monitor. This
+// daemon receives few events about these targets and does not keep them in use.
 func (p *Pool) SetTended(dataCentres map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tended = dataCentres
+	p.monitoredElsewhere = dataCentres
 }
 
-// Informed reports whether this daemon is told the results of its peers.
+// Informed reports whether this daemon receives the events of its peers.
 func (p *Pool) Informed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.uninformed
+	return !p.noPeerEvents
 }
 
 // Size returns the number of targets.
@@ -130,7 +133,7 @@
 	return len(p.members)
 }
 
-// Slots returns the number of requests that all targets work on at once.
+// Slots returns the total number of slots of all targets.
 func (p *Pool) Slots() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -141,17 +144,18 @@
 	return slots
 }
 
-// Remove takes a target out at once, for example because another one answered
-// at its address.
+// Remove removes a target at once, for example because another target answered at its
+// address.
 func (p *Pool) Remove(k Key) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.members, k)
 }
 
-// learn takes in a result that this daemon saw itself.
-func (p *Pool) learn(m *member, now time.Time, r judge.Result, took time.Duration) {
-	m.evidenceChanged()
+// recordOwn records a result of one of this daemon's requests. Unreached is evidence
+// about the network path only.
+func (p *Pool) recordOwn(m *member, now time.Time, r judge.Result, took time.Duration) {
+	m.invalidateFailRate()
 	if r == judge.Unreached {
 		m.path.Observe(pathModel, now, r)
 		return
@@ -159,66 +163,68 @@
 	if r == judge.Shed {
 		m.shedAt = now
 	}
-	if r.Good() {
+	if r.Success() {
 		m.path.Observe(pathModel, now, judge.Served)
 		m.servedAt = now
 	}
-	p.take(m, now, r, took)
+	p.record(m, now, r, took)
 }
 
-// take takes in a result of any daemon.
-func (p *Pool) take(m *member, now time.Time, r judge.Result, took time.Duration) {
-	m.evidenceChanged()
-	if r.Good() {
-		m.speed.add(now, took)
-		p.usual.add(now, took)
-		p.slow.add(took)
+// record records a result of a request of any daemon.
+func (p *Pool) record(m *member, now time.Time, r judge.Result, took time.Duration) {
+	m.invalidateFailRate()
+	if r.Success() {
+		m.latency.add(now, took)
+		p.latency.add(now, took)
+		p.slowThreshold.add(took)
 	}
-	m.observe(p.model, now, r, took)
-	m.noteFailure(now, r)
-	p.noteSilence(r, took)
+	m.updateEstimate(p.model, now, r, took)
+	m.recordFailure(now, r)
+	p.updateTimeoutShare(r, took)
 }
 
 const (
-	// silenceWeight is the weight of one failure in the share of silent ones.
-	silenceWeight = 0.05
-	// leastSilence bounds that share from below, so that a first silent failure
-	// after many others still counts.
-	leastSilence = 0.15
+	// timeoutShareWeight is the weight of one failure in the model's TimeoutShare.
+	timeoutShareWeight = 0.05
+	// minTimeoutShare is the lower bound of the model's TimeoutShare, so that the first
+	// timeout after many other failures still counts.
+	minTimeoutShare = 0.15
 )
 
-// noteSilence follows which share of the failures is silent. Load pattern: in some
-// services targets in a spell keep requests open until their deadline, in others
-// they reset them at once, and then a slow request says nothing.
-func (p *Pool) noteSilence(r judge.Result, took time.Duration) {
+// updateTimeoutShare updates the share of failures that are timeouts: those that take
+// longer than slowThreshold. During an episode, targets of some services leave requests
+// without a response until the deadline, while those of others reset them at once. With
+// the latter, a slow request says nothing about its target.
+func (p *Pool) updateTimeoutShare(r judge.Result, took time.Duration) {
 	if r != judge.Broken && r != judge.Failed {
 		return
 	}
 	sample := 0.0
-	if took > p.slow.value {
+	if took > p.slowThreshold.value {
 		sample = 1
 	}
-	p.model.Silent = max(p.model.Silent+silenceWeight*(sample-p.model.Silent), leastSilence)
+	p.model.TimeoutShare = max(p.model.TimeoutShare+timeoutShareWeight*(sample-p.model.TimeoutShare), minTimeoutShare)
 }
 
-// observe moves the belief. What was sent before the last failure and served
-// after it says nothing of the target since: targets fail requests as they arrive.
-func (m *member) observe(model judge.Model, now time.Time, r judge.Result, took time.Duration) {
-	if r.Good() && now.Add(-took).Before(m.badAt) {
+// updateEstimate updates the health of the target with a result. A success of a request
+// that was sent before the target last failed is ignored: targets fail requests on
+// arrival, so it is no evidence that the target has recovered.
+func (m *member) updateEstimate(model judge.Model, now time.Time, r judge.Result, took time.Duration) {
+	if r.Success() && now.Add(-took).Before(m.failedAt) {
 		return
 	}
-	m.belief.Observe(model, now, r)
+	m.estimate.Observe(model, now, r)
 }
 
-// noteFailure remembers when the target last failed a request.
-func (m *member) noteFailure(now time.Time, r judge.Result) {
+// recordFailure sets failedAt if the result is a failure of the target.
+func (m *member) recordFailure(now time.Time, r judge.Result) {
 	if r == judge.Broken || r == judge.Failed {
-		m.badAt = now
+		m.failedAt = now
 	}
 }
 
-// Learn takes in an event of a peer. A peer that cannot reach a target says
-// nothing about the way from here.
+// Learn applies an event of a peer. The result Unreached is ignored, because the peer's
+// path to the target is not the path from here.
 func (p *Pool) Learn(peer string, e Event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -227,7 +233,7 @@
 	if m == nil {
 		return
 	}
-	if !p.uninformed {
+	if !p.noPeerEvents {
 		m.setPeerLoad(peer, e.InFlight, now)
 	}
 	m.usedAt = now
@@ -235,37 +241,37 @@
 		m.shedAt = now
 	}
 	if e.Result != judge.Unreached {
-		p.take(m, now, e.Result, e.Latency)
+		p.record(m, now, e.Result, e.Latency)
 	}
-	p.serveRoom(m, now)
+	p.grantWaiting(m, now)
 }
 
-// ServiceTime returns the mean time of a request.
+// ServiceTime returns the mean latency of a request.
 func (p *Pool) ServiceTime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.serviceTime()
 }
 
-// SlowAfter returns the time that one answered request in ten exceeds.
+// SlowAfter returns the latency that one answered request in ten exceeds.
 func (p *Pool) SlowAfter() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.slow.value
+	return p.slowThreshold.value
 }
 
 func (p *Pool) serviceTime() time.Duration {
-	if p.usual.mean == 0 {
-		return defaultService
+	if p.latency.mean == 0 {
+		return defaultServiceTime
 	}
-	return p.usual.mean
+	return p.latency.mean
 }
 
-// untried returns the number of targets that the request was not sent to yet.
-func (p *Pool) untried(a Ask) int {
+// untriedCount returns the number of targets that the request was not sent to yet.
+func (p *Pool) untriedCount(req Ask) int {
 	n := 0
 	for k := range p.members {
-		if !a.tried(k) {
+		if !req.hasTried(k) {
 			n++
 		}
 	}
--- a/core/sched/queue.go
+++ b/core/sched/queue.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// waiter is a request that waits for room.
+// waiter is a request that waits for a target with capacity.
 type waiter struct {
-	ask     Ask
+	request Ask
 	granted chan *Grant
 }
 
-// queue holds the waiters, highest priority first, then earliest deadline, so
-// that a burst costs the least urgent requests.
+// queue holds the waiters by priority, then by deadline, so that in a burst the least
+// urgent requests are the ones that cannot be served.
 type queue struct {
 	waiters []*waiter
 }
@@ -24,18 +24,18 @@
 }
 
 func compareWaiters(a, b *waiter) int {
-	return a.ask.compare(b.ask)
+	return a.request.compare(b.request)
 }
 
-// compare orders requests by rank, deadline and arrival.
-func (a Ask) compare(b Ask) int {
-	if a.Priority != b.Priority {
-		return a.Priority - b.Priority
+// compare orders requests by priority, deadline and arrival.
+func (req Ask) compare(other Ask) int {
+	if req.Priority != other.Priority {
+		return req.Priority - other.Priority
 	}
-	if byDeadline := a.Deadline.Compare(b.Deadline); byDeadline != 0 {
+	if byDeadline := req.Deadline.Compare(other.Deadline); byDeadline != 0 {
 		return byDeadline
 	}
-	return cmp.Compare(a.number, b.number)
+	return cmp.Compare(req.sequence, other.sequence)
 }
 
 func (q *queue) remove(w *waiter) bool {
@@ -48,48 +48,50 @@
 }
 
 const (
-	// serveInterval is how often all waiters are looked through while events come:
-	// some only change what is best for a request as time passes.
-	serveInterval = 25 * time.Millisecond
-	// maxMisses is the number of waiters of one rank that find no target before those
-	// behind them are left for the next time: they want the same.
+	// queueScanInterval is the least time between scans over all waiters that events
+	// trigger. The scans are needed because the best decision for a waiter also changes
+	// as time passes.
+	queueScanInterval = 25 * time.Millisecond
+	// maxMisses is the number of waiters of one class without a target after which a
+	// scan skips the rest of the class, which have the same requirements.
 	maxMisses = 2
 )
 
-// serveRoom grants a target on which something was learnt to those that wait. Load
-// pattern: all targets are full, hundreds of requests wait, and results of the whole
-// fleet come thousands of times in a second; each of them changes one target only.
-func (p *Pool) serveRoom(m *member, now time.Time) {
+// grantWaiting grants free capacity of the target to waiters after an event at that
+// target. When all targets are full and hundreds of requests wait, the events of the
+// whole fleet arrive thousands of times per second. Each of them changes one target
+// only, so evaluating all targets for all waiters each time would be too expensive.
+func (p *Pool) grantWaiting(m *member, now time.Time) {
 	if len(p.queue.waiters) == 0 {
 		return
 	}
-	if now.Sub(p.servedAt) >= serveInterval {
-		p.serveQueue(now)
+	if now.Sub(p.queueScannedAt) >= queueScanInterval {
+		p.scanQueue(now)
 		return
 	}
-	for m.load(now) < m.target.Slots+queueDepth {
+	for m.load(now) < m.target.Slots+targetQueueDepth {
 		rate := m.failRate(p.model, now)
 		at := p.queue.firstFor(m.target.Key)
-		if at < 0 || rate >= sickRate {
+		if at < 0 || rate >= failRateLimit {
 			return
 		}
-		w := p.queue.take(at)
-		w.granted <- p.give(choice{member: m, rate: rate, reason: Cheapest}, now)
+		w := p.queue.removeAt(at)
+		w.granted <- p.grantChoice(choice{member: m, rate: rate, reason: Cheapest}, now)
 	}
 }
 
-// serveQueue grants targets to waiters as far as there is room.
-func (p *Pool) serveQueue(now time.Time) {
-	p.servedAt = now
-	missed := map[rank]int{}
+// scanQueue grants targets to all waiters for which there is one.
+func (p *Pool) scanQueue(now time.Time) {
+	p.queueScannedAt = now
+	missed := map[class]int{}
 	waiting := p.queue.waiters[:0]
 	for _, w := range p.queue.waiters {
 		var g *Grant
-		if missed[w.ask.rank()] < maxMisses {
-			g = p.grant(w.ask, now)
+		if missed[w.request.class()] < maxMisses {
+			g = p.tryGrant(w.request, now)
 		}
 		if g == nil {
-			missed[w.ask.rank()]++
+			missed[w.request.class()]++
 			waiting = append(waiting, w)
 			continue
 		}
@@ -99,40 +101,40 @@
 	p.queue.waiters = waiting
 }
 
-// rank is what requests have in common that want the same of a target.
-type rank struct {
-	priority int
-	last     bool
+// class groups the requests that have the same requirements on a target.
+type class struct {
+	priority     int
+	finalAttempt bool
 }
 
-func (a Ask) rank() rank {
-	return rank{priority: a.Priority, last: a.Last}
+func (req Ask) class() class {
+	return class{priority: req.Priority, finalAttempt: req.Last}
 }
 
-// firstFor returns the position of the first waiter that was not sent to the target
+// firstFor returns the index of the first waiter that was not sent to the target
 // before, or -1.
 func (q *queue) firstFor(k Key) int {
-	return slices.IndexFunc(q.waiters, func(w *waiter) bool { return !w.ask.tried(k) })
+	return slices.IndexFunc(q.waiters, func(w *waiter) bool { return !w.request.hasTried(k) })
 }
 
-// take removes the waiter at the position.
-func (q *queue) take(at int) *waiter {
+// removeAt removes and returns the waiter at the index.
+func (q *queue) removeAt(at int) *waiter {
 	w := q.waiters[at]
 	q.waiters = slices.Delete(q.waiters, at, at+1)
 	return w
 }
 
-// expectedWait returns how long a new request would wait behind those that go
-// before it: at least as long as one of those has waited, because the waiters of
-// other daemons are not known. A slot counts for the share of requests that its
-// target serves.
-func (p *Pool) expectedWait(a Ask, now time.Time) time.Duration {
+// expectedWait returns the expected time in the queue of a new request. It is at least
+// as long as any waiter before it has already waited, because the waiters of other
+// daemons are unknown. A slot counts in proportion to the share of requests that its
+// target serves successfully.
+func (p *Pool) expectedWait(req Ask, now time.Time) time.Duration {
 	ahead := 1
 	longest := time.Duration(0)
 	for _, w := range p.queue.waiters {
-		if w.ask.compare(a) < 0 {
+		if w.request.compare(req) < 0 {
 			ahead++
-			longest = max(longest, now.Sub(w.ask.since))
+			longest = max(longest, now.Sub(w.request.arrivedAt))
 		}
 	}
 	slots := 0.0
--- a/core/sched/sched_test.go
+++ b/core/sched/sched_test.go
@@ -35,49 +35,52 @@
 	return p
 }
 
-func ask(idempotent bool) sched.Ask {
+// newRequest returns a lookup, which is idempotent and can be retried, or an order, which
+// is neither.
+func newRequest(idempotent bool) sched.Ask {
 	return sched.Ask{Idempotent: idempotent, Last: !idempotent, Deadline: time.Now().Add(2 * time.Second)}
 }
 
-// spells says when a target resets what it is sent: whole periods, a third of
-// them, each target shifted.
-func sick(target string, at time.Duration) bool {
+// inEpisode reports whether a target resets its requests at the given time. It does so in
+// about a third of the periods, which start at a different time for each target.
+func inEpisode(target string, at time.Duration) bool {
 	var n int
 	_, _ = fmt.Sscanf(target, "t%d", &n)
 	period := (at + time.Duration(n)*1300*time.Millisecond) / (9 * time.Second)
 	return (uint64(period)*2654435761+uint64(n)*40503)%10 < 3
 }
 
-// replay sends orders at a steady rate through a pool whose targets have spells,
-// and returns how many were lost.
-func replay(t *testing.T, p *sched.Pool, rate int, length time.Duration) (sent, lost int) {
+// simulate sends orders at a steady rate through a pool whose targets have episodes, and
+// returns how many were sent and lost.
+func simulate(t *testing.T, p *sched.Pool, rate int, length time.Duration) (sent, lost int) {
 	begin := time.Now()
 	for time.Since(begin) < length {
 		time.Sleep(time.Second / time.Duration(rate))
-		grant, err := p.Acquire(t.Context(), ask(false))
+		grant, err := p.Acquire(t.Context(), newRequest(false))
 		if err != nil {
 			lost++
 			continue
 		}
 		sent++
-		bad := sick(grant.Target.ID, time.Since(begin))
-		if bad {
+		reset := inEpisode(grant.Target.ID, time.Since(begin))
+		if reset {
 			lost++
 		}
-		r := &run{grant: grant, bad: bad}
+		r := &orderRun{grant: grant, reset: reset}
 		go r.run()
 	}
 	time.Sleep(time.Second)
 	return sent, lost
 }
 
-type run struct {
+// orderRun is the processing of one order by a target.
+type orderRun struct {
 	grant *sched.Grant
-	bad   bool
+	reset bool
 }
 
-func (r *run) run() {
-	if r.bad {
+func (r *orderRun) run() {
+	if r.reset {
 		r.grant.Settle(judge.Broken, 0)
 		return
 	}
@@ -85,20 +88,20 @@
 	r.grant.Settle(judge.Served, 160*time.Millisecond)
 }
 
-// Load pattern: targets reset all requests for periods of nine seconds, three in
-// ten at any time, while orders arrive at a third of the capacity. Guards against
-// sending orders into a known spell: without memory three in ten are lost.
-func TestOrdersAvoidSpells(t *testing.T) {
+// Guards against sending orders to a target during a known episode. Three in ten targets
+// reset all requests at any time, for nine seconds each, and orders take a third of the
+// capacity; without knowledge of past results, three in ten orders are lost.
+func TestOrdersAvoidEpisodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		sent, lost := replay(t, newPool(9), 37, 60*time.Second)
+		sent, lost := simulate(t, newPool(9), 37, 60*time.Second)
 		g.Expect(sent).To(BeNumerically(">", 2000))
 		g.Expect(float64(lost) / float64(sent)).To(BeNumerically("<", 0.06))
 	})
 }
 
-// Guards against each daemon paying for itself to learn what a peer knows.
-func TestResultsOfPeersCount(t *testing.T) {
+// Guards against a daemon that loses requests to learn what a peer already knows.
+func TestResultsOfPeersAreUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		p := newPool(2)
@@ -107,7 +110,7 @@
 			p.Learn("peer", sched.Event{Target: first, Result: judge.Broken})
 		}
 		for range 20 {
-			grant, err := p.Acquire(t.Context(), ask(false))
+			grant, err := p.Acquire(t.Context(), newRequest(false))
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(grant.Target.Key).NotTo(Equal(first))
 			grant.Settle(judge.Served, time.Millisecond)
@@ -115,8 +118,8 @@
 	})
 }
 
-// Guards against ejecting a target for all because one daemon has lost the way to it.
-func TestUnreachedByPeerSaysNothing(t *testing.T) {
+// Guards against all daemons avoiding a target that only one daemon cannot reach.
+func TestUnreachedResultOfPeerIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		p := newPool(1)
@@ -124,26 +127,25 @@
 		for range 5 {
 			p.Learn("peer", sched.Event{Target: k, Result: judge.Unreached})
 		}
-		grant, err := p.Acquire(t.Context(), ask(false))
+		grant, err := p.Acquire(t.Context(), newRequest(false))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(grant.FailRate).To(BeNumerically("<", 0.4))
 	})
 }
 
-// Load pattern: a burst far beyond the capacity. Guards against requests that
-// wait until their deadline although it is known that they cannot be served, and
-// against low priorities going first.
-func TestBurstIsRefusedAtOnce(t *testing.T) {
+// Guards against requests that wait until their deadline although they cannot be served
+// before it, in a burst far beyond the capacity.
+func TestExcessOfBurstIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		p := newPool(1)
-		hold := fill(t, p)
+		held := fillSlots(t, p)
 		begin := time.Now()
 		refused := 0
 		for range 40 {
-			a := ask(true)
+			a := newRequest(true)
 			a.Deadline = begin.Add(600 * time.Millisecond)
-			w := &waiting{pool: p, ask: a, errs: make(chan error, 1)}
+			w := &queuedRequest{pool: p, request: a, errs: make(chan error, 1)}
 			go w.run(t.Context())
 			synctest.Wait()
 			select {
@@ -155,34 +157,36 @@
 		}
 		g.Expect(time.Since(begin)).To(BeZero())
 		g.Expect(refused).To(BeNumerically(">", 30))
-		for _, grant := range hold {
+		for _, grant := range held {
 			grant.Settle(judge.Served, 200*time.Millisecond)
 		}
 		time.Sleep(2 * time.Second)
 	})
 }
 
-func fill(t *testing.T, p *sched.Pool) []*sched.Grant {
-	var hold []*sched.Grant
+// fillSlots uses up the capacity of a pool with one target.
+func fillSlots(t *testing.T, p *sched.Pool) []*sched.Grant {
+	var held []*sched.Grant
 	for range 4 {
-		grant, err := p.Acquire(t.Context(), ask(true))
+		grant, err := p.Acquire(t.Context(), newRequest(true))
 		if err != nil {
 			t.Fatal(err)
 		}
-		hold = append(hold, grant)
+		held = append(held, grant)
 	}
-	return hold
+	return held
 }
 
-type waiting struct {
-	pool  *sched.Pool
-	ask   sched.Ask
-	errs  chan error
-	grant *sched.Grant
+// queuedRequest is a request that waits for a grant and holds it for 50 ms.
+type queuedRequest struct {
+	pool    *sched.Pool
+	request sched.Ask
+	errs    chan error
+	grant   *sched.Grant
 }
 
-func (w *waiting) run(ctx context.Context) {
-	grant, err := w.pool.Acquire(ctx, w.ask)
+func (w *queuedRequest) run(ctx context.Context) {
+	grant, err := w.pool.Acquire(ctx, w.request)
 	if err != nil {
 		w.errs <- err
 		return
@@ -192,34 +196,35 @@
 	grant.Settle(judge.Served, 50*time.Millisecond)
 }
 
-// Guards against a request of low priority that takes the room of an urgent one.
-func TestUrgentRequestsGoFirst(t *testing.T) {
+// Guards against a low-priority request that gets the slot of a high-priority one because
+// it has waited longer.
+func TestHighPriorityGoesFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		p := newPool(1)
-		hold := fill(t, p)
-		later := &waiting{pool: p, ask: ask(true), errs: make(chan error, 1)}
-		later.ask.Priority = 2
+		held := fillSlots(t, p)
+		later := &queuedRequest{pool: p, request: newRequest(true), errs: make(chan error, 1)}
+		later.request.Priority = 2
 		go later.run(t.Context())
 		synctest.Wait()
-		urgent := &waiting{pool: p, ask: ask(true), errs: make(chan error, 1)}
+		urgent := &queuedRequest{pool: p, request: newRequest(true), errs: make(chan error, 1)}
 		go urgent.run(t.Context())
 		synctest.Wait()
-		hold[0].Settle(judge.Served, 100*time.Millisecond)
+		held[0].Settle(judge.Served, 100*time.Millisecond)
 		synctest.Wait()
 		g.Expect(urgent.grant).NotTo(BeNil())
 		g.Expect(later.grant).To(BeNil())
-		for _, grant := range hold[1:] {
+		for _, grant := range held[1:] {
 			grant.Settle(judge.Served, 100*time.Millisecond)
 		}
 		time.Sleep(time.Second)
 	})
 }
 
-// Load pattern: a third of the targets reset everything for long. Guards against
-// a service that is reduced to the others: its floor of seven in ten must hold
-// at any time, because a failure of the fleet comes without notice.
-func TestFloorHolds(t *testing.T) {
+// Guards against using only a few targets of a service when others reset all requests
+// for a long time. The usage floor of seven in ten must hold at any time, because part of
+// the fleet can fail without notice.
+func TestUsageFloorHolds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		p := newPool(10)
@@ -228,7 +233,7 @@
 		begin := time.Now()
 		for time.Since(begin) < 20*time.Second {
 			time.Sleep(20 * time.Millisecond)
-			grant, err := p.Acquire(t.Context(), ask(false))
+			grant, err := p.Acquire(t.Context(), newRequest(false))
 			g.Expect(err).NotTo(HaveOccurred())
 			id := grant.Target.ID
 			used[id] = time.Now()
@@ -241,23 +246,23 @@
 			if time.Since(begin) < 3*time.Second {
 				continue
 			}
-			sound, working := 0, 0
+			counted, inUse := 0, 0
 			for i := range 10 {
 				id := fmt.Sprintf("t%d", i)
 				if time.Since(failed[id]) < 2*time.Second {
 					continue
 				}
-				sound++
+				counted++
 				if time.Since(used[id]) < 2*time.Second {
-					working++
+					inUse++
 				}
 			}
-			g.Expect(float64(working) / float64(sound)).To(BeNumerically(">=", 0.7))
+			g.Expect(float64(inUse) / float64(counted)).To(BeNumerically(">=", 0.7))
 		}
 	})
 }
 
-// Guards against new targets that stay unused because nothing is known of them.
+// Guards against new targets that stay unused because there is no evidence about them.
 func TestNewTargetIsIntroduced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -266,7 +271,7 @@
 			used := map[string]bool{}
 			for range n {
 				time.Sleep(20 * time.Millisecond)
-				grant, err := p.Acquire(t.Context(), ask(false))
+				grant, err := p.Acquire(t.Context(), newRequest(false))
 				g.Expect(err).NotTo(HaveOccurred())
 				used[grant.Target.ID] = true
 				grant.Settle(judge.Served, 10*time.Millisecond)
@@ -279,8 +284,8 @@
 	})
 }
 
-// Guards against targets that lookups never find well again: all of them have to
-// get work, also those that reset it.
+// Guards against targets whose recovery goes unnoticed: all of them have to get lookups,
+// including those that reset them.
 func TestLookupsReachAllTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -289,7 +294,7 @@
 		begin := time.Now()
 		for time.Since(begin) < 20*time.Second {
 			time.Sleep(20 * time.Millisecond)
-			grant, err := p.Acquire(t.Context(), ask(true))
+			grant, err := p.Acquire(t.Context(), newRequest(true))
 			g.Expect(err).NotTo(HaveOccurred())
 			used[grant.Target.ID] = time.Now()
 			if grant.Target.ID < "t4" {
@@ -305,17 +310,17 @@
 	})
 }
 
-// Load pattern: a target is well, then resets what arrives, while requests that
-// it got before still end well. Guards against taking their answers for a
-// recovery, after which orders were sent into the spell again.
-func TestAnswerToEarlierRequestIsNoRecovery(t *testing.T) {
+// Guards against taking a response to an earlier request for a recovery. A target that
+// starts to reset new requests still completes those that it got before; counting these
+// responses sent orders to it again during its episode.
+func TestResponseToEarlierRequestIsNoRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		p := newPool(1)
 		first := targets(1)[0].Key
 		var early []*sched.Grant
 		for range 3 {
-			grant, err := p.Acquire(t.Context(), ask(false))
+			grant, err := p.Acquire(t.Context(), newRequest(false))
 			g.Expect(err).NotTo(HaveOccurred())
 			early = append(early, grant)
 		}
@@ -325,16 +330,16 @@
 		for _, grant := range early {
 			grant.Settle(judge.Served, 200*time.Millisecond)
 		}
-		grant, err := p.Acquire(t.Context(), ask(false))
+		grant, err := p.Acquire(t.Context(), newRequest(false))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(grant.FailRate).To(BeNumerically(">", 0.5))
 	})
 }
 
-// Load pattern: a lookup was reset and has one attempt left, while a target that
-// resets everything is due for a request. Guards against keeping the floor with a
-// last attempt: both attempts of one lookup in ten went to sick targets.
-func TestSecondAttemptGoesToASoundTarget(t *testing.T) {
+// Guards against using the final attempt of a lookup to reach the usage floor. When its
+// first attempt was reset and a target that resets everything needs a request for the
+// floor, both attempts go to failing targets; that happened to one lookup in ten.
+func TestFinalAttemptAvoidsFailingTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		p := newPool(4)
@@ -350,7 +355,7 @@
 				}
 			}
 		}
-		second := ask(true)
+		second := newRequest(true)
 		second.Last = true
 		second.Tried = []sched.Key{all[0].Key}
 		grant, err := p.Acquire(t.Context(), second)
--- a/core/sched/slow_test.go
+++ b/core/sched/slow_test.go
@@ -11,125 +11,124 @@
 	"wisteriarelay.example/core/sched"
 )
 
-const usual = 160 * time.Millisecond
+// usualLatency is the latency of a request at a healthy target.
+const usualLatency = 160 * time.Millisecond
 
-// busyPool returns a pool whose targets were served by a peer until now.
-func busyPool(count int) *sched.Pool {
+// poolInUse returns a pool whose targets have served requests of a peer until now.
+func poolInUse(count int) *sched.Pool {
 	p := newPool(count)
 	for range 20 {
 		for _, t := range targets(count) {
-			p.Learn("peer", sched.Event{Target: t.Key, Result: judge.Served, Latency: usual})
+			p.Learn("peer", sched.Event{Target: t.Key, Result: judge.Served, Latency: usualLatency})
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 	return p
 }
 
-// tell tells the pool what a peer saw of the first target.
-func tell(p *sched.Pool, results ...judge.Result) {
+// peerReports passes results of a peer at the first target to the pool.
+func peerReports(p *sched.Pool, results ...judge.Result) {
 	for _, r := range results {
-		p.Learn("peer", sched.Event{Target: targets(1)[0].Key, Result: r, Latency: usual})
+		p.Learn("peer", sched.Event{Target: targets(1)[0].Key, Result: r, Latency: usualLatency})
 	}
 }
 
-func rateOfFirst(p *sched.Pool) float64 {
+func firstFailRate(p *sched.Pool) float64 {
 	return p.State()[0].FailRate
 }
 
-// Load pattern: a target stops to answer while requests go on arriving. Guards
-// against it getting them until the first has run for several times as long as usual.
-func TestSlowRequestsSpeakAgainstATarget(t *testing.T) {
+// Guards against sending requests to a target that no longer responds until the first of
+// them has taken several times as long as usual.
+func TestTargetWithSlowRequestsIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		p := busyPool(3)
-		tell(p, judge.Slow, judge.Slow)
-		grant, err := p.Acquire(t.Context(), ask(false))
+		p := poolInUse(3)
+		peerReports(p, judge.Slow, judge.Slow)
+		grant, err := p.Acquire(t.Context(), newRequest(false))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(grant.Target.ID).NotTo(Equal("t0"))
 	})
 }
 
-// Guards against a target that is avoided because some of its answers take longer
-// than most: one in ten does at each target.
-func TestLateAnswerTakesSlownessBack(t *testing.T) {
+// Guards against avoiding a target because of slow requests that succeed in the end: at
+// each target, one request in ten is slow.
+func TestLateCancelsSlow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		p := busyPool(3)
-		before := rateOfFirst(p)
-		tell(p, judge.Slow, judge.Slow, judge.Late, judge.Late)
-		g.Expect(rateOfFirst(p)).To(BeNumerically("~", before, 0.02))
+		p := poolInUse(3)
+		before := firstFailRate(p)
+		peerReports(p, judge.Slow, judge.Slow, judge.Late, judge.Late)
+		g.Expect(firstFailRate(p)).To(BeNumerically("~", before, 0.02))
 	})
 }
 
-// Load pattern: targets in a spell reset at once what they are sent. Guards against
-// taking long work there for a spell.
-func TestSlownessSaysLittleWhereFailuresAreResets(t *testing.T) {
+// Guards against taking a long request for an episode in a service whose failing targets
+// reset requests at once.
+func TestSlowIsWeakEvidenceWithoutTimeouts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		p := busyPool(3)
+		p := poolInUse(3)
 		last := targets(3)[2].Key
 		for range 200 {
 			p.Learn("peer", sched.Event{Target: last, Result: judge.Broken, Latency: time.Millisecond})
 		}
-		tell(p, judge.Slow)
-		g.Expect(rateOfFirst(p)).To(BeNumerically("<", 0.1))
+		peerReports(p, judge.Slow)
+		g.Expect(firstFailRate(p)).To(BeNumerically("<", 0.1))
 	})
 }
 
-// Guards against an early result that is counted twice for one request.
-func TestEarlyResultCountsOnce(t *testing.T) {
+// Guards against counting a reported result twice for one request.
+func TestReportedResultCountsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		told := 0
+		reported := 0
 		p := sched.NewPool(service, "a", sched.WithEmit(func(e sched.Event) {
 			if e.Result == judge.Slow || e.Result == judge.Overdue {
-				told++
+				reported++
 			}
 		}))
 		p.SetTargets(targets(1))
-		grant, err := p.Acquire(t.Context(), ask(true))
+		grant, err := p.Acquire(t.Context(), newRequest(true))
 		g.Expect(err).NotTo(HaveOccurred())
 		grant.Report(judge.Slow)
 		grant.Report(judge.Slow)
 		grant.Report(judge.Overdue)
 		grant.Report(judge.Slow)
-		grant.Settle(judge.Served, usual)
+		grant.Settle(judge.Served, usualLatency)
 		grant.Report(judge.Overdue)
-		g.Expect(told).To(Equal(2))
+		g.Expect(reported).To(Equal(2))
 	})
 }
 
-// Load pattern: large answers while targets of all data centres have room. Guards
-// against carrying them between data centres, and against a sick target of the own
-// one that is preferred to that.
-func TestLargeAnswersStayInTheDataCentre(t *testing.T) {
+// Guards against transferring large responses between data centres while targets in all
+// of them have capacity, and against preferring a failing local target to such a transfer.
+func TestLargeResponsesStayInTheDataCentre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		near, far := targets(2)[0], targets(2)[1]
-		far.DataCentre = "b"
+		local, remote := targets(2)[0], targets(2)[1]
+		remote.DataCentre = "b"
 		p := sched.NewPool(service, "a")
-		p.SetTargets([]sched.Target{near, far})
-		for _, target := range []sched.Target{near, far} {
-			p.Learn("peer", sched.Event{Target: target.Key, Result: judge.Served, Latency: usual})
+		p.SetTargets([]sched.Target{local, remote})
+		for _, target := range []sched.Target{local, remote} {
+			p.Learn("peer", sched.Event{Target: target.Key, Result: judge.Served, Latency: usualLatency})
 		}
-		pull := ask(true)
-		pull.Bytes = 100 << 10
-		for range near.Slots + 1 {
-			grant, err := p.Acquire(t.Context(), pull)
+		large := newRequest(true)
+		large.Bytes = 100 << 10
+		for range local.Slots + 1 {
+			grant, err := p.Acquire(t.Context(), large)
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(grant.Target.ID).To(Equal(near.ID))
+			g.Expect(grant.Target.ID).To(Equal(local.ID))
 		}
-		tell(p, judge.Broken, judge.Broken, judge.Broken)
-		grant, err := p.Acquire(t.Context(), pull)
+		peerReports(p, judge.Broken, judge.Broken, judge.Broken)
+		grant, err := p.Acquire(t.Context(), large)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(grant.Target.ID).To(Equal(far.ID))
+		g.Expect(grant.Target.ID).To(Equal(remote.ID))
 	})
 }
 
-// Load pattern: large answers of a service whose targets in other data centres are
-// kept in use by the daemons there. Guards against carrying such an answer between
-// data centres only to learn about its target, which nobody asked for.
-func TestLargeAnswersDoNotCrossForKnowledge(t *testing.T) {
+// Guards against transferring a large response between data centres only to keep a remote
+// target in use. The daemons of its own data centre already do that.
+func TestLargeResponsesDoNotCrossForTheFloor(t *testing.T) {
 	for bytes, crosses := range map[int64]bool{1 << 10: true, 100 << 10: false} {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
@@ -139,61 +138,60 @@
 			}
 			p := sched.NewPool(service, "a")
 			p.SetTargets(all)
-			pull := ask(true)
-			pull.Bytes = bytes
+			req := newRequest(true)
+			req.Bytes = bytes
 			crossed := false
 			for range 100 {
 				time.Sleep(100 * time.Millisecond)
 				for _, target := range all[2:7] {
-					p.Learn("peer", sched.Event{Target: target.Key, Result: judge.Served, Latency: usual})
+					p.Learn("peer", sched.Event{Target: target.Key, Result: judge.Served, Latency: usualLatency})
 				}
-				pull.Deadline = time.Now().Add(2 * time.Second)
-				grant, err := p.Acquire(t.Context(), pull)
+				req.Deadline = time.Now().Add(2 * time.Second)
+				grant, err := p.Acquire(t.Context(), req)
 				g.Expect(err).NotTo(HaveOccurred())
 				crossed = crossed || grant.Reason == sched.Floor && grant.Target.DataCentre == "b"
-				grant.Settle(judge.Served, usual)
+				grant.Settle(judge.Served, usualLatency)
 			}
 			g.Expect(crossed).To(Equal(crosses))
 		})
 	}
 }
 
-// Load pattern: daemons of several data centres keep each target at the floor.
-// Guards against a request to another data centre while a daemon there would have
-// sent its own a moment later.
-func TestFloorIsServedFromTheOwnDataCentreFirst(t *testing.T) {
+// Guards against a request to an unused target in another data centre when a daemon there
+// would have sent one a moment later.
+func TestUnusedTargetGetsLocalRequestFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		for range 50 {
-			near, far := sched.NewPool(service, "a"), sched.NewPool(service, "b")
-			g.Expect(introducedAfter(t, near)).To(BeNumerically("<=", introducedAfter(t, far)))
+			local, remote := sched.NewPool(service, "a"), sched.NewPool(service, "b")
+			g.Expect(introductionTime(t, local)).To(BeNumerically("<=", introductionTime(t, remote)))
 		}
 	})
 }
 
-// introducedAfter returns the time until a pool sends a request to a target that
-// nobody uses.
-func introducedAfter(t *testing.T, p *sched.Pool) time.Duration {
+// introductionTime returns the time until a pool sends a request to a target that no
+// daemon uses.
+func introductionTime(t *testing.T, p *sched.Pool) time.Duration {
 	p.SetTargets(targets(2))
-	tell(p, judge.Served, judge.Served)
+	peerReports(p, judge.Served, judge.Served)
 	begin := time.Now()
 	for {
 		time.Sleep(5 * time.Millisecond)
-		grant, err := p.Acquire(t.Context(), ask(true))
+		grant, err := p.Acquire(t.Context(), newRequest(true))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if grant.Target.ID != "t0" {
 			return time.Since(begin)
 		}
-		grant.Settle(judge.Served, usual)
+		grant.Settle(judge.Served, usualLatency)
 	}
 }
 
-// Load pattern: one near target has room for everything, nine in another data centre
-// get only what keeps them at the floor. Guards against targets that get nothing for
-// two seconds, which counts as below the floor.
-func TestFloorReachesOtherDataCentresInTime(t *testing.T) {
+// Guards against targets that get no request for two seconds, which counts as below the
+// usage floor. One local target has capacity for all requests, and nine in another data
+// centre get only requests for the floor.
+func TestRemoteTargetsStayInUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		all := targets(10)
@@ -204,13 +202,13 @@
 		begin := time.Now()
 		for time.Since(begin) < 60*time.Second {
 			time.Sleep(10 * time.Millisecond)
-			grant, err := p.Acquire(t.Context(), ask(true))
+			grant, err := p.Acquire(t.Context(), newRequest(true))
 			g.Expect(err).NotTo(HaveOccurred())
 			if at, ok := last[grant.Target.ID]; ok {
 				longest = max(longest, time.Since(at))
 			}
 			last[grant.Target.ID] = time.Now()
-			grant.Settle(judge.Served, usual)
+			grant.Settle(judge.Served, usualLatency)
 		}
 		g.Expect(last).To(HaveLen(10))
 		g.Expect(longest).To(BeNumerically("<", 2*time.Second))
--- a/core/sched/state.go
+++ b/core/sched/state.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// TargetState is what a pool knows of one target, for the state dump.
+// TargetState is the state of one target for the state dump.
 type TargetState struct {
 	ID         string  `json:"id"`
 	Address    string  `json:"address"`
 	DataCentre string  `json:"data-centre"`
 	FailRate   float64 `json:"fail-rate"`
-	// InFlight is the work of the whole fleet, Own that of this daemon.
+	// InFlight is the number of requests that the whole fleet has in flight at the
+	// target, Own the number of this daemon's.
 	InFlight int `json:"in-flight"`
 	Own      int `json:"own"`
 }
 
-// State returns what is known of the targets, in order.
+// State returns the state of all targets, sorted by ID.
 func (p *Pool) State() []TargetState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -30,7 +31,7 @@
 			DataCentre: m.target.DataCentre,
 			FailRate:   m.failRate(p.model, now),
 			InFlight:   m.load(now),
-			Own:        m.own,
+			Own:        m.ownLoad,
 		})
 	}
 	slices.SortFunc(out, func(a, b TargetState) int { return cmp.Compare(a.ID, b.ID) })
