--- a/core/judge/belief.go
+++ b/core/judge/belief.go
@@ -40,7 +40,7 @@
 	return names[r]
 }
 
-// Bad reports whether the result is neither a success nor without evidence.
+// Bad reports whether the result is a failure, a refusal or a sign of slowness.
 func (r Result) Bad() bool {
 	return r != Nothing && !r.Success()
 }
--- a/core/sched/choice.go
+++ b/core/sched/choice.go
@@ -14,12 +14,14 @@
 	targetQueueDepth = 2
 	// lossPenalty is the delay that is considered as bad as the loss of a request.
 	lossPenalty = 6 * time.Second
-	// failRateLimit is the expected failure rate from which a request may wait for
-	// another target. A target without evidence is below it: when the known targets
-	// are full, the service has to find out whether the others have capacity.
+	// failRateLimit is the expected failure rate from which a target is considered to be
+	// failing, so that a request may wait for another one. A target without evidence is
+	// below it: when the known targets are full, the service has to find out whether the
+	// others have capacity.
 	failRateLimit = 0.45
-	// monitoredFailRateLimit is the same limit for targets that the daemons of their
-	// own data centre monitor: this daemon does not have to find out about them.
+	// monitoredFailRateLimit is the limit from which a request may wait if the target is
+	// in a data centre whose own daemons monitor it: this daemon does not have to find
+	// out about its capacity.
 	monitoredFailRateLimit = 0.15
 	// retryPenalty is the delay that a failure costs if the request can be retried.
 	retryPenalty = 600 * time.Millisecond
--- a/core/sched/estimates.go
+++ b/core/sched/estimates.go
@@ -36,16 +36,16 @@
 
 // Adopt merges the state of targets received from a peer. The load is used only
 // without peer events, because a daemon that receives these counts from them.
-func (p *Pool) Adopt(beliefs []TargetBelief) {
+func (p *Pool) Adopt(estimates []TargetBelief) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	for _, b := range beliefs {
-		if m := p.members[Key{ID: b.ID, Born: b.Born}]; m != nil {
-			m.estimate.Merge(now, b.Snapshot)
+	for _, e := range estimates {
+		if m := p.members[Key{ID: e.ID, Born: e.Born}]; m != nil {
+			m.estimate.Merge(now, e.Snapshot)
 			m.invalidateFailRate()
 			if p.noPeerEvents {
-				m.setPeerLoad(allPeers, max(b.Load-m.ownLoad, 0), now)
+				m.setPeerLoad(allPeers, max(e.Load-m.ownLoad, 0), now)
 			}
 		}
 	}
--- a/core/sched/sched_test.go
+++ b/core/sched/sched_test.go
@@ -42,7 +42,7 @@
 }
 
 // inEpisode reports whether a target resets its requests at the given time. It does so in
-// about a third of the periods, which start at a different time for each target.
+// about three of ten periods, which start at a different time for each target.
 func inEpisode(target string, at time.Duration) bool {
 	var n int
 	_, _ = fmt.Sscanf(target, "t%d", &n)
