--- a/core/judge/belief.go
+++ b/core/judge/belief.go
@@ -232,9 +232,10 @@
 // Snapshot is an estimate in a form that can be sent to a peer. It holds ages
 // instead of times, so that it does not depend on the sender's clock.
 type Snapshot struct {
-	// Impaired and Sick are the probabilities of the degraded and failing states.
+	// Impaired is the probability of the degraded state.
 	Impaired float64
-	Sick     float64
+	// Sick is the probability of the failing state.
+	Sick float64
 	// Age is the time since the last result.
 	Age time.Duration
 	// OnsetAge is the time since the episode started; it is negative without an episode.
--- a/core/judge/judge_test.go
+++ b/core/judge/judge_test.go
@@ -30,7 +30,7 @@
 }
 
 // Guards against rating a target that loses a third of its responses as badly as one
-// that loses nearly all: when no healthy target is left, the better one must be known.
+// that loses most: when no healthy target is left, the better one must be known.
 func TestDegradedDiffersFromFailing(t *testing.T) {
 	g := NewWithT(t)
 	var third, most judge.Estimate
--- a/core/sched/choice.go
+++ b/core/sched/choice.go
@@ -30,7 +30,8 @@
 	baseRemotePenalty  = 60 * time.Millisecond
 	remotePenaltyPerKB = 25 * time.Millisecond
 	// maxRemotePenalty is less than what a failing target costs a request that can be
-	// retried, so that a large response comes from another data centre rather than late.
+	// retried, so that a large response comes from another data centre rather than late
+	// from a failing local target.
 	maxRemotePenalty = 450 * time.Millisecond
 	// connectPenalty is added for a target to which this daemon probably holds no
 	// idle connection, because the target served no request of this daemon within
--- a/core/sched/floor.go
+++ b/core/sched/floor.go
@@ -11,16 +11,16 @@
 	// unused target, so that only one of the daemons does so. The delay is longer for
 	// targets in another data centre, so that the daemons there come first.
 	floorJitter = 250 * time.Millisecond
-	// defaultUsageFloor is the usage floor. A service must not be reduced to a few
-	// targets: the estimates of the others may be wrong, and when a part of the fleet
-	// fails there is no time to find out.
+	// defaultUsageFloor is the usage floor for requests that cannot be retried. A service
+	// must not be reduced to a few targets: the estimates of the others may be wrong, and
+	// when a part of the fleet fails there is no time to find out.
 	defaultUsageFloor = 0.7
 	// retryableUsageFloor is the usage floor for requests that can be retried. It is
 	// higher, because learning about the targets with these costs little.
 	retryableUsageFloor = 0.95
-	// largeUsageFloor is the usage floor up to which retryable requests that are
-	// expensive to send to another data centre keep targets there in use. Above it
-	// they only go to unused targets of their own data centre.
+	// largeUsageFloor is the usage floor for retryable requests that are expensive to
+	// send to another data centre. Above it, up to retryableUsageFloor, they only go to
+	// unused targets of this daemon's data centre.
 	largeUsageFloor = 0.8
 	// expensiveRemotePenalty is the remote penalty from which a request is expensive
 	// to send to another data centre.
--- a/core/sched/grant.go
+++ b/core/sched/grant.go
@@ -53,7 +53,7 @@
 }
 
 // Acquire chooses a target and waits for capacity if necessary. It fails with
-// fault.NoTarget if all targets were tried, with fault.QueueFull if the request would
+// fault.NoTarget if no untried target is left, with fault.QueueFull if the request would
 // wait past its deadline, and with fault.CallerGone if ctx ends first.
 func (p *Pool) Acquire(ctx context.Context, req Ask) (*Grant, error) {
 	w, g, err := p.grantOrQueue(req)
@@ -102,8 +102,8 @@
 	return w, nil, nil
 }
 
-// cancelWait removes a waiter from the queue. If the waiter got a grant in the
-// meantime, the grant is settled.
+// cancelWait removes a waiter from the queue, or ends the grant that the waiter got in
+// the meantime.
 func (p *Pool) cancelWait(w *waiter) {
 	p.mu.Lock()
 	removed := p.queue.remove(w)
