--- a/core/relay/attempt.go
+++ b/core/relay/attempt.go
@@ -16,39 +16,40 @@
 	"wisteriarelay.example/core/sched"
 )
 
-// attempt is one request to one target.
+// attempt is one try to send the request of an exchange to one target.
 type attempt struct {
-	exchange *exchange
-	ctx      context.Context
-	cancel   context.CancelFunc
-	ask      sched.Ask
-	results  chan<- *result
-	grant    *sched.Grant
-	started  time.Time
-	sentAt   time.Time
-	// headAt is when the head of the response came, in nanoseconds since sentAt;
-	// 0 before.
-	headAt atomic.Int64
+	exchange      *exchange
+	ctx           context.Context
+	cancel        context.CancelFunc
+	acquireParams sched.Ask
+	results       chan<- *result
+	grant         *sched.Grant
+	startedAt     time.Time
+	sentAt        time.Time
+	// headDelay is the time from sentAt until the response header arrived, in
+	// nanoseconds; 0 until then.
+	headDelay atomic.Int64
 }
 
-// result is what an attempt yielded.
+// result is the result of an attempt.
 type result struct {
 	attempt *attempt
-	verdict judge.Result
-	// unsent says that no byte of the request reached the target.
+	// observation is what the attempt showed about the health of its target.
+	observation judge.Result
+	// unsent is set if no byte of the request reached the target.
 	unsent bool
-	// notRun says that the target certainly did not and will not run the request.
+	// notRun is set if it is certain that the target did not and will not run the request.
 	notRun bool
 	kind   fault.Kind
 	err    error
-	// response is the response of the target; it is nil if none can be passed on.
-	response *response
-	took     time.Duration
+	// response is the response of the target; nil if there is none that can be relayed.
+	response *targetResponse
+	duration time.Duration
 }
 
-// run acquires a target, sends the request and reports the result.
+// run acquires a target, sends the request to it and delivers the result.
 func (t *attempt) run() {
-	grant, err := t.exchange.pool.Acquire(t.ctx, t.ask)
+	grant, err := t.exchange.targetPool.Acquire(t.ctx, t.acquireParams)
 	if err != nil {
 		t.exchange.deliver(&result{attempt: t, notRun: true, kind: fault.From(err).Kind, err: err})
 		return
@@ -56,42 +57,47 @@
 	t.grant = grant
 	t.sentAt = time.Now()
 	t.exchange.granted <- t
-	t.exchange.relay.noteWait(t)
+	t.exchange.relay.recordWait(t)
 	r := t.send()
-	r.took = time.Since(t.sentAt)
+	r.duration = time.Since(t.sentAt)
 	if r.response == nil || r.response.rest == nil {
-		t.end(r.verdict)
+		t.settle(r.observation)
 	}
 	t.exchange.deliver(r)
 }
 
-// end frees the attempt's target when nothing more is read from it.
-func (t *attempt) end(verdict judge.Result) {
+// settle cancels the attempt's context and releases its target, reporting the
+// observation. It is called when nothing more is read from the target.
+func (t *attempt) settle(observation judge.Result) {
 	t.cancel()
-	t.grant.Settle(verdict, t.latency())
+	t.grant.Settle(observation, t.latency())
 }
 
-// latency returns the time until the head of the response, or until now if none
-// came: the transfer of a large body says nothing about the speed of the target.
+// latency returns the time until the response header arrived, or until now if none
+// has. The body is left out because the transfer time of a large body says nothing
+// about the speed of the target.
 func (t *attempt) latency() time.Duration {
-	if head := t.headAt.Load(); head > 0 {
-		return time.Duration(head)
+	if delay := t.headDelay.Load(); delay > 0 {
+		return time.Duration(delay)
 	}
 	return time.Since(t.sentAt)
 }
 
+// send forwards the request to the acquired target and classifies what comes back.
 func (t *attempt) send() *result {
 	x := t.exchange
-	pool := x.relay.pools.get(t.grant.Target)
-	resp, err := pool.Forward(t.ctx, t.message(), x.maxIdle())
+	pool := x.relay.connPools.get(t.grant.Target)
+	resp, err := pool.Forward(t.ctx, t.buildMessage(), x.maxIdle())
 	if err != nil {
-		return t.failure(err)
+		return t.classifyError(err)
 	}
-	t.headAt.Store(max(int64(time.Since(t.sentAt)), 1))
-	return t.classify(resp)
+	t.headDelay.Store(max(int64(time.Since(t.sentAt)), 1))
+	return t.classifyResponse(resp)
 }
 
-func (t *attempt) message() *link.Message {
+// buildMessage returns the request for the target: that of the caller with the time
+// left and the expected target instance in its header.
+func (t *attempt) buildMessage() *link.Message {
 	x := t.exchange
 	names := &x.relay.headers
 	h := x.header.Clone()
@@ -111,9 +117,10 @@
 	}
 }
 
-// failure classifies an attempt without a response.
-func (t *attempt) failure(err error) *result {
-	r := &result{attempt: t, verdict: judge.Broken, kind: fault.TargetProtocol, err: err}
+// classifyError returns the result of an attempt that got no usable response. It
+// separates requests that were certainly not sent from those that a target may run.
+func (t *attempt) classifyError(err error) *result {
+	r := &result{attempt: t, observation: judge.Broken, kind: fault.TargetProtocol, err: err}
 	var f *link.Failure
 	if !errors.As(err, &f) {
 		return r
@@ -123,12 +130,12 @@
 		r.unsent = true
 		r.notRun = true
 		r.kind = fault.NoTarget
-		r.verdict = judge.Unreached
+		r.observation = judge.Unreached
 		if f.Cancelled {
-			r.verdict = judge.Nothing
+			r.observation = judge.Nothing
 		}
 	case f.Cancelled:
-		r.verdict = judge.Nothing
+		r.observation = judge.Nothing
 		r.kind = fault.CallerGone
 	case f.TimedOut:
 		r.kind = fault.TargetTimeout
@@ -136,68 +143,75 @@
 	return r
 }
 
-// refusalLimit bounds the body of a refusal in bytes; the connection of a target
-// that sends more is closed.
-const refusalLimit = 64 << 10
+// refusalBodyLimit is the maximum number of bytes read from the body of a refusal.
+// If a target sends more, its connection is closed instead of reused.
+const refusalBodyLimit = 64 << 10
 
-// classify checks a response and reads it.
-func (t *attempt) classify(resp *link.Response) *result {
+// classifyResponse handles refusals by the target, reads the body of any other
+// response and evaluates it.
+func (t *attempt) classifyResponse(resp *link.Response) *result {
 	names := &t.exchange.relay.headers
 	if resp.StatusCode == http.StatusMisdirectedRequest {
 		_ = resp.Body.Close()
-		t.exchange.pool.Remove(t.grant.Target.Key)
-		return t.refused(errors.Newf("another target answered at %s", t.grant.Target.Address), judge.Nothing)
+		t.exchange.targetPool.Remove(t.grant.Target.Key)
+		return t.refusedResult(errors.Newf("address %s now belongs to another target", t.grant.Target.Address), judge.Nothing)
 	}
 	if resp.StatusCode >= http.StatusBadRequest && resp.Header.Get(names.NotRun) != "" {
-		// The body is read so that the connection can be kept.
-		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, refusalLimit))
+		// The connection can only be reused after the body has been read.
+		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, refusalBodyLimit))
 		_ = resp.Body.Close()
-		return t.refused(errors.Newf("target refused with status %d", resp.StatusCode), judge.Shed)
+		return t.refusedResult(errors.Newf("target refused the request with status %d", resp.StatusCode), judge.Shed)
 	}
-	whole, err := t.read(resp)
+	buffered, err := t.readResponse(resp)
 	if err != nil {
-		return t.failure(err)
+		return t.classifyError(err)
 	}
-	return t.judge(whole)
+	return t.evaluate(buffered)
 }
 
-func (t *attempt) refused(err error, verdict judge.Result) *result {
-	return &result{attempt: t, verdict: verdict, notRun: true, kind: fault.TargetShed, err: err}
+// refusedResult returns the result of a request that the target refused without
+// running it.
+func (t *attempt) refusedResult(err error, observation judge.Result) *result {
+	return &result{attempt: t, observation: observation, notRun: true, kind: fault.TargetShed, err: err}
 }
 
-// judge decides what a whole response says about its target.
-func (t *attempt) judge(resp *response) *result {
+// evaluate returns the result of an attempt with a response: whether the response
+// can be relayed, and what it shows about the target.
+func (t *attempt) evaluate(resp *targetResponse) *result {
 	names := &t.exchange.relay.headers
-	r := &result{attempt: t, response: resp, verdict: judge.Served}
+	r := &result{attempt: t, response: resp, observation: judge.Served}
 	success := resp.status >= http.StatusOK && resp.status < http.StatusMultipleChoices
 	switch {
 	case success && resp.header.Get(names.Receipt) == "":
-		return t.unusable(resp, "success without a receipt")
+		return t.unusableResult(resp, "successful response without the header that marks it as the target's own")
 	case success && resp.header.Get("Content-Encoding") != "":
-		return t.unusable(resp, "success with an encoded body")
-	case promisesNotRun(resp.status):
-		// A target that states one of these without the mark may have run the request.
-		return t.unusable(resp, "refusal that does not say whether the request ran")
+		return t.unusableResult(resp, "successful response with a Content-Encoding")
+	case impliesNotRun(resp.status):
+		// Without the NotRun header the target may have run the request even though
+		// callers take this status as a promise that it did not.
+		return t.unusableResult(resp, "refusal does not state whether the request ran")
 	case resp.status >= http.StatusInternalServerError:
-		r.verdict = judge.Failed
+		r.observation = judge.Failed
 		r.kind = fault.TargetFailed
-		r.err = errors.Newf("target answered with status %d", resp.status)
+		r.err = errors.Newf("target responded with status %d", resp.status)
 	}
 	return r
 }
 
-func (t *attempt) unusable(resp *response, why string) *result {
-	verdict := judge.Broken
-	if promisesNotRun(resp.status) {
-		verdict = judge.Failed
+// unusableResult discards a response that must not be relayed and returns the
+// result of its attempt.
+func (t *attempt) unusableResult(resp *targetResponse, reason string) *result {
+	observation := judge.Broken
+	if impliesNotRun(resp.status) {
+		observation = judge.Failed
 	}
-	resp.discard(verdict)
-	return &result{attempt: t, verdict: verdict, kind: fault.TargetProtocol, err: errors.Newf("status %d: %s", resp.status, why)}
+	resp.discard(observation)
+	return &result{attempt: t, observation: observation, kind: fault.TargetProtocol, err: errors.Newf("status %d: %s", resp.status, reason)}
 }
 
-// promisesNotRun reports whether callers take the status for a promise that
-// the request has not run and never will.
-func promisesNotRun(status int) bool {
+// impliesNotRun reports whether callers take the status as a promise that the
+// request did not run and will not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
--- a/core/relay/doc.go
+++ b/core/relay/doc.go
@@ -1,5 +1,5 @@
-// Package relay carries requests from callers to targets by host and path. It
-// matches the route, asks package sched for a target, sends the request over
-// package link, checks the response, and decides whether another target is
-// tried. A non-idempotent request is sent again only if it certainly did not run.
+// Package relay forwards requests from callers to targets, routed by host and path.
+// It matches the route, acquires a target from package sched, sends the request
+// through package link, checks the response, and decides whether another target is
+// tried. A non-idempotent request is retried only if it certainly did not run.
 package relay
--- /dev/null
+++ b/core/relay/error.go
@@ -0,0 +1,36 @@
+package relay
+
+import (
+	"math/rand/v2"
+	"net/http"
+	"strconv"
+	"time"
+
+	"wisteriarelay.example/core/caller"
+	"wisteriarelay.example/core/fault"
+)
+
+const (
+	// minRetryAfter is the minimum Retry-After of a refused request. Within this time
+	// a target usually frees a slot, and a failing target is detected.
+	minRetryAfter = 200 * time.Millisecond
+	// retryAfterJitter bounds the random time added to minRetryAfter, so that callers
+	// refused at the same moment do not all retry at the same moment.
+	retryAfterJitter = 200 * time.Millisecond
+)
+
+// errorResponse returns the response for a failure that the relay itself reports,
+// as opposed to a failure response of a target. A 503 has a Retry-After header.
+func errorResponse(kind fault.Kind) *caller.Answer {
+	row := kind.Answer()
+	status := row.Status
+	if http.StatusText(status) == "" {
+		status = http.StatusBadGateway
+	}
+	a := caller.Text(status, row.Name+"\n")
+	if status == http.StatusServiceUnavailable {
+		wait := minRetryAfter + rand.N(retryAfterJitter)
+		a.Header.Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
+	}
+	return a
+}
--- a/core/relay/answer_test.go
+++ b/core/relay/error_test.go
@@ -16,11 +16,11 @@
 	g := NewWithT(t)
 	waits := map[string]bool{}
 	for range 100 {
-		text := ownAnswer(fault.QueueFull).Header.Get("Retry-After")
+		text := errorResponse(fault.QueueFull).Header.Get("Retry-After")
 		seconds, err := strconv.ParseFloat(text, 64)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(seconds).To(BeNumerically(">=", retryAfter.Seconds()))
-		g.Expect(seconds).To(BeNumerically("<=", (retryAfter + retrySpread + time.Millisecond).Seconds()))
+		g.Expect(seconds).To(BeNumerically(">=", minRetryAfter.Seconds()))
+		g.Expect(seconds).To(BeNumerically("<=", (minRetryAfter + retryAfterJitter + time.Millisecond).Seconds()))
 		waits[text] = true
 	}
 	g.Expect(len(waits)).To(BeNumerically(">", 20))
--- a/core/relay/exchange.go
+++ b/core/relay/exchange.go
@@ -14,94 +14,102 @@
 	"wisteriarelay.example/core/sched"
 )
 
-// answerSlack is how long after the deadline a target's answer is still waited
-// for: a target that keeps its deadline answers a moment after it.
-const answerSlack = 100 * time.Millisecond
+// deadlineGrace is how long after the deadline a target's response is still awaited.
+// The response of a target that works until its deadline arrives a moment later.
+const deadlineGrace = 100 * time.Millisecond
 
-// exchange is the handling of one request over all its attempts.
+// exchange handles one request of a caller, from its arrival until the response to
+// the caller is chosen, over all attempts at targets.
 type exchange struct {
-	relay    *Relay
-	request  *caller.Request
-	route    *route.Route
-	version  route.Version
-	service  string
-	pool     *sched.Pool
-	window   *retry.Window
-	id       string
-	header   http.Header
-	deadline time.Time
+	relay         *Relay
+	request       *caller.Request
+	route         *route.Route
+	configVersion route.Version
+	service       string
+	targetPool    *sched.Pool
+	window        *retry.Window
+	id            string
+	header        http.Header
+	deadline      time.Time
 
+	// results receives the result of each attempt, granted each attempt that has
+	// acquired a target.
 	results chan *result
 	granted chan *attempt
-	// over says that no further result is awaited.
-	mu   sync.Mutex
-	over bool
-	// running are the attempts without a result; sent those that have a target.
-	running map[*attempt]bool
-	sent    map[*attempt]bool
-	tried   []sched.Key
-	started int
-	// unsent is the number of attempts of which no byte reached a target. They
-	// count neither against the route's attempts nor against the budget.
-	unsent int
-	// mayHaveRun says that a target may have run the request.
+	// finished is set once no further result is awaited; mu guards it.
+	mu       sync.Mutex
+	finished bool
+	// running holds the attempts without a result, inFlight those of them that are
+	// known to have acquired a target.
+	running         map[*attempt]bool
+	inFlight        map[*attempt]bool
+	tried           []sched.Key
+	attemptsStarted int
+	// attemptsUnsent is the number of attempts of which no byte reached a target. They
+	// count neither towards the route's attempt limit nor towards the retry budget.
+	attemptsUnsent int
+	// mayHaveRun is set if a target may have run the request.
 	mayHaveRun bool
-	// left says that the caller has gone while a target may be at work.
-	left bool
-	last *result
-	// slow says that the attempts that run were reported as slow.
-	slow bool
+	// callerGone is set if the caller disconnected while a target may be running a
+	// non-idempotent request; the attempt goes on but is not retried.
+	callerGone bool
+	// best is the failed result that the response is based on if no attempt succeeds.
+	best *result
+	// slowReported is set once the attempts in flight were reported as slow.
+	slowReported bool
 }
 
-// run tries targets until one response stands or nothing more is allowed.
+// run makes attempts until there is a response for the caller or no further attempt
+// is allowed.
 func (x *exchange) run(ctx context.Context) *caller.Answer {
 	defer x.finish()
-	limit := time.NewTimer(time.Until(x.deadline) + answerSlack)
-	defer limit.Stop()
-	patience := time.NewTimer(x.pool.SlowAfter())
-	defer patience.Stop()
-	gone := ctx.Done()
+	deadlineTimer := time.NewTimer(time.Until(x.deadline) + deadlineGrace)
+	defer deadlineTimer.Stop()
+	slowTimer := time.NewTimer(x.targetPool.SlowAfter())
+	defer slowTimer.Stop()
+	callerDone := ctx.Done()
 	x.start()
 	for {
 		select {
 		case t := <-x.granted:
-			x.sent[t] = true
+			x.inFlight[t] = true
 			x.tried = append(x.tried, t.grant.Target.Key)
-			x.slow = false
-			patience.Reset(x.pool.SlowAfter())
+			x.slowReported = false
+			slowTimer.Reset(x.targetPool.SlowAfter())
 		case r := <-x.results:
-			if a := x.take(r); a != nil {
+			if a := x.handleResult(r); a != nil {
 				return a
 			}
-		case <-patience.C:
-			if next := x.impatient(); next > 0 {
-				patience.Reset(next)
+		case <-slowTimer.C:
+			if next := x.reportSlow(); next > 0 {
+				slowTimer.Reset(next)
 			}
-		case <-gone:
-			if x.route.Idempotent() || len(x.sent) == 0 {
-				x.drop()
-				return x.fail(fault.CallerGone, "caller left")
+		case <-callerDone:
+			if x.route.Idempotent() || len(x.inFlight) == 0 {
+				x.discardBest()
+				return x.fail(fault.CallerGone, "caller closed the connection")
 			}
-			x.left = true
-			gone = nil
-		case <-limit.C:
+			x.callerGone = true
+			callerDone = nil
+		case <-deadlineTimer.C:
 			return x.expire()
 		}
 	}
 }
 
+// start starts an attempt; its result arrives on x.results.
 func (x *exchange) start() {
-	ctx, cancel := context.WithDeadline(context.Background(), x.deadline.Add(answerSlack))
-	x.started++
+	ctx, cancel := context.WithDeadline(context.Background(), x.deadline.Add(deadlineGrace))
+	x.attemptsStarted++
 	t := &attempt{
-		exchange: x,
-		ctx:      ctx,
-		cancel:   cancel,
-		started:  time.Now(),
-		results:  x.results,
-		ask: sched.Ask{
+		exchange:  x,
+		ctx:       ctx,
+		cancel:    cancel,
+		startedAt: time.Now(),
+		results:   x.results,
+		acquireParams: sched.Ask{
 			Idempotent: x.route.Idempotent(),
-			Last:       !x.repeatable(),
+			Last:       !x.canRetry(),
 			Priority:   x.route.Priority,
 			Deadline:   x.deadline,
 			Objective:  x.objective(),
@@ -113,13 +121,14 @@
 	go t.run()
 }
 
-// repeatable reports whether the request could be sent once more after the
-// attempt that is about to start.
-func (x *exchange) repeatable() bool {
-	return x.route.Idempotent() && x.started-x.unsent < x.route.Attempts && x.window.Left(time.Now())
+// canRetry reports whether the request could be retried if the attempt that is about
+// to start fails.
+func (x *exchange) canRetry() bool {
+	return x.route.Idempotent() && x.attemptsStarted-x.attemptsUnsent < x.route.Attempts && x.window.Left(time.Now())
 }
 
-// objective returns when the answer should have arrived; zero if the route states none.
+// objective returns the time by which the caller should have its response; zero if
+// the route has no objective.
 func (x *exchange) objective() time.Time {
 	if x.route.Objective == 0 {
 		return time.Time{}
@@ -127,12 +136,12 @@
 	return x.request.Received.Add(x.route.Objective)
 }
 
-// deliver hands over the result of an attempt. A response that comes after the
-// final answer is dropped.
+// deliver passes the result of an attempt to run. A response that arrives after the
+// exchange has finished is discarded.
 func (x *exchange) deliver(r *result) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if !x.over {
+	if !x.finished {
 		x.results <- r
 		return
 	}
@@ -141,12 +150,12 @@
 	}
 }
 
-// finish ends what runs beside the final answer.
+// finish cancels the remaining attempts and discards responses that are not relayed.
 func (x *exchange) finish() {
 	x.cancelRunning()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.over = true
+	x.finished = true
 	for len(x.results) > 0 {
 		if r := <-x.results; r.response != nil {
 			r.response.discard(judge.Served)
@@ -154,11 +163,11 @@
 	}
 }
 
-// cancelRunning ends the attempts whose results are not awaited any more. A
-// non-idempotent request that a target may be working on is left to end.
+// cancelRunning cancels the attempts whose results are no longer awaited. Before the
+// deadline, a non-idempotent request that a target may be running is not cancelled.
 func (x *exchange) cancelRunning() {
 	for t := range x.running {
-		if x.route.Idempotent() || !x.sent[t] || time.Now().After(x.deadline) {
+		if x.route.Idempotent() || !x.inFlight[t] || time.Now().After(x.deadline) {
 			t.cancel()
 		}
 	}
--- a/core/relay/expire_test.go
+++ b/core/relay/expire_test.go
@@ -18,14 +18,14 @@
 // has not been seen, as after a pause of the process.
 func lateAttempt(notRun bool) *exchange {
 	x := &exchange{
-		relay:    New("a", Headers{}),
-		request:  &caller.Request{Received: time.Now()},
-		route:    &route.Route{Attempts: 1},
-		pool:     sched.NewPool("orders", "a"),
-		results:  make(chan *result, 1),
-		running:  map[*attempt]bool{},
-		sent:     map[*attempt]bool{},
-		deadline: time.Now(),
+		relay:      New("a", Headers{}),
+		request:    &caller.Request{Received: time.Now()},
+		route:      &route.Route{Attempts: 1},
+		targetPool: sched.NewPool("orders", "a"),
+		results:    make(chan *result, 1),
+		running:    map[*attempt]bool{},
+		inFlight:   map[*attempt]bool{},
+		deadline:   time.Now(),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t := &attempt{exchange: x, ctx: ctx, cancel: cancel}
--- a/core/relay/headers.go
+++ b/core/relay/headers.go
@@ -9,26 +9,28 @@
 
 // Headers are the names of the header fields that the relay reads and sets.
 type Headers struct {
-	// RequestID identifies one attempt of a caller and is echoed by targets.
+	// RequestID identifies one request as sent by a caller; targets echo it.
 	RequestID string
-	// Deadline holds the milliseconds that the sender will wait.
+	// Deadline holds the number of milliseconds that the sender will wait.
 	Deadline string
-	// Receipt marks a response as the work of a target.
+	// Receipt marks a response as produced by a target.
 	Receipt string
-	// ExpectInstance names the target that a request is meant for.
+	// ExpectInstance holds the id of the target that a request is meant for.
 	ExpectInstance string
-	// NotRun marks a refusal by a target that did not start the request.
+	// NotRun marks a refusal by a target that did not start to run the request.
 	NotRun string
 }
 
-// connectionHeaders concern one connection and are not passed on.
-var connectionHeaders = []string{
+// hopByHopHeaders apply to a single connection and are not forwarded. Content-Length
+// is among them because package link and package caller set it themselves.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// forwardable returns a copy of the header without the fields that concern one connection.
-func forwardable(h http.Header) http.Header {
+// withoutHopByHop returns a copy of the header without hop-by-hop fields, including
+// those that the Connection field lists.
+func withoutHopByHop(h http.Header) http.Header {
 	out := make(http.Header, len(h)+2)
 	for name, values := range h {
 		out[name] = values
@@ -38,13 +40,14 @@
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range connectionHeaders {
+	for _, name := range hopByHopHeaders {
 		delete(out, name)
 	}
 	return out
 }
 
-// timeLeft returns the time that the caller will wait; ok is false if it states none.
+// timeLeft returns how long the caller will wait, from its Deadline header; ok is
+// false if the header is missing or invalid.
 func (n *Headers) timeLeft(h http.Header) (left time.Duration, ok bool) {
 	ms, err := strconv.ParseInt(strings.TrimSpace(h.Get(n.Deadline)), 10, 64)
 	if err != nil || ms < 0 {
--- a/core/relay/memory.go
+++ b/core/relay/memory.go
@@ -2,25 +2,27 @@
 
 import "sync/atomic"
 
-// defaultAnswerMemory bounds the answers held in memory, in bytes, where the
-// settings state nothing.
-const defaultAnswerMemory = 32 << 20
+// defaultResponseMemory is the maximum number of bytes of buffered responses if the
+// settings have no memory limit.
+const defaultResponseMemory = 32 << 20
 
-// memory is the number of bytes that the answers held by a daemon may still take.
-type memory struct {
-	left atomic.Int64
+// memoryQuota limits the memory that a daemon uses to buffer responses; available is
+// the number of bytes not reserved.
+type memoryQuota struct {
+	available atomic.Int64
 }
 
-// take takes bytes and reports whether they were left.
-func (m *memory) take(n int64) bool {
-	if m.left.Add(-n) >= 0 {
+// reserve reserves n bytes, or none if fewer are available, and reports whether it
+// succeeded.
+func (m *memoryQuota) reserve(n int64) bool {
+	if m.available.Add(-n) >= 0 {
 		return true
 	}
-	m.left.Add(n)
+	m.available.Add(n)
 	return false
 }
 
-// give returns bytes.
-func (m *memory) give(n int64) {
-	m.left.Add(n)
+// release returns n reserved bytes to the quota.
+func (m *memoryQuota) release(n int64) {
+	m.available.Add(n)
 }
--- a/core/relay/pools.go
+++ b/core/relay/pools.go
@@ -10,64 +10,71 @@
 )
 
 const (
-	// dialTimeout is the longest wait for a connection to a target. A lost
-	// opening packet is sent again after a second; another target is faster.
+	// dialTimeout is the maximum time to open a connection to a target. A lost SYN
+	// is retransmitted only after a second, so trying another target is faster.
 	dialTimeout = 250 * time.Millisecond
-	// maxIdleConns bounds the idle connections to one target.
+	// maxIdleConns is the maximum number of idle connections to one target.
 	maxIdleConns = 4
-	// idleTimeout is the longest idle time of a connection that carries an idempotent request.
+	// idleTimeout is the maximum idle time of a connection that is reused for an
+	// idempotent request.
 	idleTimeout = 30 * time.Second
-	// orderIdleTimeout is the same for a request that must not run twice.
-	orderIdleTimeout = 8 * time.Second
+	// nonIdempotentIdleTimeout is the maximum idle time of a connection that is reused
+	// for a non-idempotent request, which cannot be retried if the target closes the
+	// connection while the request is being sent.
+	nonIdempotentIdleTimeout = 8 * time.Second
 )
 
-// pools holds the connections to each target.
-type pools struct {
-	mu   sync.Mutex
-	each map[string]*link.Pool
-	opts []link.Option
+// connPools holds one connection pool for each target; opts are added to the options
+// of each pool.
+type connPools struct {
+	mu    sync.Mutex
+	byKey map[string]*link.Pool
+	opts  []link.Option
 }
 
-// poolKey tells apart the incarnations of a target and the targets of an address.
-func poolKey(t sched.Target) string {
+// connPoolKey returns the key of a target's connection pool. It differs between the
+// incarnations of a target and between targets that use the same address in turn.
+func connPoolKey(t sched.Target) string {
 	return t.Address + " " + t.ID + " " + strconv.FormatInt(t.Born, 10)
 }
 
-func (p *pools) get(t sched.Target) *link.Pool {
+// get returns the connection pool of a target, creating it on first use.
+func (p *connPools) get(t sched.Target) *link.Pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	key := poolKey(t)
-	if pool := p.each[key]; pool != nil {
+	key := connPoolKey(t)
+	if pool := p.byKey[key]; pool != nil {
 		return pool
 	}
-	if p.each == nil {
-		p.each = map[string]*link.Pool{}
+	if p.byKey == nil {
+		p.byKey = map[string]*link.Pool{}
 	}
 	pool := link.NewPool(t.Address, append([]link.Option{
 		link.WithDialTimeout(dialTimeout),
 		link.WithMaxIdle(maxIdleConns),
 		link.WithIdleTimeout(idleTimeout),
 	}, p.opts...)...)
-	p.each[key] = pool
+	p.byKey[key] = pool
 	return pool
 }
 
-// keep closes the pools of targets that are gone.
-func (p *pools) keep(live map[string]bool) {
+// closeUnused closes the pools of targets that were removed; live holds the pool keys
+// of the present targets.
+func (p *connPools) closeUnused(live map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for key, pool := range p.each {
+	for key, pool := range p.byKey {
 		if !live[key] {
 			pool.Close()
-			delete(p.each, key)
+			delete(p.byKey, key)
 		}
 	}
 }
 
-// maxIdle returns the longest idle time of a connection that may carry the request.
+// maxIdle returns the maximum idle time of a connection reused for the request.
 func (x *exchange) maxIdle() time.Duration {
 	if x.route.Idempotent() {
 		return idleTimeout
 	}
-	return orderIdleTimeout
+	return nonIdempotentIdleTimeout
 }
--- a/core/relay/record.go
+++ b/core/relay/record.go
@@ -7,16 +7,16 @@
 	"wisteriarelay.example/core/stats"
 )
 
-// note records the result of an attempt.
-func (r *Relay) note(x *exchange, res *result) {
-	if res.verdict == judge.Served {
-		r.set.Counter("relay_attempts_served").Inc(1)
+// recordResult counts the result of an attempt and logs it if the attempt failed.
+func (r *Relay) recordResult(x *exchange, res *result) {
+	if res.observation == judge.Served {
+		r.metrics.Counter("relay_attempts_served").Inc(1)
 		return
 	}
-	r.set.Counter(stats.Label("relay_attempts_failed", "result", res.verdict.String())).Inc(1)
+	r.metrics.Counter(stats.Label("relay_attempts_failed", "result", res.observation.String())).Inc(1)
 	fields := []any{
-		"msg", "attempt failed", "id", x.id, "service", x.service, "number", x.started,
-		"result", res.verdict, "not-run", res.notRun, "took", res.took, "err", res.err,
+		"msg", "attempt failed", "id", x.id, "service", x.service, "number", x.attemptsStarted,
+		"result", res.observation, "not-run", res.notRun, "took", res.duration, "err", res.err,
 	}
 	if g := res.attempt.grant; g != nil {
 		fields = append(fields, "target", g.Target.ID, "fail-rate", g.FailRate, "load", g.Load, "reason", g.Reason)
@@ -24,35 +24,36 @@
 	_ = r.logger.Log(fields...)
 }
 
-// notableWait is the wait for a target from which it is recorded.
-const notableWait = 20 * time.Millisecond
+// minLoggedWait is the shortest wait for a target that is logged.
+const minLoggedWait = 20 * time.Millisecond
 
-// noteWait records how long a request waited for its target.
-func (r *Relay) noteWait(t *attempt) {
+// recordWait records how long an attempt waited for its target, and logs long waits.
+func (r *Relay) recordWait(t *attempt) {
 	x := t.exchange
-	waited := t.sentAt.Sub(t.started)
-	r.set.Histogram(stats.Label("relay_wait_ms", "service", x.service)).Update(waited.Milliseconds())
-	if waited < notableWait {
+	waited := t.sentAt.Sub(t.startedAt)
+	r.metrics.Histogram(stats.Label("relay_wait_ms", "service", x.service)).Update(waited.Milliseconds())
+	if waited < minLoggedWait {
 		return
 	}
 	_ = r.logger.Log("msg", "waited for a target", "id", x.id, "service", x.service, "waited", waited,
 		"target", t.grant.Target.ID, "fail-rate", t.grant.FailRate, "load", t.grant.Load)
 }
 
-// logAnswer records the final answer to a request.
-func (r *Relay) logAnswer(x *exchange, status int, why string) {
+// recordResponse records and logs the response to a caller; a non-empty reason says
+// why it is an error response of the relay.
+func (r *Relay) recordResponse(x *exchange, status int, reason string) {
 	took := time.Since(x.request.Received)
-	r.set.Histogram(stats.Label("relay_latency_ms", "service", x.service)).Update(took.Milliseconds())
-	r.set.Counter(stats.Label("relay_answers", "status-class", string(rune('0'+status/100))+"xx")).Inc(1)
+	r.metrics.Histogram(stats.Label("relay_latency_ms", "service", x.service)).Update(took.Milliseconds())
+	r.metrics.Counter(stats.Label("relay_answers", "status-class", string(rune('0'+status/100))+"xx")).Inc(1)
 	fields := []any{
-		"msg", "answered", "id", x.id, "route", x.route.Name, "config", x.version,
-		"service", x.service, "attempts", x.started, "status", status, "took", took,
+		"msg", "answered", "id", x.id, "route", x.route.Name, "config", x.configVersion,
+		"service", x.service, "attempts", x.attemptsStarted, "status", status, "took", took,
 	}
 	if n := len(x.tried); n > 0 {
 		fields = append(fields, "target", x.tried[n-1].ID)
 	}
-	if why != "" {
-		fields = append(fields, "why", why)
+	if reason != "" {
+		fields = append(fields, "why", reason)
 	}
 	_ = r.logger.Log(fields...)
 }
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -18,41 +18,43 @@
 	"wisteriarelay.example/core/stats"
 )
 
-// Budget bounds the extra sends of the whole fleet to one service.
+// Budget is the retry budget of one service: it limits the extra attempts, which are
+// retries and hedged attempts, that the whole fleet makes.
 type Budget struct {
-	// Span is the sliding time in which extra sends are counted.
+	// Span is the length of the sliding window in which extra attempts are counted.
 	Span time.Duration
-	// Ratio is the number of extra sends allowed for each request.
+	// Ratio is the number of extra attempts allowed for each request in the window.
 	Ratio float64
-	// Slack is the number of extra sends allowed besides in one span.
+	// Slack is the number of extra attempts allowed in a window regardless of the
+	// number of requests.
 	Slack float64
 }
 
-// service is what the relay holds for one service.
-type service struct {
-	pool   *sched.Pool
-	window *retry.Window
+// serviceState holds the target pool and the retry budget window of one service.
+type serviceState struct {
+	targetPool *sched.Pool
+	window     *retry.Window
 }
 
-// Relay carries the requests of one daemon.
+// Relay forwards the requests that callers send to one daemon.
 type Relay struct {
-	dataCentre string
-	headers    Headers
-	budget     Budget
-	logger     log.Logger
-	set        *stats.Set
-	emit       func(sched.Event)
-	inform     func(ctx context.Context, service string, repeatable bool)
-	table      atomic.Pointer[route.Table]
-	pools      pools
-	sizes      sizes
-	memory     memory
+	dataCentre    string
+	headers       Headers
+	budget        Budget
+	logger        log.Logger
+	metrics       *stats.Set
+	emit          func(sched.Event)
+	beforeAcquire func(ctx context.Context, service string, repeatable bool)
+	table         atomic.Pointer[route.Table]
+	connPools     connPools
+	sizes         sizes
+	memory        memoryQuota
 
 	mu       sync.Mutex
-	services atomic.Pointer[map[string]*service]
+	services atomic.Pointer[map[string]*serviceState]
 }
 
-// Option changes a Relay.
+// Option configures a Relay.
 type Option func(*Relay)
 
 // WithLogger sets the logger; the relay logs nothing without it.
@@ -60,62 +62,63 @@
 	return func(r *Relay) { r.logger = l }
 }
 
-// WithStats sets the metrics.
+// WithStats sets the set that the relay's metrics are registered in.
 func WithStats(s *stats.Set) Option {
-	return func(r *Relay) { r.set = s }
+	return func(r *Relay) { r.metrics = s }
 }
 
-// WithBudget sets the budget of extra sends.
+// WithBudget sets the retry budget of each service.
 func WithBudget(b Budget) Option {
 	return func(r *Relay) { r.budget = b }
 }
 
-// WithEmit sets the function that is told each event of a target; it must not block.
+// WithEmit sets the function that is called with each event of a target; it must not
+// block.
 func WithEmit(emit func(sched.Event)) Option {
 	return func(r *Relay) { r.emit = emit }
 }
 
-// WithInform sets the function that is called before a request gets a target; it may
-// wait a moment for what peers know of the targets of the service. repeatable says
-// that the request can be sent again.
-func WithInform(inform func(ctx context.Context, service string, repeatable bool)) Option {
-	return func(r *Relay) { r.inform = inform }
+// WithInform sets a function that is called before a request acquires a target. It
+// may wait briefly for what peers know about the health of the service's targets.
+// repeatable is true if the request is idempotent.
+func WithInform(hook func(ctx context.Context, service string, repeatable bool)) Option {
+	return func(r *Relay) { r.beforeAcquire = hook }
 }
 
-// WithLinkOptions adds options to the pools of connections to targets.
+// WithLinkOptions adds options to the connection pools of targets.
 func WithLinkOptions(opts ...link.Option) Option {
-	return func(r *Relay) { r.pools.opts = opts }
+	return func(r *Relay) { r.connPools.opts = opts }
 }
 
-// WithAnswerMemory bounds the bytes of answers that are held until their callers
-// have taken them.
+// WithAnswerMemory sets the maximum number of bytes of responses that are buffered
+// until their callers have read them.
 func WithAnswerMemory(bytes int64) Option {
-	return func(r *Relay) { r.memory.left.Store(bytes) }
+	return func(r *Relay) { r.memory.available.Store(bytes) }
 }
 
-// defaultBudget is used where the settings state none.
+// defaultBudget is the retry budget if the settings have none.
 var defaultBudget = Budget{Span: 10 * time.Second, Ratio: 0.2, Slack: 20}
 
-// New returns a relay without a configuration, which refuses all requests.
+// New returns a relay that refuses all requests until SetTable is called.
 func New(dataCentre string, headers Headers, opts ...Option) *Relay {
 	r := &Relay{
-		dataCentre: dataCentre,
-		headers:    headers,
-		budget:     defaultBudget,
-		logger:     log.NewNopLogger(),
-		set:        stats.New(),
-		emit:       func(sched.Event) {},
-		inform:     func(context.Context, string, bool) {},
+		dataCentre:    dataCentre,
+		headers:       headers,
+		budget:        defaultBudget,
+		logger:        log.NewNopLogger(),
+		metrics:       stats.New(),
+		emit:          func(sched.Event) {},
+		beforeAcquire: func(context.Context, string, bool) {},
 	}
-	r.services.Store(&map[string]*service{})
-	r.memory.left.Store(defaultAnswerMemory)
+	r.services.Store(&map[string]*serviceState{})
+	r.memory.available.Store(defaultResponseMemory)
 	for _, o := range opts {
 		o(r)
 	}
 	return r
 }
 
-// SetTable puts a configuration in force.
+// SetTable replaces the configuration.
 func (r *Relay) SetTable(t *route.Table) {
 	for _, name := range t.Services() {
 		r.service(name)
@@ -123,7 +126,8 @@
 	r.table.Store(t)
 }
 
-// SetBudget changes the budget of extra sends for all services.
+// SetBudget changes the retry budget of all services. The window of a service that
+// the relay already knows keeps its span.
 func (r *Relay) SetBudget(b Budget) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -133,12 +137,12 @@
 	}
 }
 
-// Table returns the configuration in force, or nil.
+// Table returns the current configuration, or nil if there is none.
 func (r *Relay) Table() *route.Table {
 	return r.table.Load()
 }
 
-// Limits returns the limits for callers in force.
+// Limits returns the current limits on callers.
 func (r *Relay) Limits() route.Limits {
 	if t := r.table.Load(); t != nil {
 		return t.Limits
@@ -153,36 +157,40 @@
 	}
 	live := map[string]bool{}
 	for name, s := range *r.services.Load() {
-		s.pool.SetTargets(targets[name])
+		s.targetPool.SetTargets(targets[name])
 		for _, t := range targets[name] {
-			live[poolKey(t)] = true
+			live[connPoolKey(t)] = true
 		}
 	}
-	r.pools.keep(live)
+	r.connPools.closeUnused(live)
 }
 
-// Pool returns the pool of a service, making it at first use.
+// Pool returns the target pool of a service, creating it on first use.
 func (r *Relay) Pool(name string) *sched.Pool {
-	return r.service(name).pool
+	return r.service(name).targetPool
 }
 
-// SetPart sets the part of the fleet's budget of extra sends to a service that
-// this daemon may use.
+// SetPart sets the part of the fleet's retry budget for a service that this daemon
+// may use.
 func (r *Relay) SetPart(name string, part retry.Part) {
 	r.service(name).window.SetPart(part)
 }
 
-// BudgetState returns the daemon's part of the budget of extra sends to a service.
+// BudgetState returns the use of this daemon's part of the retry budget for a
+// service.
 func (r *Relay) BudgetState(name string) retry.WindowState {
 	return r.service(name).window.State(time.Now())
 }
 
-// Recent returns the number of requests for the service in the span of the budget.
+// Recent returns the number of requests for the service in the current window of
+// the retry budget.
 func (r *Relay) Recent(name string) int {
 	return r.service(name).window.Requests(time.Now())
 }
 
-func (r *Relay) service(name string) *service {
+// service returns the state of a service, creating it on first use. Readers load the
+// map without locking; it is copied for each new service.
+func (r *Relay) service(name string) *serviceState {
 	if s := (*r.services.Load())[name]; s != nil {
 		return s
 	}
@@ -192,11 +200,11 @@
 	if s := old[name]; s != nil {
 		return s
 	}
-	s := &service{
-		pool:   sched.NewPool(name, r.dataCentre, sched.WithEmit(r.emit)),
-		window: retry.NewWindow(r.budget.Span, r.budget.Ratio, r.budget.Slack, time.Now()),
+	s := &serviceState{
+		targetPool: sched.NewPool(name, r.dataCentre, sched.WithEmit(r.emit)),
+		window:     retry.NewWindow(r.budget.Span, r.budget.Ratio, r.budget.Slack, time.Now()),
 	}
-	services := make(map[string]*service, len(old)+1)
+	services := make(map[string]*serviceState, len(old)+1)
 	for n, o := range old {
 		services[n] = o
 	}
@@ -205,7 +213,8 @@
 	return s
 }
 
-// Handle answers one request.
+// Handle forwards one request and returns the response to the caller. ctx ends when
+// the caller disconnects.
 func (r *Relay) Handle(ctx context.Context, req *caller.Request) *caller.Answer {
 	table := r.table.Load()
 	if table == nil {
@@ -221,39 +230,42 @@
 		return r.refuse(req, fault.RouteUnusable)
 	}
 	x := r.newExchange(req, table, match)
-	r.inform(ctx, x.service, match.Idempotent())
+	r.beforeAcquire(ctx, x.service, match.Idempotent())
 	return x.run(ctx)
 }
 
+// newExchange returns the exchange for a request and counts it in the retry budget.
+// The deadline is the earlier of the route's timeout and the caller's own deadline.
 func (r *Relay) newExchange(req *caller.Request, table *route.Table, match *route.Route) *exchange {
-	limit := match.Timeout
+	timeout := match.Timeout
 	if left, ok := r.headers.timeLeft(req.Header); ok {
-		limit = min(limit, left)
+		timeout = min(timeout, left)
 	}
 	name := match.Pick(rand.Uint64())
 	s := r.service(name)
 	s.window.Request(time.Now())
 	return &exchange{
-		relay:    r,
-		request:  req,
-		route:    match,
-		version:  table.Version,
-		service:  name,
-		pool:     s.pool,
-		window:   s.window,
-		id:       req.Header.Get(r.headers.RequestID),
-		header:   forwardable(req.Header),
-		deadline: req.Received.Add(limit),
-		results:  make(chan *result, match.Attempts+maxUnsent),
-		granted:  make(chan *attempt, match.Attempts+maxUnsent),
-		running:  map[*attempt]bool{},
-		sent:     map[*attempt]bool{},
+		relay:         r,
+		request:       req,
+		route:         match,
+		configVersion: table.Version,
+		service:       name,
+		targetPool:    s.targetPool,
+		window:        s.window,
+		id:            req.Header.Get(r.headers.RequestID),
+		header:        withoutHopByHop(req.Header),
+		deadline:      req.Received.Add(timeout),
+		results:       make(chan *result, match.Attempts+maxUnsentAttempts),
+		granted:       make(chan *attempt, match.Attempts+maxUnsentAttempts),
+		running:       map[*attempt]bool{},
+		inFlight:      map[*attempt]bool{},
 	}
 }
 
+// refuse returns the error response to a request for which no attempt is made.
 func (r *Relay) refuse(req *caller.Request, kind fault.Kind) *caller.Answer {
-	a := ownAnswer(kind)
-	r.set.Counter(stats.Label("relay_refused", "kind", kind.String())).Inc(1)
+	a := errorResponse(kind)
+	r.metrics.Counter(stats.Label("relay_refused", "kind", kind.String())).Inc(1)
 	_ = r.logger.Log("msg", "request refused", "id", req.Header.Get(r.headers.RequestID),
 		"kind", kind, "status", a.Status, "host", req.Host, "path", req.Path())
 	return a
--- a/core/relay/response.go
+++ b/core/relay/response.go
@@ -12,52 +12,58 @@
 )
 
 const (
-	// wholeLimit is the size in bytes up to which a response is read whole before
-	// the caller sees its first byte, so that a cut one can be replaced.
-	wholeLimit = 1 << 20
-	// holdStep is the step in which memory for a response of unknown length is taken.
-	holdStep = 32 << 10
-	// answerLimit bounds a response in bytes; a target may send without end.
-	answerLimit = 64 << 20
+	// bufferLimit is the maximum size in bytes of a response that is buffered before
+	// its first byte is sent to the caller, so that a truncated one can be replaced by
+	// a retry.
+	bufferLimit = 1 << 20
+	// reserveStep is the number of bytes by which the memory reserved for a response
+	// of unknown length grows.
+	reserveStep = 32 << 10
+	// responseLimit is the maximum size of a response in bytes, because a target may
+	// send an endless one.
+	responseLimit = 64 << 20
 )
 
-var errAnswerTooLarge = errors.New("response is larger than 64 MiB")
+var errResponseTooLarge = errors.New("response is larger than 64 MiB")
 
-// response is a whole response of a target, or the start of a long one.
-type response struct {
+// targetResponse is a response of a target, either buffered completely or with only
+// the start of its body buffered.
+type targetResponse struct {
 	status int
 	header http.Header
 	body   []byte
-	// rest continues the body; it is nil if the body is whole.
-	rest   *stream
+	// rest is the part of the body after the buffered one; nil if all is buffered.
+	rest *bodyStream
+	// length is the length of the whole body in bytes; below 0 if it is not known.
 	length int64
-	memory *memory
-	held   int64
+	memory *memoryQuota
+	// reserved is the number of bytes reserved from memory.
+	reserved int64
 }
 
-// discard frees what the response holds; verdict is what its target gets if a part
-// of the response was not read yet.
-func (r *response) discard(verdict judge.Result) {
-	r.memory.give(r.held)
-	r.held = 0
+// discard releases the memory and the connection of a response that is not relayed.
+// observation is reported for the target if a part of the body was not read yet.
+func (r *targetResponse) discard(observation judge.Result) {
+	r.memory.release(r.reserved)
+	r.reserved = 0
 	if r.rest != nil {
-		r.rest.end(verdict)
+		r.rest.settle(observation)
 	}
 }
 
-// read reads the response whole, or the first part of one that is long or for
-// which the daemon has no memory left. Load pattern: many callers take large
-// answers slowly; those past the memory are passed on as they come, at the speed
-// of their callers, and can no longer be replaced by another target's.
-func (t *attempt) read(resp *link.Response) (*response, error) {
-	if resp.ContentLength > answerLimit {
+// readResponse buffers the response completely, or only its start if it is large or
+// the memory quota is used up. The rest is then streamed to the caller, and such a
+// response can no longer be replaced by a retry. This keeps memory bounded when many
+// callers read large responses slowly: each target sends at the speed of its caller.
+func (t *attempt) readResponse(resp *link.Response) (*targetResponse, error) {
+	if resp.ContentLength > responseLimit {
 		_ = resp.Body.Close()
-		return nil, errAnswerTooLarge
+		return nil, errResponseTooLarge
 	}
-	out := &response{status: resp.StatusCode, header: resp.Header, memory: &t.exchange.relay.memory}
+	out := &targetResponse{status: resp.StatusCode, header: resp.Header, memory: &t.exchange.relay.memory}
 	var b bytes.Buffer
-	for out.hold(int64(b.Len()), resp.ContentLength) {
-		step := out.held - int64(b.Len())
+	for out.reserveNext(int64(b.Len()), resp.ContentLength) {
+		step := out.reserved - int64(b.Len())
 		n, err := b.ReadFrom(io.LimitReader(resp.Body, step))
 		if err != nil {
 			_ = resp.Body.Close()
@@ -65,32 +71,34 @@
 			return nil, err
 		}
 		if n < step || int64(b.Len()) == resp.ContentLength {
-			return out.whole(resp, b.Bytes()), nil
+			return out.complete(resp, b.Bytes()), nil
 		}
 	}
 	out.body = b.Bytes()
 	out.length = resp.ContentLength
-	out.rest = &stream{attempt: t, inner: resp.Body, left: answerLimit - int64(b.Len())}
+	out.rest = &bodyStream{attempt: t, body: resp.Body, remaining: responseLimit - int64(b.Len())}
 	return out, nil
 }
 
-// hold takes memory for the next part of a body and reports whether it may be read whole.
-func (r *response) hold(read, length int64) bool {
-	step := int64(holdStep)
+// reserveNext reserves memory for the next part of a body, after read bytes of length
+// bytes. It reports whether that part may be buffered: the body must stay within
+// bufferLimit, and the memory must be available. length is below 0 if unknown.
+func (r *targetResponse) reserveNext(read, length int64) bool {
+	step := int64(reserveStep)
 	if length >= 0 {
 		step = length - read
 	}
-	if read+step > wholeLimit || !r.memory.take(step) {
+	if read+step > bufferLimit || !r.memory.reserve(step) {
 		return false
 	}
-	r.held += step
+	r.reserved += step
 	return true
 }
 
-// whole ends the exchange with the target.
-func (r *response) whole(resp *link.Response, body []byte) *response {
+// complete closes the target's response after its body was buffered.
+func (r *targetResponse) complete(resp *link.Response, body []byte) *targetResponse {
 	if resp.ContentLength >= 0 {
-		// The end has to be read for the connection to be kept.
+		// The connection can only be reused after the end of the body has been read.
 		_, _ = resp.Body.Read(make([]byte, 1))
 	}
 	_ = resp.Body.Close()
@@ -99,37 +107,39 @@
 	return r
 }
 
-// stream is the part of a body that is passed on as it comes.
-type stream struct {
-	attempt *attempt
-	inner   io.ReadCloser
-	left    int64
-	failed  bool
+// bodyStream is the part of a body that is streamed to the caller without buffering.
+type bodyStream struct {
+	attempt   *attempt
+	body      io.ReadCloser
+	remaining int64
+	failed    bool
 }
 
-// Read fails past the limit on responses.
-func (s *stream) Read(p []byte) (int, error) {
-	if s.left <= 0 {
+// Read reads from the body and fails once the response exceeds responseLimit.
+func (s *bodyStream) Read(p []byte) (int, error) {
+	if s.remaining <= 0 {
 		s.failed = true
-		return 0, errAnswerTooLarge
+		return 0, errResponseTooLarge
 	}
-	n, err := s.inner.Read(p[:min(int64(len(p)), s.left)])
-	s.left -= int64(n)
+	n, err := s.body.Read(p[:min(int64(len(p)), s.remaining)])
+	s.remaining -= int64(n)
 	s.failed = s.failed || err != nil && !errors.Is(err, io.EOF)
 	return n, err
 }
 
-// Close ends the attempt with what its target has shown.
-func (s *stream) Close() error {
-	verdict := judge.Served
+// Close closes the body and settles the attempt: as served, or as broken if a read
+// failed.
+func (s *bodyStream) Close() error {
+	observation := judge.Served
 	if s.failed {
-		verdict = judge.Broken
+		observation = judge.Broken
 	}
-	s.end(verdict)
+	s.settle(observation)
 	return nil
 }
 
-func (s *stream) end(verdict judge.Result) {
-	_ = s.inner.Close()
-	s.attempt.end(verdict)
+// settle closes the body and reports the observation for the target.
+func (s *bodyStream) settle(observation judge.Result) {
+	_ = s.body.Close()
+	s.attempt.settle(observation)
 }
--- a/core/relay/sizes.go
+++ b/core/relay/sizes.go
@@ -2,15 +2,17 @@
 
 import "sync"
 
-// sizeWeight is the weight of a new sample in a mean size.
+// sizeWeight is the weight of a new sample in the moving average.
 const sizeWeight = 0.1
 
-// sizes follows the mean size of request and answer on each route, in bytes.
+// sizes keeps, for each route, a moving average of the body sizes of request and
+// response together, in bytes.
 type sizes struct {
 	mu    sync.Mutex
 	means map[string]float64
 }
 
+// add adds the size of one request with its response.
 func (s *sizes) add(route string, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -24,7 +26,7 @@
 	s.means[route] = mean + sizeWeight*(float64(bytes)-mean)
 }
 
-// mean returns 0 for a route without an answer so far.
+// mean returns the average size on a route, or 0 if it has no response yet.
 func (s *sizes) mean(route string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// tokenUnit is one retry; tokens are counted in 1/1000.
-	tokenUnit = 1000
-	// perSecond lets a service with little traffic retry: a judgement on a sick
+	// tokenScale is one retry; tokens are counted in 1/1000.
+	tokenScale = 1000
+	// retriesPerSecond lets a service with little traffic retry: a judgement on a sick
 	// target takes 4 to 10 requests, and with one retry a second the callers of a
 	// quiet service saw its failures although another target was healthy. At 97
 	// requests/s it adds 5% to the load of a service that fails as a whole.
-	perSecond = 5
+	retriesPerSecond = 5
 	// burst is the most retries saved up. A few seconds of failures at one of about
 	// 27 targets fit in it; a failure of all targets does not.
 	burst = 32
@@ -21,12 +21,12 @@
 // Budget bounds the retries and hedges of one service at one daemon to a ratio of
 // its requests plus a few a second. It is safe for concurrent use.
 type Budget struct {
-	ratio  atomic.Int64
-	tokens atomic.Int64
-	filled atomic.Int64
-	born   time.Time
-	spent  atomic.Uint64
-	denied atomic.Uint64
+	ratio      atomic.Int64
+	tokens     atomic.Int64
+	lastRefill atomic.Int64
+	createdAt  time.Time
+	spent      atomic.Uint64
+	denied     atomic.Uint64
 }
 
 // BudgetStats are the counters of a Budget for the state dump.
@@ -38,15 +38,15 @@
 
 // NewBudget returns a budget of ratio retries for each request, with a second's retries in hand.
 func NewBudget(ratio float64, now time.Time) *Budget {
-	b := &Budget{born: now}
+	b := &Budget{createdAt: now}
 	b.SetRatio(ratio)
-	b.tokens.Store(perSecond * tokenUnit)
+	b.tokens.Store(retriesPerSecond * tokenScale)
 	return b
 }
 
 // SetRatio changes the number of retries allowed for each request.
 func (b *Budget) SetRatio(ratio float64) {
-	b.ratio.Store(int64(max(ratio, 0) * tokenUnit))
+	b.ratio.Store(int64(max(ratio, 0) * tokenScale))
 }
 
 // Request counts one request of a caller. Retries and hedges are not counted, so
@@ -57,14 +57,14 @@
 
 // Take uses one retry and reports whether there was one left.
 func (b *Budget) Take(now time.Time) bool {
-	b.fill(now)
+	b.refill(now)
 	for {
 		n := b.tokens.Load()
-		if n < tokenUnit {
+		if n < tokenScale {
 			b.denied.Add(1)
 			return false
 		}
-		if b.tokens.CompareAndSwap(n, n-tokenUnit) {
+		if b.tokens.CompareAndSwap(n, n-tokenScale) {
 			b.spent.Add(1)
 			return true
 		}
@@ -74,25 +74,25 @@
 // Return gives back a retry that was taken but not sent, for example because no
 // other target had a free slot.
 func (b *Budget) Return() {
-	b.add(tokenUnit)
+	b.add(tokenScale)
 	b.spent.Add(^uint64(0))
 }
 
 // Stats returns the counters at one moment.
 func (b *Budget) Stats() BudgetStats {
 	return BudgetStats{
-		Tokens: float64(b.tokens.Load()) / tokenUnit,
+		Tokens: float64(b.tokens.Load()) / tokenScale,
 		Spent:  b.spent.Load(),
 		Denied: b.denied.Load(),
 	}
 }
 
-// fill adds what the time since the last fill earns.
-func (b *Budget) fill(now time.Time) {
-	at := int64(now.Sub(b.born))
-	last := b.filled.Load()
-	earned := (at - last) * perSecond * tokenUnit / int64(time.Second)
-	if earned <= 0 || !b.filled.CompareAndSwap(last, at) {
+// refill adds what the time since the last refill earns.
+func (b *Budget) refill(now time.Time) {
+	at := int64(now.Sub(b.createdAt))
+	last := b.lastRefill.Load()
+	earned := (at - last) * retriesPerSecond * tokenScale / int64(time.Second)
+	if earned <= 0 || !b.lastRefill.CompareAndSwap(last, at) {
 		return
 	}
 	b.add(earned)
@@ -101,7 +101,7 @@
 func (b *Budget) add(n int64) {
 	for {
 		have := b.tokens.Load()
-		next := min(have+n, burst*tokenUnit)
+		next := min(have+n, burst*tokenScale)
 		if next <= have || b.tokens.CompareAndSwap(have, next) {
 			return
 		}
--- a/core/retry/decide.go
+++ b/core/retry/decide.go
@@ -7,10 +7,10 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// safeAttempts is the number of targets tried for a non-idempotent request as long
+// nonIdempotentAttempts is the number of targets tried for a non-idempotent request as long
 // as each attempt ends untouched. Such a route has `attempts` 1, which would
 // otherwise turn a connection refused by one target into a failed order.
-const safeAttempts = 2
+const nonIdempotentAttempts = 2
 
 // Attempt describes an attempt that has ended.
 type Attempt struct {
@@ -24,9 +24,9 @@
 	// Expected is the measured service time, 0 if unknown; less time left than this
 	// rules out another attempt.
 	Expected time.Duration
-	// Streaming says that response bytes have been passed to the caller, after which
+	// ResponseStarted says that response bytes have been passed to the caller, after which
 	// nothing can be repeated.
-	Streaming bool
+	ResponseStarted bool
 }
 
 // Reason says why a decision was taken.
@@ -57,9 +57,9 @@
 // Decide returns what the end of an attempt allows on the route. It takes one
 // retry from the budget exactly when the decision is to retry.
 func Decide(route *fleet.Route, a Attempt, b *Budget, now time.Time) Decision {
-	row := effective(route, a.Ending).Row()
-	d := Decision{Outcome: merged(a.Earlier, row.Outcome), Kind: row.Kind}
-	d.Reason = allowed(route, a, row, now)
+	row := effectiveEnding(route, a.Ending).Row()
+	d := Decision{Outcome: mergeEarlier(a.Earlier, row.Outcome), Kind: row.Kind}
+	d.Reason = reasonFor(route, a, row, now)
 	if d.Reason == Retried && !b.Take(now) {
 		d.Reason = BudgetSpent
 	}
@@ -67,33 +67,33 @@
 	return d
 }
 
-// effective drops the promise of a refusal on a route without a refusal rule:
+// effectiveEnding drops the promise of a refusal on a route without a refusal rule:
 // only that rule states that the target has not started.
-func effective(route *fleet.Route, e Ending) Ending {
+func effectiveEnding(route *fleet.Route, e Ending) Ending {
 	if e == RefusedBeforeStart && route.Refusal == nil {
 		return FailedStatus
 	}
 	return e
 }
 
-func merged(earlier, last fault.Outcome) fault.Outcome {
+func mergeEarlier(earlier, last fault.Outcome) fault.Outcome {
 	if earlier == "" {
 		return last
 	}
 	return Merge(earlier, last)
 }
 
-func allowed(route *fleet.Route, a Attempt, row Row, now time.Time) Reason {
+func reasonFor(route *fleet.Route, a Attempt, row Row, now time.Time) Reason {
 	most := route.Attempts
 	if !route.Idempotent {
-		most = max(most, safeAttempts)
+		most = max(most, nonIdempotentAttempts)
 	}
 	switch {
 	case a.Ending == OK:
 		return Finished
-	case !row.Repeatable || a.Streaming:
+	case !row.RetryIdempotent || a.ResponseStarted:
 		return NotRepeatable
-	case !route.Idempotent && (!row.Untouched || merged(a.Earlier, row.Outcome) != fault.NotRun):
+	case !route.Idempotent && (!row.RetryNonIdempotent || mergeEarlier(a.Earlier, row.Outcome) != fault.NotRun):
 		return NotIdempotent
 	case a.Number >= most:
 		return NoAttemptLeft
--- a/core/retry/ending.go
+++ b/core/retry/ending.go
@@ -43,15 +43,15 @@
 	Kind fault.Kind
 	// Outcome is what is certain about the target after this ending alone.
 	Outcome fault.Outcome
-	// Repeatable says that another target may be tried for an idempotent request.
-	Repeatable bool
-	// Untouched says that no byte was acted on, so that a non-idempotent request may be sent elsewhere too.
-	Untouched bool
+	// RetryIdempotent says that another target may be tried for an idempotent request.
+	RetryIdempotent bool
+	// RetryNonIdempotent says that no byte was acted on, so that a non-idempotent request may be sent elsewhere too.
+	RetryNonIdempotent bool
 }
 
 // A dial timeout leaves nothing done, but an order that has already waited that
 // long is reported as not run and not sent to another target.
-var rows = [endingCount]Row{
+var endingRows = [endingCount]Row{
 	OK:                 {"ok", fault.Internal, fault.Run, false, false},
 	NotDialled:         {"not-dialled", fault.TargetUnreachable, fault.NotRun, true, true},
 	DialRefused:        {"dial-refused", fault.TargetUnreachable, fault.NotRun, true, true},
@@ -70,9 +70,9 @@
 // row of NoResponse, which promises nothing.
 func (e Ending) Row() Row {
 	if e >= endingCount {
-		return rows[NoResponse]
+		return endingRows[NoResponse]
 	}
-	return rows[e]
+	return endingRows[e]
 }
 
 // String returns the kebab-case name of the ending.
--- a/core/retry/part.go
+++ b/core/retry/part.go
@@ -23,13 +23,13 @@
 }
 
 const (
-	// slackUsed is the part of the fleet's slack that is dealt out. The rest covers
+	// slackFraction is the part of the fleet's slack that is dealt out. The rest covers
 	// the moments in which daemons disagree on who carries a service.
-	slackUsed = 0.7
-	// slackEarly is the same after a start of the whole fleet.
-	slackEarly = 0.2
-	// ratioAlone is the part of the ratio for a daemon that was restarted alone.
-	ratioAlone = 0.2
+	slackFraction = 0.7
+	// slackFractionFleetRestart is the same after a start of the whole fleet.
+	slackFractionFleetRestart = 0.2
+	// ratioFractionSingleRestart is the part of the ratio for a daemon that was restarted alone.
+	ratioFractionSingleRestart = 0.2
 )
 
 // PartOf returns the part of the budget for one of several carriers. Load
@@ -40,10 +40,10 @@
 	each := 1 / float64(max(carriers, 1))
 	switch s {
 	case Settled:
-		return Part{Ratio: 1, Slack: slackUsed * each}
+		return Part{Ratio: 1, Slack: slackFraction * each}
 	case WithFleet:
-		return Part{Ratio: 1, Slack: slackEarly * each}
+		return Part{Ratio: 1, Slack: slackFractionFleetRestart * each}
 	default:
-		return Part{Ratio: ratioAlone}
+		return Part{Ratio: ratioFractionSingleRestart}
 	}
 }
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -86,7 +86,7 @@
 		Entry("after two refusals of an order", order, retry.Attempt{Number: 2, Ending: retry.DialRefused, Earlier: fault.NotRun}, retry.NoAttemptLeft, fault.NotRun),
 		Entry("with an order that may have run earlier", order, retry.Attempt{Number: 1, Ending: retry.DialRefused, Earlier: fault.Unknown}, retry.NotIdempotent, fault.Unknown),
 		Entry("when the deadline leaves less than a service time", lookup, retry.Attempt{Number: 1, Ending: retry.TimedOut, Deadline: start.Add(time.Second), Expected: time.Second}, retry.NoTimeLeft, fault.Unknown),
-		Entry("once response bytes were passed on", lookup, retry.Attempt{Number: 1, Ending: retry.Truncated, Streaming: true}, retry.NotRepeatable, fault.Unknown),
+		Entry("once response bytes were passed on", lookup, retry.Attempt{Number: 1, Ending: retry.Truncated, ResponseStarted: true}, retry.NotRepeatable, fault.Unknown),
 		Entry("and keeps an earlier unknown outcome", lookup, retry.Attempt{Number: 2, Ending: retry.DialRefused, Earlier: fault.Unknown}, retry.NoAttemptLeft, fault.Unknown),
 	)
 })
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// windowSteps is the number of steps in which a window slides.
-	windowSteps = 20
-	// windowBuckets has one step more than the span, so that no extra send is
+	// bucketsPerSpan is the number of steps in which a window slides.
+	bucketsPerSpan = 20
+	// bucketCount has one step more than the span, so that no extra send is
 	// forgotten before the span has passed.
-	windowBuckets = windowSteps + 1
+	bucketCount = bucketsPerSpan + 1
 )
 
 // Window bounds the extra sends of one service by this daemon in each sliding
@@ -21,19 +21,19 @@
 type Window struct {
 	span time.Duration
 
-	mu       sync.Mutex
-	ratio    float64
-	slack    float64
-	part     Part
-	start    time.Time
-	requests [windowBuckets]int
-	extras   [windowBuckets]int
-	bucket   int64
+	mu            sync.Mutex
+	ratio         float64
+	slack         float64
+	allocation    Part
+	start         time.Time
+	requests      [bucketCount]int
+	extraAttempts [bucketCount]int
+	currentBucket int64
 }
 
 // NewWindow returns a window of the span; slack is the fleet's number of extra sends in it.
 func NewWindow(span time.Duration, ratio, slack float64, now time.Time) *Window {
-	return &Window{span: span, ratio: ratio, slack: slack, part: Part{Ratio: 1}, start: now}
+	return &Window{span: span, ratio: ratio, slack: slack, allocation: Part{Ratio: 1}, start: now}
 }
 
 // SetBounds changes the ratio and the fleet's slack.
@@ -47,7 +47,7 @@
 func (w *Window) SetPart(p Part) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.part = p
+	w.allocation = p
 }
 
 // Request counts one request of a caller.
@@ -55,7 +55,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slide(now)
-	w.requests[w.bucket%windowBuckets]++
+	w.requests[w.currentBucket%bucketCount]++
 }
 
 // Requests returns the number of requests in the window.
@@ -63,12 +63,12 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slide(now)
-	return w.recent()
+	return w.recentRequests()
 }
 
-// recent returns the requests of at most the span.
-func (w *Window) recent() int {
-	oldest := (w.bucket + 1) % windowBuckets
+// recentRequests returns the requests of at most the span.
+func (w *Window) recentRequests() int {
+	oldest := (w.currentBucket + 1) % bucketCount
 	return sum(w.requests) - w.requests[oldest]
 }
 
@@ -77,10 +77,10 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slide(now)
-	if !w.left() {
+	if !w.available() {
 		return false
 	}
-	w.extras[w.bucket%windowBuckets]++
+	w.extraAttempts[w.currentBucket%bucketCount]++
 	return true
 }
 
@@ -89,16 +89,16 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slide(now)
-	return w.left()
+	return w.available()
 }
 
-func (w *Window) left() bool {
-	return float64(sum(w.extras)+1) <= w.allowed()
+func (w *Window) available() bool {
+	return float64(sum(w.extraAttempts)+1) <= w.allowed()
 }
 
 // allowed returns the extra sends that this daemon may use in the span.
 func (w *Window) allowed() float64 {
-	return w.part.Ratio*w.ratio*float64(w.recent()) + w.part.Slack*w.slack
+	return w.allocation.Ratio*w.ratio*float64(w.recentRequests()) + w.allocation.Slack*w.slack
 }
 
 // WindowState is what a window holds, for the state dump.
@@ -115,21 +115,21 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slide(now)
-	return WindowState{Requests: w.recent(), Extras: sum(w.extras), Allowed: w.allowed()}
+	return WindowState{Requests: w.recentRequests(), Extras: sum(w.extraAttempts), Allowed: w.allowed()}
 }
 
 // slide empties the buckets that have left the window.
 func (w *Window) slide(now time.Time) {
-	at := int64(now.Sub(w.start) / (w.span / windowSteps))
-	for steps := 0; w.bucket < at && steps < windowBuckets; steps++ {
-		w.bucket++
-		w.requests[w.bucket%windowBuckets] = 0
-		w.extras[w.bucket%windowBuckets] = 0
+	at := int64(now.Sub(w.start) / (w.span / bucketsPerSpan))
+	for steps := 0; w.currentBucket < at && steps < bucketCount; steps++ {
+		w.currentBucket++
+		w.requests[w.currentBucket%bucketCount] = 0
+		w.extraAttempts[w.currentBucket%bucketCount] = 0
 	}
-	w.bucket = max(w.bucket, at)
+	w.currentBucket = max(w.currentBucket, at)
 }
 
-func sum(buckets [windowBuckets]int) int {
+func sum(buckets [bucketCount]int) int {
 	total := 0
 	for _, n := range buckets {
 		total += n
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -8,11 +8,11 @@
 
 // Table is a compiled configuration. It is immutable and safe for concurrent use.
 type Table struct {
-	Version  Version
-	Limits   Limits
-	hosts    map[string][]Route
-	services map[string]Service
-	byHost   [][]string
+	Version        Version
+	Limits         Limits
+	hosts          map[string][]Route
+	services       map[string]Service
+	servicesByHost [][]string
 	// partial says that a part of the configuration could not be read.
 	partial bool
 }
@@ -33,21 +33,21 @@
 	}
 	for _, h := range c.Hosts {
 		routes := slices.Clone(h.Routes)
-		slices.SortFunc(routes, longestFirst)
+		slices.SortFunc(routes, compareByPrefixLength)
 		t.hosts[strings.ToLower(h.Name)] = routes
-		t.byHost = append(t.byHost, servicesOf(routes))
+		t.servicesByHost = append(t.servicesByHost, servicesOf(routes))
 	}
 	return t
 }
 
-func longestFirst(a, b Route) int {
+func compareByPrefixLength(a, b Route) int {
 	return len(b.Prefix) - len(a.Prefix)
 }
 
 // Match returns the route with the longest prefix of the path among those of
 // the host, or nil. The path is compared byte for byte, without cleaning.
 func (t *Table) Match(host, path string) *Route {
-	routes := t.hosts[hostName(host)]
+	routes := t.hosts[normalizeHost(host)]
 	for i := range routes {
 		if strings.HasPrefix(path, routes[i].Prefix) {
 			return &routes[i]
@@ -80,7 +80,7 @@
 
 // ServicesByHost returns the services that the routes of each host lead to.
 func (t *Table) ServicesByHost() [][]string {
-	return t.byHost
+	return t.servicesByHost
 }
 
 // servicesOf returns the services that the routes lead to, in order.
@@ -99,7 +99,7 @@
 // their requests to, or an empty name.
 func (t *Table) MainService(host string) string {
 	weights := map[string]float64{}
-	for _, r := range t.hosts[hostName(host)] {
+	for _, r := range t.hosts[normalizeHost(host)] {
 		if r.Problem != nil {
 			continue
 		}
@@ -120,8 +120,8 @@
 	return main
 }
 
-// hostName strips the port and folds the case of a Host header.
-func hostName(host string) string {
+// normalizeHost strips the port and folds the case of a Host header.
+func normalizeHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
--- a/core/route/validate.go
+++ b/core/route/validate.go
@@ -16,7 +16,7 @@
 		return nil, fault.New(fault.SettingsInvalid, "version %d is not positive", c.Version)
 	}
 	problems = slices.Clone(c.Problems)
-	problems = append(problems, c.Limits.fill()...)
+	problems = append(problems, c.Limits.applyDefaults()...)
 	services := map[string]bool{}
 	for _, s := range c.Services {
 		services[s.Name] = s.Name != ""
@@ -27,7 +27,7 @@
 		h := &c.Hosts[i]
 		problems = append(problems, h.validate(services)...)
 		routes += len(h.Routes)
-		served += h.served()
+		served += h.servableRoutes()
 	}
 	if routes > 0 && served == 0 {
 		return problems, fault.New(fault.SettingsInvalid, "none of %d routes can be served", routes)
@@ -35,8 +35,8 @@
 	return problems, nil
 }
 
-// fill puts the default in place of each limit that is not positive.
-func (l *Limits) fill() []error {
+// applyDefaults puts the default in place of each limit that is not positive.
+func (l *Limits) applyDefaults() []error {
 	var problems []error
 	problem := func(name string) {
 		problems = append(problems, fault.New(fault.SettingsInvalid, "limit of %s is not positive, the default holds", name))
@@ -85,7 +85,7 @@
 	for i := range h.Routes {
 		r := &h.Routes[i]
 		if r.Problem == nil {
-			r.Problem = r.check(services)
+			r.Problem = r.validate(services)
 		}
 		if r.Problem == nil && prefixes[r.Prefix] > 1 {
 			r.Problem = fault.New(fault.SettingsInvalid, "prefix stands %d times", prefixes[r.Prefix])
@@ -101,7 +101,7 @@
 	return problems
 }
 
-func (h *Host) served() int {
+func (h *Host) servableRoutes() int {
 	n := 0
 	for i := range h.Routes {
 		if h.Routes[i].Problem == nil {
@@ -111,7 +111,7 @@
 	return n
 }
 
-func (r *Route) check(services map[string]bool) error {
+func (r *Route) validate(services map[string]bool) error {
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		return fault.New(fault.SettingsInvalid, "prefix must begin and end with a slash")
 	}
