--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -33,7 +33,7 @@
 // serviceState holds the target pool and the retry budget window of one service.
 type serviceState struct {
 	targetPool *sched.Pool
-	window     *retry.Window
+	retryBudget     *retry.WindowBudget
 }
 
 // Relay forwards the requests that callers send to one daemon.
@@ -133,7 +133,7 @@
 	defer r.mu.Unlock()
 	r.budget = b
 	for _, s := range *r.services.Load() {
-		s.window.SetBounds(b.Ratio, b.Slack)
+		s.retryBudget.SetBounds(b.Ratio, b.Slack)
 	}
 }
 
@@ -173,19 +173,19 @@
 // SetPart sets the part of the fleet's retry budget for a service that this daemon
 // may use.
 func (r *Relay) SetPart(name string, part retry.Part) {
-	r.service(name).window.SetPart(part)
+	r.service(name).retryBudget.SetPart(part)
 }
 
 // BudgetState returns the use of this daemon's part of the retry budget for a
 // service.
 func (r *Relay) BudgetState(name string) retry.WindowState {
-	return r.service(name).window.State(time.Now())
+	return r.service(name).retryBudget.State(time.Now())
 }
 
 // Recent returns the number of requests for the service in the current window of
 // the retry budget.
 func (r *Relay) Recent(name string) int {
-	return r.service(name).window.Requests(time.Now())
+	return r.service(name).retryBudget.RecentRequests(time.Now())
 }
 
 // service returns the state of a service, creating it on first use. Readers load the
@@ -202,7 +202,7 @@
 	}
 	s := &serviceState{
 		targetPool: sched.NewPool(name, r.dataCentre, sched.WithEmit(r.emit)),
-		window:     retry.NewWindow(r.budget.Span, r.budget.Ratio, r.budget.Slack, time.Now()),
+		retryBudget:     retry.NewWindowBudget(r.budget.Span, r.budget.Ratio, r.budget.Slack, time.Now()),
 	}
 	services := make(map[string]*serviceState, len(old)+1)
 	for n, o := range old {
@@ -241,9 +241,9 @@
 	if left, ok := r.headers.timeLeft(req.Header); ok {
 		timeout = min(timeout, left)
 	}
-	name := match.Pick(rand.Uint64())
+	name := match.PickService(rand.Uint64())
 	s := r.service(name)
-	s.window.Request(time.Now())
+	s.retryBudget.CountRequest(time.Now())
 	return &exchange{
 		relay:         r,
 		request:       req,
@@ -251,7 +251,7 @@
 		configVersion: table.Version,
 		service:       name,
 		targetPool:    s.targetPool,
-		window:        s.window,
+		retryBudget:        s.retryBudget,
 		id:            req.Header.Get(r.headers.RequestID),
 		header:        withoutHopByHop(req.Header),
 		deadline:      req.Received.Add(timeout),
--- a/core/relay/retry.go
+++ b/core/relay/retry.go
@@ -40,7 +40,7 @@
 	if x.attemptsStarted-x.attemptsUnsent >= x.route.Attempts || !x.timeForAttempt() {
 		return false
 	}
-	return x.window.Take(time.Now())
+	return x.retryBudget.Take(time.Now())
 }
 
 // overdueFactor is the multiple of the mean service time after which a request
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -6,23 +6,27 @@
 )
 
 const (
-	// tokenScale is one retry; tokens are counted in 1/1000.
+	// tokenScale is the cost of one retry; tokens are counted in units of 1/1000 of a
+	// retry.
 	tokenScale = 1000
-	// retriesPerSecond lets a service with little traffic retry: a judgement on a sick
-	// target takes 4 to 10 requests, and with one retry a second the callers of a
-	// quiet service saw its failures although another target was healthy. At 97
-	// requests/s it adds 5% to the load of a service that fails as a whole.
+	// retriesPerSecond is the number of retries allowed regardless of traffic, so that
+	// a service with little traffic can retry. Detecting a failing target takes 4 to
+	// 10 requests; with one retry a second, callers of a service with little traffic
+	// saw failures although another target was healthy. At 97 requests/s it adds 5%
+	// to the load of a service whose targets all fail.
 	retriesPerSecond = 5
-	// burst is the most retries saved up. A few seconds of failures at one of about
-	// 27 targets fit in it; a failure of all targets does not.
+	// burst is the maximum number of retries that accumulate. It covers a few seconds
+	// of failures at one of about 27 targets, but not a failure of all targets.
 	burst = 32
 )
 
-// Budget bounds the retries and hedges of one service at one daemon to a ratio of
-// its requests plus a few a second. It is safe for concurrent use.
+// Budget is a token bucket that limits the retries and hedged requests of one service
+// at one daemon to a ratio of its requests plus retriesPerSecond. It is safe for
+// concurrent use.
 type Budget struct {
-	ratio      atomic.Int64
-	tokens     atomic.Int64
+	ratio  atomic.Int64
+	tokens atomic.Int64
+	// lastRefill is the time of the last refill, in nanoseconds since createdAt.
 	lastRefill atomic.Int64
 	createdAt  time.Time
 	spent      atomic.Uint64
@@ -36,7 +40,8 @@
 	Denied uint64  `json:"denied"`
 }
 
-// NewBudget returns a budget of ratio retries for each request, with a second's retries in hand.
+// NewBudget returns a budget of ratio retries for each request. It starts with the
+// retries of one second.
 func NewBudget(ratio float64, now time.Time) *Budget {
 	b := &Budget{createdAt: now}
 	b.SetRatio(ratio)
@@ -44,18 +49,18 @@
 	return b
 }
 
-// SetRatio changes the number of retries allowed for each request.
+// SetRatio sets the number of retries allowed for each request.
 func (b *Budget) SetRatio(ratio float64) {
 	b.ratio.Store(int64(max(ratio, 0) * tokenScale))
 }
 
-// Request counts one request of a caller. Retries and hedges are not counted, so
-// that they earn no further retries.
+// Request counts one request of a caller. Retries and hedged requests are not
+// counted, so that they do not add to the budget.
 func (b *Budget) Request() {
 	b.add(b.ratio.Load())
 }
 
-// Take uses one retry and reports whether there was one left.
+// Take takes one retry from the budget and reports whether one was available.
 func (b *Budget) Take(now time.Time) bool {
 	b.refill(now)
 	for {
@@ -71,14 +76,14 @@
 	}
 }
 
-// Return gives back a retry that was taken but not sent, for example because no
-// other target had a free slot.
+// Return returns a retry that was taken but not sent, for example because no other
+// target had a free slot.
 func (b *Budget) Return() {
 	b.add(tokenScale)
 	b.spent.Add(^uint64(0))
 }
 
-// Stats returns the counters at one moment.
+// Stats returns the current counters.
 func (b *Budget) Stats() BudgetStats {
 	return BudgetStats{
 		Tokens: float64(b.tokens.Load()) / tokenScale,
@@ -87,22 +92,23 @@
 	}
 }
 
-// refill adds what the time since the last refill earns.
+// refill adds the tokens for the time since the last refill.
 func (b *Budget) refill(now time.Time) {
-	at := int64(now.Sub(b.createdAt))
+	elapsed := int64(now.Sub(b.createdAt))
 	last := b.lastRefill.Load()
-	earned := (at - last) * retriesPerSecond * tokenScale / int64(time.Second)
-	if earned <= 0 || !b.lastRefill.CompareAndSwap(last, at) {
+	earned := (elapsed - last) * retriesPerSecond * tokenScale / int64(time.Second)
+	if earned <= 0 || !b.lastRefill.CompareAndSwap(last, elapsed) {
 		return
 	}
 	b.add(earned)
 }
 
+// add adds n tokens, up to the burst limit.
 func (b *Budget) add(n int64) {
 	for {
-		have := b.tokens.Load()
-		next := min(have+n, burst*tokenScale)
-		if next <= have || b.tokens.CompareAndSwap(have, next) {
+		current := b.tokens.Load()
+		next := min(current+n, burst*tokenScale)
+		if next <= current || b.tokens.CompareAndSwap(current, next) {
 			return
 		}
 	}
--- a/core/retry/decide.go
+++ b/core/retry/decide.go
@@ -7,32 +7,32 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// nonIdempotentAttempts is the number of targets tried for a non-idempotent request as long
-// as each attempt ends untouched. Such a route has `attempts` 1, which would
-// otherwise turn a connection refused by one target into a failed order.
+// nonIdempotentAttempts is the minimum limit on attempts for a non-idempotent request
+// as long as no attempt was run. Such a route has `attempts` 1, with which a single
+// refused connection would fail an order.
 const nonIdempotentAttempts = 2
 
 // Attempt describes an attempt that has ended.
 type Attempt struct {
-	// Number counts the attempts of the request, hedges included, from 1.
+	// Number is the number of the attempt, from 1; hedged attempts count.
 	Number int
 	Ending Ending
-	// Earlier is the merged outcome of the attempts before this one; empty for the first.
+	// Earlier is the merged outcome of the earlier attempts; empty for the first.
 	Earlier fault.Outcome
-	// Deadline is the deadline of the request; zero means none.
+	// Deadline is the deadline of the request; zero if it has none.
 	Deadline time.Time
-	// Expected is the measured service time, 0 if unknown; less time left than this
-	// rules out another attempt.
+	// Expected is the measured service time, 0 if unknown. No further attempt is made
+	// if the time left is not longer than this.
 	Expected time.Duration
-	// ResponseStarted says that response bytes have been passed to the caller, after which
-	// nothing can be repeated.
+	// ResponseStarted is set if response bytes were sent to the caller, after which the
+	// request cannot be retried.
 	ResponseStarted bool
 }
 
-// Reason says why a decision was taken.
+// Reason is the reason for a decision.
 type Reason string
 
-// The reasons of a decision.
+// The reasons for a decision.
 const (
 	Retried       Reason = "retried"
 	Finished      Reason = "finished"
@@ -43,23 +43,24 @@
 	BudgetSpent   Reason = "budget-spent"
 )
 
-// Decision says what follows a failed attempt.
+// Decision says whether an attempt is followed by a retry.
 type Decision struct {
-	// Retry allows one more attempt at another target; its retry is taken from the budget.
+	// Retry is set if another target may be tried; the retry has been taken from the
+	// budget.
 	Retry  bool
 	Reason Reason
-	// Outcome is what is certain about the request if no further attempt follows.
+	// Outcome is the outcome of the request if no further attempt follows.
 	Outcome fault.Outcome
 	// Kind is the error kind of the request if no further attempt follows.
 	Kind fault.Kind
 }
 
-// Decide returns what the end of an attempt allows on the route. It takes one
-// retry from the budget exactly when the decision is to retry.
+// Decide returns whether to retry a request on the route after an attempt has ended.
+// It takes one retry from the budget if and only if the decision is to retry.
 func Decide(route *fleet.Route, a Attempt, b *Budget, now time.Time) Decision {
-	row := effectiveEnding(route, a.Ending).Row()
-	d := Decision{Outcome: mergeEarlier(a.Earlier, row.Outcome), Kind: row.Kind}
-	d.Reason = reasonFor(route, a, row, now)
+	info := effectiveEnding(route, a.Ending).Row()
+	d := Decision{Outcome: mergeEarlier(a.Earlier, info.Outcome), Kind: info.Kind}
+	d.Reason = reasonFor(route, a, info, now)
 	if d.Reason == Retried && !b.Take(now) {
 		d.Reason = BudgetSpent
 	}
@@ -67,8 +68,9 @@
 	return d
 }
 
-// effectiveEnding drops the promise of a refusal on a route without a refusal rule:
-// only that rule states that the target has not started.
+// effectiveEnding returns the ending on which the decision is based. A refusal counts
+// as RefusedBeforeStart only on a route with a refusal rule, because only that rule
+// guarantees that the target did not start to run the request.
 func effectiveEnding(route *fleet.Route, e Ending) Ending {
 	if e == RefusedBeforeStart && route.Refusal == nil {
 		return FailedStatus
@@ -76,26 +78,30 @@
 	return e
 }
 
+// mergeEarlier merges the outcome of the last attempt into that of the earlier ones,
+// if there are any.
 func mergeEarlier(earlier, last fault.Outcome) fault.Outcome {
 	if earlier == "" {
 		return last
 	}
-	return Merge(earlier, last)
+	return MergeOutcomes(earlier, last)
 }
 
-func reasonFor(route *fleet.Route, a Attempt, row Row, now time.Time) Reason {
-	most := route.Attempts
+// reasonFor returns Retried if everything but the budget allows another attempt, or
+// else the reason why none is made.
+func reasonFor(route *fleet.Route, a Attempt, info EndingInfo, now time.Time) Reason {
+	maxAttempts := route.Attempts
 	if !route.Idempotent {
-		most = max(most, nonIdempotentAttempts)
+		maxAttempts = max(maxAttempts, nonIdempotentAttempts)
 	}
 	switch {
 	case a.Ending == OK:
 		return Finished
-	case !row.RetryIdempotent || a.ResponseStarted:
+	case !info.RetryIdempotent || a.ResponseStarted:
 		return NotRepeatable
-	case !route.Idempotent && (!row.RetryNonIdempotent || mergeEarlier(a.Earlier, row.Outcome) != fault.NotRun):
+	case !route.Idempotent && (!info.RetryNonIdempotent || mergeEarlier(a.Earlier, info.Outcome) != fault.NotRun):
 		return NotIdempotent
-	case a.Number >= most:
+	case a.Number >= maxAttempts:
 		return NoAttemptLeft
 	case !a.Deadline.IsZero() && a.Deadline.Sub(now) <= a.Expected:
 		return NoTimeLeft
@@ -104,27 +110,28 @@
 	}
 }
 
-// Pending describes a request that waits for its first response.
+// Pending describes a request that has not received a response yet.
 type Pending struct {
-	// Started is when the first copy was sent.
+	// Started is the time at which the first copy was sent.
 	Started time.Time
-	// Copies is the number of copies sent, the first included.
+	// Copies is the number of copies of the request sent so far, at least 1.
 	Copies   int
 	Deadline time.Time
 	// Expected is the measured service time, 0 if unknown.
 	Expected time.Duration
 }
 
-// Hedge says whether a second copy is sent.
+// Hedge says whether a hedged request, a second copy of a pending one, is sent.
 type Hedge struct {
-	// Send allows one copy now; its retry is taken from the budget.
+	// Send is set if the second copy may be sent now; a retry has been taken from the
+	// budget for it.
 	Send bool
-	// Wait is the time after which to ask again; 0 means never.
+	// Wait is the delay after which to call DecideHedge again; 0 means never.
 	Wait time.Duration
 }
 
-// DecideHedge returns whether a second copy of a pending request is sent now, later
-// or never. Only idempotent requests are hedged, and at most once.
+// DecideHedge returns whether to send a second copy of a pending request now, later or
+// never. Only idempotent requests are hedged, and at most once.
 func DecideHedge(route *fleet.Route, p Pending, b *Budget, now time.Time) Hedge {
 	if !route.Idempotent || route.HedgeAfter <= 0 || p.Copies > 1 {
 		return Hedge{}
--- a/core/retry/doc.go
+++ b/core/retry/doc.go
@@ -1,4 +1,4 @@
-// Package retry decides what a failed attempt allows: another attempt within the
-// retry budget of the service, or an end with the outcome that is certain. It
-// also decides whether a second copy of a slow request is sent.
+// Package retry decides whether a failed attempt is retried within the retry budget of
+// its service and whether a slow request is hedged with a second copy. For a request
+// that is not retried it states whether the request ran.
 package retry
--- a/core/retry/ending.go
+++ b/core/retry/ending.go
@@ -4,14 +4,15 @@
 	"wisteriarelay.example/core/fault"
 )
 
-// Ending is the way in which one attempt ended; the list is closed.
+// Ending is the way in which an attempt ended.
 type Ending uint8
 
-// The endings of an attempt.
+// The endings of an attempt. Each attempt ends in one of these.
 const (
-	// OK: a complete response arrived and no rule calls it a failure.
+	// OK: a complete response arrived that is not a failure.
 	OK Ending = iota
-	// NotDialled: no connection was tried, for example for lack of one.
+	// NotDialled: no byte of the request was sent, for a reason other than the next
+	// two, for example because the target was removed.
 	NotDialled
 	// DialRefused: the target's address refused the connection.
 	DialRefused
@@ -19,39 +20,41 @@
 	DialTimeout
 	// WriteFailed: the connection failed while the request was being written.
 	WriteFailed
-	// NoResponse: the connection ended before a response head.
+	// NoResponse: the connection was closed before a response header arrived.
 	NoResponse
-	// TimedOut: the attempt's time passed before a complete response.
+	// TimedOut: the attempt timed out before the response was complete.
 	TimedOut
-	// Truncated: the response ended before its announced length.
+	// Truncated: the response ended before its declared length.
 	Truncated
-	// FailedStatus: a complete response with a failure status.
+	// FailedStatus: a complete response whose status is a failure.
 	FailedStatus
 	// BodyFailure: a complete response that the route's body-failure rule matches.
 	BodyFailure
 	// RefusedBeforeStart: a response that the route's refusal rule matches.
 	RefusedBeforeStart
-	// CallerGone: the caller closed its request.
+	// CallerGone: the caller disconnected or cancelled its request.
 	CallerGone
 	endingCount
 )
 
-// Row is the row of the table that belongs to one ending.
-type Row struct {
+// EndingInfo describes what an ending means for its request.
+type EndingInfo struct {
 	Name string
 	// Kind is the error kind of a request that ends in this way; it has no meaning for OK.
 	Kind fault.Kind
-	// Outcome is what is certain about the target after this ending alone.
+	// Outcome says whether the target ran the request, given this attempt alone.
 	Outcome fault.Outcome
-	// RetryIdempotent says that another target may be tried for an idempotent request.
+	// RetryIdempotent is set if an idempotent request may be sent to another target.
 	RetryIdempotent bool
-	// RetryNonIdempotent says that no byte was acted on, so that a non-idempotent request may be sent elsewhere too.
+	// RetryNonIdempotent is set if a non-idempotent request may be sent to another
+	// target as well, because this one certainly did not process any of it.
 	RetryNonIdempotent bool
 }
 
-// A dial timeout leaves nothing done, but an order that has already waited that
-// long is reported as not run and not sent to another target.
-var endingRows = [endingCount]Row{
+// endingInfos describes each ending. After a dial timeout the request certainly did
+// not run, but a non-idempotent one has already waited so long that it is reported as
+// not run instead of being sent to another target.
+var endingInfos = [endingCount]EndingInfo{
 	OK:                 {"ok", fault.Internal, fault.Run, false, false},
 	NotDialled:         {"not-dialled", fault.TargetUnreachable, fault.NotRun, true, true},
 	DialRefused:        {"dial-refused", fault.TargetUnreachable, fault.NotRun, true, true},
@@ -66,13 +69,13 @@
 	CallerGone:         {"caller-gone", fault.CallerGone, fault.Unknown, false, false},
 }
 
-// Row returns the row of the table for the ending; an unlisted ending gets the
-// row of NoResponse, which promises nothing.
-func (e Ending) Row() Row {
+// Row returns the description of the ending. A value that is not listed is treated as
+// NoResponse, whose outcome is unknown.
+func (e Ending) Row() EndingInfo {
 	if e >= endingCount {
-		return endingRows[NoResponse]
+		return endingInfos[NoResponse]
 	}
-	return endingRows[e]
+	return endingInfos[e]
 }
 
 // String returns the kebab-case name of the ending.
@@ -80,7 +83,7 @@
 	return e.Row().Name
 }
 
-// Endings returns every ending of the closed list, in order.
+// Endings returns all endings in order.
 func Endings() []Ending {
 	list := make([]Ending, 0, endingCount)
 	for e := range endingCount {
@@ -89,9 +92,9 @@
 	return list
 }
 
-// Merge returns the outcome of a request after several attempts: one that ran
-// makes it run, and one that may have run makes it unknown.
-func Merge(a, b fault.Outcome) fault.Outcome {
+// MergeOutcomes returns the outcome of a request from those of two of its attempts: Run
+// if one ran, else Unknown if one may have run, else NotRun.
+func MergeOutcomes(a, b fault.Outcome) fault.Outcome {
 	switch {
 	case a == fault.Run || b == fault.Run:
 		return fault.Run
--- a/core/retry/part.go
+++ b/core/retry/part.go
@@ -1,48 +1,54 @@
 package retry
 
-// Start says how the run of a daemon began, as far as that matters for what
-// earlier runs spent of the fleet's budget.
+// Start says how the current run of a daemon process began. It decides how much of the
+// retry budget is held back for what the earlier run may have used in the same span.
 type Start int
 
-// The starts.
+// The ways in which a run began.
 const (
-	// Settled is a run that no earlier one can have spent anything in the span before.
+	// Settled is a run for which no earlier one can have used retry budget in the
+	// current span: the first run, or one that is older than the span.
 	Settled Start = iota
-	// WithFleet is a run that began within the span, as those of most daemons.
+	// WithFleet is a run that began within the span, as did those of most daemons: the
+	// whole fleet was started.
 	WithFleet
-	// Alone is a run that began within the span while most daemons ran on.
+	// Alone is a run that began within the span while most daemons kept running, as in
+	// a rolling restart.
 	Alone
 )
 
-// Part is the part of the fleet's budget that one daemon may use.
+// Part is the part of the fleet's retry budget that one daemon may use.
 type Part struct {
-	// Ratio is the part of the extra sends for this daemon's requests.
+	// Ratio is the fraction used of the budget's ratio, which applies to the requests
+	// that this daemon receives.
 	Ratio float64
-	// Slack is the part of the extra sends that the whole fleet has besides.
+	// Slack is the fraction used of the budget's slack, which the whole fleet shares.
 	Slack float64
 }
 
 const (
-	// slackFraction is the part of the fleet's slack that is dealt out. The rest covers
-	// the moments in which daemons disagree on who carries a service.
+	// slackFraction is the fraction of the fleet's slack that is divided among the
+	// daemons that carry a service. The rest is a reserve for the moments in which
+	// daemons disagree on which of them carry it.
 	slackFraction = 0.7
-	// slackFractionFleetRestart is the same after a start of the whole fleet.
+	// slackFractionFleetRestart is this fraction after a start of the whole fleet.
 	slackFractionFleetRestart = 0.2
-	// ratioFractionSingleRestart is the part of the ratio for a daemon that was restarted alone.
+	// ratioFractionSingleRestart is the fraction of the ratio for a daemon that was
+	// restarted alone.
 	ratioFractionSingleRestart = 0.2
 )
 
-// PartOf returns the part of the budget for one of several carriers. Load
-// pattern: daemons are restarted one after the other while a service refuses half
-// of its requests; what the predecessor of a daemon spent counts in the same span
-// and is not known.
+// PartOf returns the part of the retry budget for one of several daemons that carry a
+// service. It is reduced after a restart: if daemons are restarted one after the other
+// while a service refuses half of its requests, the extra attempts of the earlier run
+// count in the same span, and their number is not known.
 func PartOf(carriers int, s Start) Part {
-	each := 1 / float64(max(carriers, 1))
+	perCarrier := 1 / float64(max(carriers, 1))
 	switch s {
 	case Settled:
-		return Part{Ratio: 1, Slack: slackFraction * each}
+		return Part{Ratio: 1, Slack: slackFraction * perCarrier}
 	case WithFleet:
-		return Part{Ratio: 1, Slack: slackFractionFleetRestart * each}
+		return Part{Ratio: 1, Slack: slackFractionFleetRestart * perCarrier}
 	default:
 		return Part{Ratio: ratioFractionSingleRestart}
 	}
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -20,16 +20,16 @@
 		slack   = 56.0
 	)
 	now := time.Unix(1000, 0)
-	windows := make([]*retry.Window, daemons)
+	windows := make([]*retry.WindowBudget, daemons)
 	for i := range windows {
-		windows[i] = retry.NewWindow(span, ratio, slack, now)
+		windows[i] = retry.NewWindowBudget(span, ratio, slack, now)
 		windows[i].SetPart(retry.Part{Ratio: 1, Slack: 1.0 / daemons})
 	}
 	var requests, extras []time.Time
 	for i := range 4000 {
 		now = now.Add(10 * time.Millisecond)
 		w := windows[i%daemons]
-		w.Request(now)
+		w.CountRequest(now)
 		requests = append(requests, now)
 		if w.Take(now) {
 			extras = append(extras, now)
@@ -51,8 +51,8 @@
 func TestNoShareNoSlack(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	w := retry.NewWindow(10*time.Second, 0.2, 56, now)
-	w.Request(now)
+	w := retry.NewWindowBudget(10*time.Second, 0.2, 56, now)
+	w.CountRequest(now)
 	g.Expect(w.Take(now)).To(BeFalse())
 }
 
@@ -71,10 +71,10 @@
 	)
 	now := time.Unix(1000, 0)
 	begin := now
-	windows := make([]*retry.Window, daemons)
+	windows := make([]*retry.WindowBudget, daemons)
 	started := make([]time.Time, daemons)
 	for i := range windows {
-		windows[i] = retry.NewWindow(span, ratio, slack, now.Add(-span))
+		windows[i] = retry.NewWindowBudget(span, ratio, slack, now.Add(-span))
 		started[i] = now.Add(-span)
 	}
 	var sent, extra []int
@@ -83,7 +83,7 @@
 		now = now.Add(interval)
 		if int(now.Sub(begin)/restartEvery) > restarts {
 			i := restarts % daemons
-			windows[i], started[i] = retry.NewWindow(span, ratio, slack, now), now
+			windows[i], started[i] = retry.NewWindowBudget(span, ratio, slack, now), now
 			restarts++
 		}
 		i := step % daemons
@@ -92,7 +92,7 @@
 			start = retry.Alone
 		}
 		windows[i].SetPart(retry.PartOf(daemons, start))
-		windows[i].Request(now)
+		windows[i].CountRequest(now)
 		sent = append(sent, 1)
 		extra = append(extra, 0)
 		if now.Sub(begin) > span/2 && windows[i].Take(now) {
--- a/core/route/config.go
+++ b/core/route/config.go
@@ -5,57 +5,61 @@
 // Version orders configurations; a higher one replaces a lower one.
 type Version int64
 
-// Config is one configuration as the operators wrote it.
+// Config is one configuration as written by the operators.
 type Config struct {
 	Version  Version
 	Services []Service
 	Hosts    []Host
 	Limits   Limits
-	// Problems are the parts that could not be read and are missing here.
+	// Problems has an error for each part that could not be read and is missing here.
 	Problems []error
-	// Partial says that hosts or routes are among those parts.
+	// Partial is set if hosts or routes are among the missing parts.
 	Partial bool
 }
 
-// Service is a group of targets that do the same work.
+// Service is a group of targets that serve the same requests.
 type Service struct {
 	Name string
-	// MaxConnections is the number of connections that one target accepts from the whole fleet.
+	// MaxConnections is the maximum number of connections that one target accepts from
+	// the whole fleet.
 	MaxConnections int
 }
 
-// Host groups the routes of one host name.
+// Host holds the routes of one host name.
 type Host struct {
 	Name   string
 	Routes []Route
 }
 
-// Route states where the requests below a path prefix go and how they may be treated.
+// Route says which services receive the requests below a path prefix, and how these
+// may be handled.
 type Route struct {
 	Name   string
 	Prefix string
 	Kind   Kind
-	// KindWord is the operators' word for the kind.
+	// KindWord is the kind as written in the configuration, for messages.
 	KindWord string
-	// Timeout is the longest time until the caller has its final answer.
+	// Timeout is the maximum time until the caller has its response.
 	Timeout time.Duration
-	// Objective is the time within which an answer is worth most to the caller.
+	// Objective is the time within which a response has its full value for the caller;
+	// 0 if there is none.
 	Objective time.Duration
 	// Priority ranks the route; 0 is the highest.
 	Priority int
-	// Attempts is the largest number of targets tried for one request.
+	// Attempts is the maximum number of attempts for one request.
 	Attempts int
-	// Split divides the requests among services by weight.
+	// Split distributes the requests among services by weight.
 	Split []Share
-	// Problem says why the route cannot be served; its requests are refused.
+	// Problem is the reason why the route cannot be served, or nil. While it is set, the
+	// requests of the route are refused.
 	Problem error
 }
 
 // Kind says whether the requests of a route may run more than once.
 type Kind uint8
 
-// The kinds. A request of a kind that this version does not know runs at most
-// once, because that cannot double anything.
+// The kinds of routes. A request on a route of an unknown kind, for example of a later
+// version, runs at most once, because that is safe for every kind.
 const (
 	UnknownKind Kind = iota
 	NotIdempotent
@@ -67,13 +71,14 @@
 	return r.Kind == Idempotent
 }
 
-// Share is one part of a traffic split.
+// Share is a service with its weight in a traffic split.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits are the limits on the size of a caller's requests and on the time to send
+// them.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -81,8 +86,8 @@
 	IdleTimeout   time.Duration
 }
 
-// DefaultLimits hold until a configuration is known, and in place of a limit that
-// is not positive.
+// DefaultLimits apply until a configuration is known. Each of them also replaces an
+// invalid limit of a configuration.
 var DefaultLimits = Limits{
 	HeaderBytes:   16 << 10,
 	BodyBytes:     1 << 20,
--- a/core/route/doc.go
+++ b/core/route/doc.go
@@ -1,5 +1,4 @@
-// Package route holds the configuration that operators put in force: hosts with
-// their routes, services, and limits for callers. A [Config] is checked once
-// and compiled into an immutable [Table], which matches a request by its host
-// and the longest path prefix.
+// Package route holds the configuration of the operators: hosts with their routes,
+// services, and limits on callers. A [Config] is validated once and compiled into an
+// immutable [Table], which matches a request by its host and the longest path prefix.
 package route
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -38,7 +38,7 @@
 	r := route.Route{Split: []route.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	count := map[string]int{}
 	for draw := range uint64(1000) {
-		count[r.Pick(draw)]++
+		count[r.PickService(draw)]++
 	}
 	g.Expect(count).To(Equal(map[string]int{"a": 900, "b": 100}))
 }
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -13,11 +13,11 @@
 	hosts          map[string][]Route
 	services       map[string]Service
 	servicesByHost [][]string
-	// partial says that a part of the configuration could not be read.
+	// partial is set if hosts or routes of the configuration could not be read.
 	partial bool
 }
 
-// Compile returns the table of a validated configuration.
+// Compile returns the table for a validated configuration.
 func Compile(c *Config) *Table {
 	t := &Table{
 		Version:  c.Version,
@@ -40,12 +40,13 @@
 	return t
 }
 
+// compareByPrefixLength orders routes from the longest prefix to the shortest.
 func compareByPrefixLength(a, b Route) int {
 	return len(b.Prefix) - len(a.Prefix)
 }
 
-// Match returns the route with the longest prefix of the path among those of
-// the host, or nil. The path is compared byte for byte, without cleaning.
+// Match returns the route of the host whose prefix is the longest that the path begins
+// with, or nil. The path is compared byte for byte, without normalization.
 func (t *Table) Match(host, path string) *Route {
 	routes := t.hosts[normalizeHost(host)]
 	for i := range routes {
@@ -56,19 +57,19 @@
 	return nil
 }
 
-// Partial reports whether a path without a route may have one in a part of the
-// configuration that could not be read.
+// Partial reports whether hosts or routes of the configuration could not be read, so
+// that a path without a route may have one there.
 func (t *Table) Partial() bool {
 	return t.partial
 }
 
-// Service returns the service of that name.
+// Service returns the service with the given name.
 func (t *Table) Service(name string) (Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// Services returns the names of all services, in order.
+// Services returns the names of all services, sorted.
 func (t *Table) Services() []string {
 	names := make([]string, 0, len(t.services))
 	for n := range t.services {
@@ -78,12 +79,13 @@
 	return names
 }
 
-// ServicesByHost returns the services that the routes of each host lead to.
+// ServicesByHost returns, for each host, the services that its routes send requests
+// to.
 func (t *Table) ServicesByHost() [][]string {
 	return t.servicesByHost
 }
 
-// servicesOf returns the services that the routes lead to, in order.
+// servicesOf returns the sorted names of the services that the routes send requests to.
 func servicesOf(routes []Route) []string {
 	var out []string
 	for _, r := range routes {
@@ -95,8 +97,8 @@
 	return slices.Compact(out)
 }
 
-// MainService returns the service that most routes of a host send most of
-// their requests to, or an empty name.
+// MainService returns the service with the largest sum of traffic shares over the
+// routes of a host, or an empty name if the host has no usable route.
 func (t *Table) MainService(host string) string {
 	weights := map[string]float64{}
 	for _, r := range t.hosts[normalizeHost(host)] {
@@ -111,16 +113,16 @@
 			weights[s.Service] += float64(s.Weight) / float64(total)
 		}
 	}
-	main := ""
+	heaviest := ""
 	for name, w := range weights {
-		if main == "" || w > weights[main] || w == weights[main] && name < main {
-			main = name
+		if heaviest == "" || w > weights[heaviest] || w == weights[heaviest] && name < heaviest {
+			heaviest = name
 		}
 	}
-	return main
+	return heaviest
 }
 
-// normalizeHost strips the port and folds the case of a Host header.
+// normalizeHost returns the host name of a Host header in lower case, without the port.
 func normalizeHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -128,9 +130,9 @@
 	return strings.ToLower(host)
 }
 
-// Pick returns the service for a request; draw is a uniformly distributed
-// number, so that each service gets its share of the requests.
-func (r *Route) Pick(draw uint64) string {
+// PickService returns the service for a request, by weight. random must be uniformly
+// distributed, so that each service gets its share of the requests.
+func (r *Route) PickService(random uint64) string {
 	if len(r.Split) == 1 {
 		return r.Split[0].Service
 	}
@@ -138,12 +140,12 @@
 	for _, s := range r.Split {
 		total += s.Weight
 	}
-	left := int(draw % uint64(total))
+	point := int(random % uint64(total))
 	for _, s := range r.Split {
-		if left < s.Weight {
+		if point < s.Weight {
 			return s.Service
 		}
-		left -= s.Weight
+		point -= s.Weight
 	}
 	return r.Split[len(r.Split)-1].Service
 }
--- a/core/route/validate.go
+++ b/core/route/validate.go
@@ -7,10 +7,11 @@
 	"wisteriarelay.example/core/fault"
 )
 
-// Validate sets the problem of each route that cannot be served, and returns
-// these and all other problems that leave the rest of the configuration usable.
-// It fails with fault.SettingsInvalid if the configuration must not come into
-// force: it has no version, or routes of which none can be served.
+// Validate sets Problem on each route that cannot be served. It returns these problems
+// and all others that leave the rest of the configuration usable. It fails with
+// fault.SettingsInvalid if the configuration must not be applied: if it has no valid
+// version, or if it has routes but none can be served. It also merges hosts of the same
+// name and replaces invalid limits by their defaults.
 func (c *Config) Validate() (problems []error, err error) {
 	if c.Version <= 0 {
 		return nil, fault.New(fault.SettingsInvalid, "version %d is not positive", c.Version)
@@ -22,60 +23,63 @@
 		services[s.Name] = s.Name != ""
 	}
 	c.mergeHosts()
-	routes, served := 0, 0
+	routes, servable := 0, 0
 	for i := range c.Hosts {
 		h := &c.Hosts[i]
 		problems = append(problems, h.validate(services)...)
 		routes += len(h.Routes)
-		served += h.servableRoutes()
+		servable += h.servableRoutes()
 	}
-	if routes > 0 && served == 0 {
+	if routes > 0 && servable == 0 {
 		return problems, fault.New(fault.SettingsInvalid, "none of %d routes can be served", routes)
 	}
 	return problems, nil
 }
 
-// applyDefaults puts the default in place of each limit that is not positive.
+// applyDefaults replaces each invalid limit by its default and returns an error for
+// each of them. A body limit of 0 is valid.
 func (l *Limits) applyDefaults() []error {
 	var problems []error
-	problem := func(name string) {
-		problems = append(problems, fault.New(fault.SettingsInvalid, "limit of %s is not positive, the default holds", name))
+	addProblem := func(name string) {
+		problems = append(problems, fault.New(fault.SettingsInvalid, "limit %s is not positive; using the default", name))
 	}
 	if l.HeaderBytes <= 0 {
 		l.HeaderBytes = DefaultLimits.HeaderBytes
-		problem("header bytes")
+		addProblem("header bytes")
 	}
 	if l.BodyBytes < 0 {
 		l.BodyBytes = DefaultLimits.BodyBytes
-		problem("body bytes")
+		addProblem("body bytes")
 	}
 	if l.HeaderTimeout <= 0 {
 		l.HeaderTimeout = DefaultLimits.HeaderTimeout
-		problem("the time for a header")
+		addProblem("header timeout")
 	}
 	if l.IdleTimeout <= 0 {
 		l.IdleTimeout = DefaultLimits.IdleTimeout
-		problem("the idle time")
+		addProblem("idle timeout")
 	}
 	return problems
 }
 
-// mergeHosts joins the routes of entries for the same host name.
+// mergeHosts merges entries for the same host name, ignoring case.
 func (c *Config) mergeHosts() {
 	var out []Host
-	at := map[string]int{}
+	index := map[string]int{}
 	for _, h := range c.Hosts {
 		name := strings.ToLower(h.Name)
-		if i, ok := at[name]; ok {
+		if i, ok := index[name]; ok {
 			out[i].Routes = slices.Concat(out[i].Routes, h.Routes)
 			continue
 		}
-		at[name] = len(out)
+		index[name] = len(out)
 		out = append(out, h)
 	}
 	c.Hosts = out
 }
 
+// validate sets Problem on each route of the host that cannot be served and returns all
+// problems of the host.
 func (h *Host) validate(services map[string]bool) []error {
 	var problems []error
 	prefixes := map[string]int{}
@@ -88,19 +92,20 @@
 			r.Problem = r.validate(services)
 		}
 		if r.Problem == nil && prefixes[r.Prefix] > 1 {
-			r.Problem = fault.New(fault.SettingsInvalid, "prefix stands %d times", prefixes[r.Prefix])
+			r.Problem = fault.New(fault.SettingsInvalid, "prefix occurs %d times", prefixes[r.Prefix])
 		}
 		if r.Problem != nil {
 			problems = append(problems, fault.Wrap(r.Problem, fault.SettingsInvalid, "host %q, route %q, prefix %q", h.Name, r.Name, r.Prefix))
 		}
 		if r.Kind == UnknownKind {
 			problems = append(problems, fault.New(fault.SettingsInvalid,
-				"host %q, route %q: kind %q is not known, requests run at most once", h.Name, r.Name, r.KindWord))
+				"host %q, route %q: kind %q is unknown; requests run at most once", h.Name, r.Name, r.KindWord))
 		}
 	}
 	return problems
 }
 
+// servableRoutes returns the number of routes without a problem.
 func (h *Host) servableRoutes() int {
 	n := 0
 	for i := range h.Routes {
@@ -111,12 +116,14 @@
 	return n
 }
 
+// validate returns the reason why the route cannot be served, or nil. services holds
+// the names of the services that exist.
 func (r *Route) validate(services map[string]bool) error {
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		return fault.New(fault.SettingsInvalid, "prefix must begin and end with a slash")
 	}
 	if r.Timeout <= 0 || r.Attempts <= 0 || r.Objective < 0 || r.Priority < 0 {
-		return fault.New(fault.SettingsInvalid, "timeout and attempts must be positive, objective and priority not negative")
+		return fault.New(fault.SettingsInvalid, "timeout and attempts must be positive; objective and priority must not be negative")
 	}
 	total := 0
 	for _, s := range r.Split {
@@ -129,7 +136,7 @@
 		total += s.Weight
 	}
 	if total <= 0 {
-		return fault.New(fault.SettingsInvalid, "no service has a weight")
+		return fault.New(fault.SettingsInvalid, "no service has a positive weight")
 	}
 	return nil
 }
