--- a/core/relay/retry.go
+++ b/core/relay/again.go
@@ -7,9 +7,8 @@
 )
 
 // allowRetry reports whether the request may be sent to another target after the
-// result r. A retry that reached a target takes one extra attempt from the retry
-// budget; an attempt that never sent a byte is replaced for free, up to
-// maxUnsentAttempts.
+// result r. The retry takes one extra attempt from the retry budget, unless r sent no
+// byte: up to maxUnsentAttempts of these are replaced without using the budget.
 func (x *exchange) allowRetry(r *result) bool {
 	if r.attempt.grant == nil || x.callerGone {
 		return false
--- a/core/relay/error_test.go
+++ b/core/relay/error_test.go
@@ -10,9 +10,9 @@
 	"wisteriarelay.example/core/fault"
 )
 
-// Load pattern: many callers are refused at the same moment. Guards against all of
-// them coming back at one moment too.
-func TestRefusedCallersComeBackSpread(t *testing.T) {
+// Guards against callers that are refused at the same moment and all retry at the same
+// moment.
+func TestRetryAfterHasJitter(t *testing.T) {
 	g := NewWithT(t)
 	waits := map[string]bool{}
 	for range 100 {
--- a/core/relay/exchange.go
+++ b/core/relay/exchange.go
@@ -27,7 +27,7 @@
 	configVersion route.Version
 	service       string
 	targetPool    *sched.Pool
-	retryBudget        *retry.WindowBudget
+	retryBudget   *retry.WindowBudget
 	id            string
 	header        http.Header
 	deadline      time.Time
--- a/core/relay/expire_test.go
+++ b/core/relay/expire_test.go
@@ -14,9 +14,9 @@
 	"wisteriarelay.example/core/sched"
 )
 
-// lateAttempt returns an exchange at its deadline with one attempt whose grant
-// has not been seen, as after a pause of the process.
-func lateAttempt(notRun bool) *exchange {
+// expiredExchange returns an exchange at its deadline whose only attempt has a result,
+// but whose grant was not received, as after a pause of the process.
+func expiredExchange(notRun bool) *exchange {
 	x := &exchange{
 		relay:      New("a", Headers{}),
 		request:    &caller.Request{Received: time.Now()},
@@ -34,10 +34,10 @@
 	return x
 }
 
-// Guards against an order that is said not to have run although it was sent just
-// before the process was paused.
-func TestNoPromiseForAnAttemptNotHeardOf(t *testing.T) {
+// Guards against a response that says that a request did not run although it was sent
+// just before the process was paused.
+func TestExpireWaitsForUnseenAttempts(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(lateAttempt(false).expire().Status).To(Equal(http.StatusGatewayTimeout))
-	g.Expect(lateAttempt(true).expire().Status).To(Equal(http.StatusServiceUnavailable))
+	g.Expect(expiredExchange(false).expire().Status).To(Equal(http.StatusGatewayTimeout))
+	g.Expect(expiredExchange(true).expire().Status).To(Equal(http.StatusServiceUnavailable))
 }
--- a/core/relay/large_test.go
+++ b/core/relay/large_test.go
@@ -29,26 +29,27 @@
 
 var names = relay.Headers{RequestID: "Id", Deadline: "Deadline", Receipt: "Receipt", ExpectInstance: "Expect-Instance", NotRun: "Not-Run"}
 
-// archive is the target of a service with large answers, reached over pipes.
-type archive struct {
-	// pause is the time between the head of an answer and its body.
+// largeTarget is a target with large responses, reached over in-memory pipes.
+type largeTarget struct {
+	// pause is the time between the header of a response and its body.
 	pause time.Duration
-	// broken answers break off after half of their bytes.
+	// broken is set if responses end after half of their bytes.
 	broken bool
-	// length is the length that is stated; 0 stands for that of the body.
+	// length is the declared Content-Length; 0 stands for the length of the body.
 	length int64
 
 	mu       sync.Mutex
 	requests int
 }
 
-func (a *archive) dial(context.Context, string, string) (net.Conn, error) {
-	near, far := net.Pipe()
-	go a.run(far)
-	return near, nil
+func (a *largeTarget) dial(context.Context, string, string) (net.Conn, error) {
+	client, server := net.Pipe()
+	go a.run(server)
+	return client, nil
 }
 
-func (a *archive) run(c net.Conn) {
+// run serves the requests of one connection.
+func (a *largeTarget) run(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -76,14 +77,15 @@
 	}
 }
 
-func (a *archive) seen() int {
+// requestCount returns the number of requests received.
+func (a *largeTarget) requestCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.requests
 }
 
-// relay returns a relay with two targets that are this archive.
-func (a *archive) relay(opts ...relay.Option) *relay.Relay {
+// newRelay returns a relay with two targets that are both served by a.
+func (a *largeTarget) newRelay(opts ...relay.Option) *relay.Relay {
 	r := relay.New("a", names, append([]relay.Option{relay.WithLinkOptions(link.WithDial(a.dial)), relay.WithBudget(relay.Budget{Span: 10 * time.Second, Ratio: 2})}, opts...)...)
 	c := &route.Config{
 		Version:  1,
@@ -101,15 +103,16 @@
 	return r
 }
 
-func pull(ctx context.Context, r *relay.Relay) *caller.Answer {
+// sendRequest sends a request through the relay and returns the response to the caller.
+func sendRequest(ctx context.Context, r *relay.Relay) *caller.Answer {
 	return r.Handle(ctx, &caller.Request{
 		Method: http.MethodGet, Target: "/1", Host: host, Received: time.Now(),
 		Header: http.Header{"Id": {"own"}},
 	})
 }
 
-// take reads an answer as its caller does and frees it.
-func take(g *WithT, a *caller.Answer) (int, error) {
+// readAll reads a response as its caller does, releases it and returns its length.
+func readAll(g *WithT, a *caller.Answer) (int, error) {
 	defer a.Done()
 	if a.Rest == nil {
 		return len(a.Body), nil
@@ -119,93 +122,92 @@
 	return len(a.Body) + len(rest), err
 }
 
-// Load pattern: more callers take large answers slowly than the daemon has memory
-// for. Guards against memory that grows with their number, and against answers that
-// are refused or cut instead.
-func TestAnswersPastTheMemoryArePassedOn(t *testing.T) {
+// Guards against memory that grows with the number of callers that read large responses
+// slowly, and against responses that are refused or truncated for lack of memory.
+func TestResponsesBeyondMemoryQuotaAreStreamed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		a := &archive{}
-		r := a.relay(relay.WithAnswerMemory(largeBytes + 1))
-		first, second := pull(t.Context(), r), pull(t.Context(), r)
+		a := &largeTarget{}
+		r := a.newRelay(relay.WithAnswerMemory(largeBytes + 1))
+		first, second := sendRequest(t.Context(), r), sendRequest(t.Context(), r)
 		g.Expect(first.Rest).To(BeNil())
 		g.Expect(second.Rest).NotTo(BeNil())
 		for _, answer := range []*caller.Answer{second, first} {
-			size, err := take(g, answer)
+			size, err := readAll(g, answer)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(size).To(Equal(largeBytes))
 		}
-		third := pull(t.Context(), r)
-		g.Expect(third.Rest).To(BeNil(), "the memory was freed")
-		_, _ = take(g, third)
+		third := sendRequest(t.Context(), r)
+		g.Expect(third.Rest).To(BeNil(), "the memory was released")
+		_, _ = readAll(g, third)
 		r.SetTargets(nil)
 	})
 }
 
-// Guards against an answer that breaks off on its way and looks complete, and
-// against memory that attempts without an answer keep.
-func TestBrokenLargeAnswers(t *testing.T) {
+// Guards against a truncated response that looks complete to its caller, and against
+// failed attempts that do not release their memory.
+func TestTruncatedLargeResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		a := &archive{broken: true}
-		r := a.relay(relay.WithAnswerMemory(largeBytes + 1))
-		g.Expect(pull(t.Context(), r).Status).To(Equal(http.StatusBadGateway))
-		g.Expect(a.seen()).To(Equal(2), "a held answer is replaced by that of another target")
+		a := &largeTarget{broken: true}
+		r := a.newRelay(relay.WithAnswerMemory(largeBytes + 1))
+		g.Expect(sendRequest(t.Context(), r).Status).To(Equal(http.StatusBadGateway))
+		g.Expect(a.requestCount()).To(Equal(2), "a buffered response is replaced by that of another target")
 		a.broken = false
-		whole := pull(t.Context(), r)
-		g.Expect(whole.Rest).To(BeNil(), "failed attempts keep no memory")
+		buffered := sendRequest(t.Context(), r)
+		g.Expect(buffered.Rest).To(BeNil(), "failed attempts keep no memory")
 		a.broken = true
-		part := pull(t.Context(), r)
-		g.Expect(part.Rest).NotTo(BeNil())
-		_, err := take(g, part)
+		streamed := sendRequest(t.Context(), r)
+		g.Expect(streamed.Rest).NotTo(BeNil())
+		_, err := readAll(g, streamed)
 		g.Expect(err).To(HaveOccurred())
-		_, _ = take(g, whole)
+		_, _ = readAll(g, buffered)
 		r.SetTargets(nil)
 	})
 }
 
-// Load pattern: large answers take long on the link. Guards against a long transfer
-// that counts as a slow target and is begun a second time.
+// Guards against the long transfer of a large response that counts as a slow target, so
+// that the request is hedged.
 func TestLongTransferIsNotHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		a := &archive{pause: 3 * time.Second}
-		r := a.relay()
-		answer := pull(t.Context(), r)
+		a := &largeTarget{pause: 3 * time.Second}
+		r := a.newRelay()
+		answer := sendRequest(t.Context(), r)
 		g.Expect(answer.Status).To(Equal(http.StatusOK))
-		g.Expect(a.seen()).To(Equal(1))
+		g.Expect(a.requestCount()).To(Equal(1))
 		g.Expect(r.Pool("archive").ServiceTime()).To(BeNumerically("<", time.Second))
-		_, _ = take(g, answer)
+		_, _ = readAll(g, answer)
 		r.SetTargets(nil)
 	})
 }
 
-// Guards against a target that announces more than any answer holds.
-func TestAnswerWithoutEndIsRefused(t *testing.T) {
+// Guards against a target that declares a larger body than the response limit.
+func TestOversizedResponseIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		a := &archive{length: 1 << 40}
-		r := a.relay()
-		g.Expect(pull(t.Context(), r).Status).To(Equal(http.StatusBadGateway))
+		a := &largeTarget{length: 1 << 40}
+		r := a.newRelay()
+		g.Expect(sendRequest(t.Context(), r).Status).To(Equal(http.StatusBadGateway))
 		r.SetTargets(nil)
 	})
 }
 
-// Guards against attempts that begin, or go on, after the caller has left while a
-// large answer is on its way.
-func TestLeavingCallerEndsTheTransfer(t *testing.T) {
+// Guards against attempts that start or go on after the caller disconnected during the
+// transfer of a large response.
+func TestTransferIsCancelledWhenCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		a := &archive{pause: 2 * time.Second}
-		r := a.relay()
+		a := &largeTarget{pause: 2 * time.Second}
+		r := a.newRelay()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		begin := time.Now()
-		answer := pull(ctx, r)
+		answer := sendRequest(ctx, r)
 		g.Expect(time.Since(begin)).To(Equal(time.Second))
 		g.Expect(answer.Status).NotTo(Equal(http.StatusOK))
 		time.Sleep(3 * time.Second)
-		g.Expect(a.seen()).To(Equal(1))
+		g.Expect(a.requestCount()).To(Equal(1))
 		g.Expect(r.Pool("archive").State()[0].Own + r.Pool("archive").State()[1].Own).To(BeZero())
 		r.SetTargets(nil)
 	})
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -32,8 +32,8 @@
 
 // serviceState holds the target pool and the retry budget window of one service.
 type serviceState struct {
-	targetPool *sched.Pool
-	retryBudget     *retry.WindowBudget
+	targetPool  *sched.Pool
+	retryBudget *retry.WindowBudget
 }
 
 // Relay forwards the requests that callers send to one daemon.
@@ -201,8 +201,8 @@
 		return s
 	}
 	s := &serviceState{
-		targetPool: sched.NewPool(name, r.dataCentre, sched.WithEmit(r.emit)),
-		retryBudget:     retry.NewWindowBudget(r.budget.Span, r.budget.Ratio, r.budget.Slack, time.Now()),
+		targetPool:  sched.NewPool(name, r.dataCentre, sched.WithEmit(r.emit)),
+		retryBudget: retry.NewWindowBudget(r.budget.Span, r.budget.Ratio, r.budget.Slack, time.Now()),
 	}
 	services := make(map[string]*serviceState, len(old)+1)
 	for n, o := range old {
@@ -251,7 +251,7 @@
 		configVersion: table.Version,
 		service:       name,
 		targetPool:    s.targetPool,
-		retryBudget:        s.retryBudget,
+		retryBudget:   s.retryBudget,
 		id:            req.Header.Get(r.headers.RequestID),
 		header:        withoutHopByHop(req.Header),
 		deadline:      req.Received.Add(timeout),
--- a/core/retry/bench_test.go
+++ b/core/retry/bench_test.go
@@ -13,32 +13,32 @@
 
 const requests = 60_000
 
-// BenchmarkAmplification reports the attempts for each request at 100 requests/s
-// when a part of the attempts fails.
+// BenchmarkAmplification reports the number of attempts for each request at 100
+// requests/s when a fraction of the attempts fails.
 func BenchmarkAmplification(b *testing.B) {
 	for _, failing := range []float64{0.1, 0.5, 1} {
 		b.Run(fmt.Sprintf("failing=%v", failing), func(b *testing.B) {
 			route := &fleet.Route{Idempotent: true, Attempts: 5}
 			rng := rand.New(rand.NewPCG(1, 5))
 			budget, now := retry.NewBudget(0.1, start), start
-			sent, good := 0, 0
+			sent, succeeded := 0, 0
 			for range requests {
 				now = now.Add(10 * time.Millisecond)
 				budget.Request()
-				again := true
-				for n := 1; again; n++ {
+				retrying := true
+				for n := 1; retrying; n++ {
 					sent++
 					e := retry.OK
 					if rng.Float64() < failing {
 						e = retry.NoResponse
 					} else {
-						good++
+						succeeded++
 					}
-					again = retry.Decide(route, retry.Attempt{Number: n, Ending: e}, budget, now).Retry
+					retrying = retry.Decide(route, retry.Attempt{Number: n, Ending: e}, budget, now).Retry
 				}
 			}
 			b.ReportMetric(float64(sent)/requests, "attempts/request")
-			b.ReportMetric(100*float64(good)/requests, "%good")
+			b.ReportMetric(100*float64(succeeded)/requests, "%good")
 		})
 	}
 }
@@ -49,30 +49,30 @@
 		b.Run(fmt.Sprint("after=", after), func(b *testing.B) {
 			route := &fleet.Route{Idempotent: true, HedgeAfter: after}
 			rng := rand.New(rand.NewPCG(1, 6))
-			service := func(slowOf int) time.Duration {
+			serviceTime := func(targets int) time.Duration {
 				mean := 40 * time.Millisecond
-				if rng.IntN(slowOf) == 0 {
+				if rng.IntN(targets) == 0 {
 					mean *= 10
 				}
 				return time.Duration(rng.ExpFloat64() * float64(mean))
 			}
 			budget, now := retry.NewBudget(0.1, start), start
-			var took []time.Duration
+			var latencies []time.Duration
 			copies := 0
 			for range requests {
 				now = now.Add(10 * time.Millisecond)
 				budget.Request()
-				first, second := service(10), service(10)
+				first, second := serviceTime(10), serviceTime(10)
 				pending := retry.Pending{Started: now, Copies: 1}
 				if first > after && retry.DecideHedge(route, pending, budget, now.Add(after)).Send {
 					copies++
 					first = min(first, after+second)
 				}
-				took = append(took, first)
+				latencies = append(latencies, first)
 			}
-			slices.Sort(took)
+			slices.Sort(latencies)
 			for _, q := range []int{50, 95, 99} {
-				b.ReportMetric(float64(took[requests*q/100].Milliseconds()), fmt.Sprintf("p%d-ms", q))
+				b.ReportMetric(float64(latencies[requests*q/100].Milliseconds()), fmt.Sprintf("p%d-ms", q))
 			}
 			b.ReportMetric(100*float64(copies)/requests, "%copies")
 		})
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -24,8 +24,8 @@
 	plain  = &fleet.Route{Kind: fleet.Order, Attempts: 1}
 )
 
-// ample returns a budget with many retries in hand.
-func ample() *retry.Budget {
+// fullBudget returns a budget with as many retries as it can hold.
+func fullBudget() *retry.Budget {
 	b := retry.NewBudget(1, start)
 	for range 100 {
 		b.Request()
@@ -34,14 +34,14 @@
 }
 
 var _ = Describe("Decide", func() {
-	DescribeTable("states the outcome of each ending and repeats only what is safe",
-		func(e retry.Ending, outcome fault.Outcome, again, orderAgain bool) {
-			d := retry.Decide(lookup, retry.Attempt{Number: 1, Ending: e}, ample(), start)
+	DescribeTable("states the outcome of each ending and retries only what is safe",
+		func(e retry.Ending, outcome fault.Outcome, retried, orderRetried bool) {
+			d := retry.Decide(lookup, retry.Attempt{Number: 1, Ending: e}, fullBudget(), start)
 			Expect(d.Outcome).To(Equal(outcome))
-			Expect(d.Retry).To(Equal(again), "lookup")
-			d = retry.Decide(order, retry.Attempt{Number: 1, Ending: e}, ample(), start)
+			Expect(d.Retry).To(Equal(retried), "lookup")
+			d = retry.Decide(order, retry.Attempt{Number: 1, Ending: e}, fullBudget(), start)
 			Expect(d.Outcome).To(Equal(outcome))
-			Expect(d.Retry).To(Equal(orderAgain), "order")
+			Expect(d.Retry).To(Equal(orderRetried), "order")
 		},
 		Entry(nil, retry.OK, fault.Run, false, false),
 		Entry(nil, retry.NotDialled, fault.NotRun, true, true),
@@ -58,7 +58,7 @@
 		Entry("an unlisted ending", retry.Ending(200), fault.Unknown, true, false),
 	)
 
-	It("has a row with the outcome of its kind for each ending but those that know more", func() {
+	It("gives each ending except OK the outcome of its error kind", func() {
 		for _, e := range retry.Endings() {
 			Expect(e.String()).NotTo(BeEmpty())
 			if e != retry.OK {
@@ -67,46 +67,46 @@
 		}
 	})
 
-	It("believes a refusal only on a route with a refusal rule", func() {
-		d := retry.Decide(plain, retry.Attempt{Number: 1, Ending: retry.RefusedBeforeStart}, ample(), start)
+	It("treats a refusal as not run only on a route with a refusal rule", func() {
+		d := retry.Decide(plain, retry.Attempt{Number: 1, Ending: retry.RefusedBeforeStart}, fullBudget(), start)
 		Expect(d.Retry).To(BeFalse())
 		Expect(d.Outcome).To(Equal(fault.Unknown))
 	})
 
-	DescribeTable("stops",
-		func(route *fleet.Route, a retry.Attempt, why retry.Reason, outcome fault.Outcome) {
-			b := ample()
+	DescribeTable("does not retry",
+		func(route *fleet.Route, a retry.Attempt, reason retry.Reason, outcome fault.Outcome) {
+			b := fullBudget()
 			before := b.Stats()
 			d := retry.Decide(route, a, b, start)
-			Expect(d.Reason).To(Equal(why))
+			Expect(d.Reason).To(Equal(reason))
 			Expect(d.Outcome).To(Equal(outcome))
-			Expect(b.Stats().Tokens).To(Equal(before.Tokens), "a retry was taken without being allowed")
+			Expect(b.Stats().Tokens).To(Equal(before.Tokens), "a retry was taken although the decision is not to retry")
 		},
 		Entry("after the last attempt", lookup, retry.Attempt{Number: 2, Ending: retry.DialRefused}, retry.NoAttemptLeft, fault.NotRun),
 		Entry("after two refusals of an order", order, retry.Attempt{Number: 2, Ending: retry.DialRefused, Earlier: fault.NotRun}, retry.NoAttemptLeft, fault.NotRun),
-		Entry("with an order that may have run earlier", order, retry.Attempt{Number: 1, Ending: retry.DialRefused, Earlier: fault.Unknown}, retry.NotIdempotent, fault.Unknown),
-		Entry("when the deadline leaves less than a service time", lookup, retry.Attempt{Number: 1, Ending: retry.TimedOut, Deadline: start.Add(time.Second), Expected: time.Second}, retry.NoTimeLeft, fault.Unknown),
-		Entry("once response bytes were passed on", lookup, retry.Attempt{Number: 1, Ending: retry.Truncated, ResponseStarted: true}, retry.NotRepeatable, fault.Unknown),
+		Entry("an order that an earlier attempt may have run", order, retry.Attempt{Number: 1, Ending: retry.DialRefused, Earlier: fault.Unknown}, retry.NotIdempotent, fault.Unknown),
+		Entry("when the time left is not longer than the service time", lookup, retry.Attempt{Number: 1, Ending: retry.TimedOut, Deadline: start.Add(time.Second), Expected: time.Second}, retry.NoTimeLeft, fault.Unknown),
+		Entry("once response bytes were sent to the caller", lookup, retry.Attempt{Number: 1, Ending: retry.Truncated, ResponseStarted: true}, retry.NotRepeatable, fault.Unknown),
 		Entry("and keeps an earlier unknown outcome", lookup, retry.Attempt{Number: 2, Ending: retry.DialRefused, Earlier: fault.Unknown}, retry.NoAttemptLeft, fault.Unknown),
 	)
 })
 
 var _ = Describe("Budget", func() {
-	// A fleet in which every target fails must not receive much more than the
-	// callers' own requests.
+	// If every target fails, the targets must not receive many more requests than the
+	// callers send.
 	It("bounds amplification when all targets fail", func() {
 		const requests, ratio, constant = 10_000, 0.1, 5
-		eager := &fleet.Route{Idempotent: true, Attempts: 5, HedgeAfter: time.Millisecond}
+		route := &fleet.Route{Idempotent: true, Attempts: 5, HedgeAfter: time.Millisecond}
 		b := retry.NewBudget(ratio, start)
 		now, sent := start, 0
 		for range requests {
 			now = now.Add(time.Millisecond)
 			b.Request()
 			sent++
-			if retry.DecideHedge(eager, retry.Pending{Started: now.Add(-time.Second), Copies: 1}, b, now).Send {
+			if retry.DecideHedge(route, retry.Pending{Started: now.Add(-time.Second), Copies: 1}, b, now).Send {
 				sent++
 			}
-			for n := 1; retry.Decide(eager, retry.Attempt{Number: n, Ending: retry.FailedStatus}, b, now).Retry; n++ {
+			for n := 1; retry.Decide(route, retry.Attempt{Number: n, Ending: retry.FailedStatus}, b, now).Retry; n++ {
 				sent++
 			}
 		}
@@ -115,9 +115,9 @@
 		Expect(float64(sent)).To(BeNumerically(">=", requests*(1+ratio)), "the budget is not used in full")
 	})
 
-	It("lets a quiet service retry five times a second and saves a bounded number", func() {
+	It("allows five retries a second without traffic and accumulates at most 32", func() {
 		b := retry.NewBudget(0, start)
-		spend(b, start)
+		takeAll(b, start)
 		Expect(b.Take(start.Add(199 * time.Millisecond))).To(BeFalse())
 		Expect(b.Take(start.Add(200 * time.Millisecond))).To(BeTrue())
 		Expect(b.Take(start.Add(200 * time.Millisecond))).To(BeFalse())
@@ -128,9 +128,9 @@
 		Expect(n).To(Equal(32))
 	})
 
-	It("takes back a retry that was not sent", func() {
+	It("accepts the return of a retry that was not sent", func() {
 		b := retry.NewBudget(0, start)
-		spend(b, start)
+		takeAll(b, start)
 		b.Return()
 		Expect(b.Take(start)).To(BeTrue())
 		Expect(b.Stats()).To(Equal(retry.BudgetStats{Spent: 5, Denied: 1}))
@@ -139,32 +139,32 @@
 
 var _ = Describe("DecideHedge", func() {
 	hedged := &fleet.Route{Idempotent: true, HedgeAfter: 20 * time.Millisecond}
-	sent := retry.Pending{Started: start, Copies: 1}
+	pending := retry.Pending{Started: start, Copies: 1}
 
 	It("waits for the delay, then sends one copy", func() {
-		b := ample()
-		Expect(retry.DecideHedge(hedged, sent, b, start)).To(Equal(retry.Hedge{Wait: 20 * time.Millisecond}))
-		Expect(retry.DecideHedge(hedged, sent, b, start.Add(20*time.Millisecond))).To(Equal(retry.Hedge{Send: true}))
+		b := fullBudget()
+		Expect(retry.DecideHedge(hedged, pending, b, start)).To(Equal(retry.Hedge{Wait: 20 * time.Millisecond}))
+		Expect(retry.DecideHedge(hedged, pending, b, start.Add(20*time.Millisecond))).To(Equal(retry.Hedge{Send: true}))
 		Expect(retry.DecideHedge(hedged, retry.Pending{Started: start, Copies: 2}, b, start.Add(time.Second))).To(BeZero())
 	})
 
-	It("never copies a request that is not idempotent, is not to be hedged or cannot be in time", func() {
+	It("sends no copy of a request that is not idempotent, has no hedge delay or has too little time left", func() {
 		late := start.Add(time.Second)
-		Expect(retry.DecideHedge(&fleet.Route{HedgeAfter: 1}, sent, ample(), late)).To(BeZero())
-		Expect(retry.DecideHedge(lookup, sent, ample(), late)).To(BeZero())
+		Expect(retry.DecideHedge(&fleet.Route{HedgeAfter: 1}, pending, fullBudget(), late)).To(BeZero())
+		Expect(retry.DecideHedge(lookup, pending, fullBudget(), late)).To(BeZero())
 		short := retry.Pending{Started: start, Copies: 1, Deadline: start.Add(30 * time.Millisecond), Expected: 10 * time.Millisecond}
-		Expect(retry.DecideHedge(hedged, short, ample(), start)).To(BeZero())
+		Expect(retry.DecideHedge(hedged, short, fullBudget(), start)).To(BeZero())
 	})
 
 	It("sends no copy without budget", func() {
 		b := retry.NewBudget(0, start)
-		spend(b, start)
-		Expect(retry.DecideHedge(hedged, sent, b, start.Add(30*time.Millisecond))).To(BeZero())
+		takeAll(b, start)
+		Expect(retry.DecideHedge(hedged, pending, b, start.Add(30*time.Millisecond))).To(BeZero())
 	})
 })
 
-// spend uses up the retries with which a budget starts.
-func spend(b *retry.Budget, now time.Time) {
+// takeAll takes all retries that a budget starts with.
+func takeAll(b *retry.Budget, now time.Time) {
 	for range 5 {
 		ExpectWithOffset(1, b.Take(now)).To(BeTrue())
 	}
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -9,8 +9,8 @@
 	"wisteriarelay.example/core/retry"
 )
 
-// Load pattern: every request fails, at six daemons that share the slack. Guards
-// against extra sends of the fleet beyond its budget in any sliding window.
+// Guards against a fleet that exceeds its retry budget in any sliding window while
+// every request fails at six daemons that share the slack.
 func TestFleetStaysWithinBudget(t *testing.T) {
 	g := NewWithT(t)
 	const (
@@ -47,8 +47,9 @@
 	g.Expect(len(extras)).To(BeNumerically(">", 800))
 }
 
-// Guards against extra sends by daemons that no longer carry the service.
-func TestNoShareNoSlack(t *testing.T) {
+// Guards against a daemon that uses the fleet's slack although it has no part of it,
+// because it does not carry the service.
+func TestNoPartNoSlack(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	w := retry.NewWindowBudget(10*time.Second, 0.2, 56, now)
@@ -56,9 +57,9 @@
 	g.Expect(w.Take(now)).To(BeFalse())
 }
 
-// Load pattern: from one moment on every request fails, while the daemons are
-// restarted one after the other. Guards against a budget that each restart renews: the predecessors' extra
-// sends count in the same window (1403 were sent where 1373 were allowed).
+// Guards against a retry budget that is renewed by each restart, in a rolling restart
+// while every request fails: the extra attempts before the restart count in the same
+// window. 1403 were made where 1373 were allowed.
 func TestRestartsDoNotRenewTheSlack(t *testing.T) {
 	g := NewWithT(t)
 	const (
@@ -77,7 +78,7 @@
 		windows[i] = retry.NewWindowBudget(span, ratio, slack, now.Add(-span))
 		started[i] = now.Add(-span)
 	}
-	var sent, extra []int
+	var requests, extras []int
 	restarts := 0
 	for step := 0; now.Sub(begin) < 2*span; step++ {
 		now = now.Add(interval)
@@ -93,15 +94,15 @@
 		}
 		windows[i].SetPart(retry.PartOf(daemons, start))
 		windows[i].CountRequest(now)
-		sent = append(sent, 1)
-		extra = append(extra, 0)
+		requests = append(requests, 1)
+		extras = append(extras, 0)
 		if now.Sub(begin) > span/2 && windows[i].Take(now) {
-			extra[step] = 1
+			extras[step] = 1
 		}
 		first := max(0, step+1-int(span/interval))
-		bound := ratio*float64(len(sent[first:])) + slack
+		bound := ratio*float64(len(requests[first:])) + slack
 		used := 0
-		for _, n := range extra[first:] {
+		for _, n := range extras[first:] {
 			used += n
 		}
 		if step%100 == 0 && step > int(span/interval) {
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// Guards against a request that goes to the service of a shorter prefix, or
-// whose path is cleaned before it is compared.
+// Guards against a request that is routed by a shorter prefix than the longest one, or
+// whose path is normalized before matching.
 func TestLongestPrefixWins(t *testing.T) {
 	g := NewWithT(t)
 	table := route.Compile(config())
@@ -32,21 +32,21 @@
 	g.Expect(table.Match("other.example", "/x/")).To(BeNil())
 }
 
-// Guards against a split that does not follow the weights.
+// Guards against a traffic split whose shares differ from the weights.
 func TestSplitFollowsWeights(t *testing.T) {
 	g := NewWithT(t)
 	r := route.Route{Split: []route.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	count := map[string]int{}
-	for draw := range uint64(1000) {
-		count[r.PickService(draw)]++
+	for random := range uint64(1000) {
+		count[r.PickService(random)]++
 	}
 	g.Expect(count).To(Equal(map[string]int{"a": 900, "b": 100}))
 }
 
-// Guards against a configuration without order or without one usable route
-// replacing one that works.
-func TestUnusableConfigurationsAreRefused(t *testing.T) {
-	broken := map[string]func(*route.Config){
+// Guards against a working configuration that is replaced by one without a valid
+// version or without any usable route.
+func TestUnusableConfigurationsAreRejected(t *testing.T) {
+	changes := map[string]func(*route.Config){
 		"version": func(c *route.Config) { c.Version = 0 },
 		"no route left": func(c *route.Config) {
 			for i := range c.Hosts[0].Routes {
@@ -54,7 +54,7 @@
 			}
 		},
 	}
-	for name, change := range broken {
+	for name, change := range changes {
 		t.Run(name, func(t *testing.T) {
 			c := config()
 			change(c)
@@ -64,10 +64,10 @@
 	}
 }
 
-// Guards against one route that cannot be served taking the whole fleet down, and
-// against such a route being served in part.
-func TestBrokenRouteCostsOnlyItself(t *testing.T) {
-	broken := map[string]func(*route.Config){
+// Guards against a route that cannot be served and makes the other routes fail too, and
+// against requests that are served by such a route.
+func TestInvalidRouteDoesNotAffectOthers(t *testing.T) {
+	changes := map[string]func(*route.Config){
 		"unknown service": func(c *route.Config) { c.Hosts[0].Routes[0].Split[0].Service = "none" },
 		"prefix":          func(c *route.Config) { c.Hosts[0].Routes[0].Prefix = "/x" },
 		"same prefix":     func(c *route.Config) { c.Hosts[0].Routes = append(c.Hosts[0].Routes, c.Hosts[0].Routes[0]) },
@@ -82,7 +82,7 @@
 	g := NewWithT(t)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(problems).To(BeEmpty())
-	for name, change := range broken {
+	for name, change := range changes {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			c := config()
@@ -97,8 +97,8 @@
 	}
 }
 
-// Guards against limits that are not positive and would refuse every caller.
-func TestMissingLimitsHaveDefaults(t *testing.T) {
+// Guards against invalid limits, with which every request would be refused.
+func TestInvalidLimitsGetDefaults(t *testing.T) {
 	g := NewWithT(t)
 	c := config()
 	c.Limits = route.Limits{BodyBytes: -1}
@@ -108,7 +108,7 @@
 	g.Expect(c.Limits).To(Equal(route.DefaultLimits))
 }
 
-// Guards against a kind of a later version that is served as if it could run twice.
+// Guards against a route kind of a later version whose requests run more than once.
 func TestUnknownKindRunsAtMostOnce(t *testing.T) {
 	g := NewWithT(t)
 	c := config()
