--- a/core/relay/large_test.go
+++ b/core/relay/large_test.go
@@ -27,7 +27,7 @@
 	host       = "shop.example"
 )
 
-var names = relay.Headers{RequestID: "Id", Deadline: "Deadline", Receipt: "Receipt", ExpectInstance: "Expect-Instance", NotRun: "Not-Run"}
+var headerNames = relay.Headers{RequestID: "Id", Deadline: "Deadline", Receipt: "Receipt", ExpectInstance: "Expect-Instance", NotRun: "Not-Run"}
 
 // largeTarget is a target with large responses, reached over in-memory pipes.
 type largeTarget struct {
@@ -86,7 +86,7 @@
 
 // newRelay returns a relay with two targets that are both served by a.
 func (a *largeTarget) newRelay(opts ...relay.Option) *relay.Relay {
-	r := relay.New("a", names, append([]relay.Option{relay.WithLinkOptions(link.WithDial(a.dial)), relay.WithBudget(relay.Budget{Span: 10 * time.Second, Ratio: 2})}, opts...)...)
+	r := relay.New("a", headerNames, append([]relay.Option{relay.WithLinkOptions(link.WithDial(a.dial)), relay.WithBudget(relay.Budget{Span: 10 * time.Second, Ratio: 2})}, opts...)...)
 	c := &route.Config{
 		Version:  1,
 		Services: []route.Service{{Name: "archive"}},
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -48,8 +48,8 @@
 }
 
 // Guards against a daemon that uses the fleet's slack although it has no part of it,
-// because it does not carry the service.
-func TestNoPartNoSlack(t *testing.T) {
+// because it is not a carrier of the service.
+func TestNoSlackForNonCarriers(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	w := retry.NewWindowBudget(10*time.Second, 0.2, 56, now)
