--- a/core/relay/again.go
+++ b/core/relay/again.go
@@ -6,80 +6,89 @@
 	"wisteriarelay.example/core/judge"
 )
 
-// mayRetry decides whether the request goes to another target.
-func (x *exchange) mayRetry(r *result) bool {
-	if r.attempt.grant == nil || x.left {
+// allowRetry reports whether the request may be sent to another target after the
+// result r. The retry takes one extra attempt from the retry budget, unless r sent no
+// byte: up to maxUnsentAttempts of these are replaced without using the budget.
+func (x *exchange) allowRetry(r *result) bool {
+	if r.attempt.grant == nil || x.callerGone {
 		return false
 	}
 	if !x.route.Idempotent() && x.mayHaveRun {
 		return false
 	}
 	if r.unsent {
-		x.unsent++
-		return x.unsent <= maxUnsent && x.timeForAnother()
+		x.attemptsUnsent++
+		return x.attemptsUnsent <= maxUnsentAttempts && x.timeForAttempt()
 	}
-	return x.mayStart()
+	return x.takeExtraAttempt()
 }
 
-// maxUnsent bounds the targets that are tried for one request without reaching them.
-const maxUnsent = 3
+// maxUnsentAttempts is the maximum number of attempts for one request that may be
+// replaced because no byte of them was sent.
+const maxUnsentAttempts = 3
 
-// timeForAnother reports whether another target could answer until the deadline.
-func (x *exchange) timeForAnother() bool {
-	return time.Until(x.deadline) >= x.pool.ServiceTime()/2
+// timeForAttempt reports whether another target is likely to respond before the
+// deadline: at least half of the mean service time must be left.
+func (x *exchange) timeForAttempt() bool {
+	return time.Until(x.deadline) >= x.targetPool.ServiceTime()/2
 }
 
-// mayStart reports whether the route, the time left and the budget allow one more attempt.
-func (x *exchange) mayStart() bool {
-	if x.started-x.unsent >= x.route.Attempts || !x.timeForAnother() {
+// takeExtraAttempt reports whether the route, the time left and the retry budget
+// allow one more attempt, and takes it from the budget if so.
+func (x *exchange) takeExtraAttempt() bool {
+	if x.attemptsStarted-x.attemptsUnsent >= x.route.Attempts || !x.timeForAttempt() {
 		return false
 	}
-	return x.window.Take(time.Now())
+	return x.retryBudget.Take(time.Now())
 }
 
 // overdueFactor is the multiple of the mean service time after which a request
-// is overdue; fewer than one in fifty takes longer at a target that is well.
+// counts as overdue. At a healthy target fewer than one request in fifty takes longer.
 const overdueFactor = 3
 
-// impatient tells the targets' pool that the attempts that run are slow, and then
-// that they are overdue. It returns the time until it is to be called again, or 0.
-func (x *exchange) impatient() time.Duration {
-	if len(x.sent) == 0 {
+// reportSlow reports the attempts in flight to the target pool: as slow on the first
+// call after an attempt acquired a target, and as overdue on the second. It sends a
+// hedged attempt if a target is now expected to fail, or if the attempts are overdue
+// and no response has started. It returns the delay until the next call, or 0.
+func (x *exchange) reportSlow() time.Duration {
+	if len(x.inFlight) == 0 {
 		return 0
 	}
-	result := judge.Slow
-	if x.slow {
-		result = judge.Overdue
+	observation := judge.Slow
+	if x.slowReported {
+		observation = judge.Overdue
 	}
-	lost := x.slow && !x.answering()
-	for t := range x.sent {
-		if t.headAt.Load() == 0 {
-			lost = t.grant.Report(result) || lost
+	needsHedge := x.slowReported && !x.receivingResponse()
+	for t := range x.inFlight {
+		if t.headDelay.Load() == 0 {
+			needsHedge = t.grant.Report(observation) || needsHedge
 		}
 	}
-	if lost {
+	if needsHedge {
 		x.hedge()
 	}
-	if x.slow {
+	if x.slowReported {
 		return 0
 	}
-	x.slow = true
-	return max(overdueFactor*x.pool.ServiceTime()-x.pool.SlowAfter(), time.Millisecond)
+	x.slowReported = true
+	return max(overdueFactor*x.targetPool.ServiceTime()-x.targetPool.SlowAfter(), time.Millisecond)
 }
 
-// answering reports whether the response of an attempt is being read.
-func (x *exchange) answering() bool {
-	for t := range x.sent {
-		if t.headAt.Load() > 0 {
+// receivingResponse reports whether the response header of an attempt in flight has
+// arrived, so that its body is being read.
+func (x *exchange) receivingResponse() bool {
+	for t := range x.inFlight {
+		if t.headDelay.Load() > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// hedge sends an idempotent request to a second target as well.
+// hedge starts an additional attempt of an idempotent request at another target if
+// every running attempt already has a target and the retry budget allows it.
 func (x *exchange) hedge() {
-	if x.route.Idempotent() && len(x.sent) > 0 && len(x.running) == len(x.sent) && x.mayStart() {
+	if x.route.Idempotent() && len(x.inFlight) > 0 && len(x.running) == len(x.inFlight) && x.takeExtraAttempt() {
 		x.start()
 	}
 }
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -6,27 +6,31 @@
 )
 
 const (
-	// tokenUnit is one retry; tokens are counted in 1/1000.
-	tokenUnit = 1000
-	// perSecond lets a service with little traffic retry: a judgement on a sick
-	// target takes 4 to 10 requests, and with one retry a second the callers of a
-	// quiet service saw its failures although another target was healthy. At 97
-	// requests/s it adds 5% to the load of a service that fails as a whole.
-	perSecond = 5
-	// burst is the most retries saved up. A few seconds of failures at one of about
-	// 27 targets fit in it; a failure of all targets does not.
+	// tokenScale is the cost of one retry; tokens are counted in units of 1/1000 of a
+	// retry.
+	tokenScale = 1000
+	// retriesPerSecond is the number of retries allowed regardless of traffic, so that
+	// a service with little traffic can retry. Detecting a failing target takes 4 to
+	// 10 requests; with one retry a second, callers of a service with little traffic
+	// saw failures although another target was healthy. At 97 requests/s it adds 5%
+	// to the load of a service whose targets all fail.
+	retriesPerSecond = 5
+	// burst is the maximum number of retries that accumulate. It covers a few seconds
+	// of failures at one of about 27 targets, but not a failure of all targets.
 	burst = 32
 )
 
-// Budget bounds the retries and hedges of one service at one daemon to a ratio of
-// its requests plus a few a second. It is safe for concurrent use.
+// Budget is a token bucket that limits the retries and hedged requests of one service
+// at one daemon to a ratio of its requests plus retriesPerSecond. It is safe for
+// concurrent use.
 type Budget struct {
 	ratio  atomic.Int64
 	tokens atomic.Int64
-	filled atomic.Int64
-	born   time.Time
-	spent  atomic.Uint64
-	denied atomic.Uint64
+	// lastRefill is the time of the last refill, in nanoseconds since createdAt.
+	lastRefill atomic.Int64
+	createdAt  time.Time
+	spent      atomic.Uint64
+	denied     atomic.Uint64
 }
 
 // BudgetStats are the counters of a Budget for the state dump.
@@ -36,73 +40,75 @@
 	Denied uint64  `json:"denied"`
 }
 
-// NewBudget returns a budget of ratio retries for each request, with a second's retries in hand.
+// NewBudget returns a budget of ratio retries for each request. It starts with the
+// retries of one second.
 func NewBudget(ratio float64, now time.Time) *Budget {
-	b := &Budget{born: now}
+	b := &Budget{createdAt: now}
 	b.SetRatio(ratio)
-	b.tokens.Store(perSecond * tokenUnit)
+	b.tokens.Store(retriesPerSecond * tokenScale)
 	return b
 }
 
-// SetRatio changes the number of retries allowed for each request.
+// SetRatio sets the number of retries allowed for each request.
 func (b *Budget) SetRatio(ratio float64) {
-	b.ratio.Store(int64(max(ratio, 0) * tokenUnit))
+	b.ratio.Store(int64(max(ratio, 0) * tokenScale))
 }
 
-// Request counts one request of a caller. Retries and hedges are not counted, so
-// that they earn no further retries.
+// Request counts one request of a caller. Retries and hedged requests are not
+// counted, so that they do not add to the budget.
 func (b *Budget) Request() {
 	b.add(b.ratio.Load())
 }
 
-// Take uses one retry and reports whether there was one left.
+// Take takes one retry from the budget and reports whether one was available.
 func (b *Budget) Take(now time.Time) bool {
-	b.fill(now)
+	b.refill(now)
 	for {
 		n := b.tokens.Load()
-		if n < tokenUnit {
+		if n < tokenScale {
 			b.denied.Add(1)
 			return false
 		}
-		if b.tokens.CompareAndSwap(n, n-tokenUnit) {
+		if b.tokens.CompareAndSwap(n, n-tokenScale) {
 			b.spent.Add(1)
 			return true
 		}
 	}
 }
 
-// Return gives back a retry that was taken but not sent, for example because no
-// other target had a free slot.
+// Return returns a retry that was taken but not sent, for example because no other
+// target had a free slot.
 func (b *Budget) Return() {
-	b.add(tokenUnit)
+	b.add(tokenScale)
 	b.spent.Add(^uint64(0))
 }
 
-// Stats returns the counters at one moment.
+// Stats returns the current counters.
 func (b *Budget) Stats() BudgetStats {
 	return BudgetStats{
-		Tokens: float64(b.tokens.Load()) / tokenUnit,
+		Tokens: float64(b.tokens.Load()) / tokenScale,
 		Spent:  b.spent.Load(),
 		Denied: b.denied.Load(),
 	}
 }
 
-// fill adds what the time since the last fill earns.
-func (b *Budget) fill(now time.Time) {
-	at := int64(now.Sub(b.born))
-	last := b.filled.Load()
-	earned := (at - last) * perSecond * tokenUnit / int64(time.Second)
-	if earned <= 0 || !b.filled.CompareAndSwap(last, at) {
+// refill adds the tokens for the time since the last refill.
+func (b *Budget) refill(now time.Time) {
+	elapsed := int64(now.Sub(b.createdAt))
+	last := b.lastRefill.Load()
+	earned := (elapsed - last) * retriesPerSecond * tokenScale / int64(time.Second)
+	if earned <= 0 || !b.lastRefill.CompareAndSwap(last, elapsed) {
 		return
 	}
 	b.add(earned)
 }
 
+// add adds n tokens, up to the burst limit.
 func (b *Budget) add(n int64) {
 	for {
-		have := b.tokens.Load()
-		next := min(have+n, burst*tokenUnit)
-		if next <= have || b.tokens.CompareAndSwap(have, next) {
+		current := b.tokens.Load()
+		next := min(current+n, burst*tokenScale)
+		if next <= current || b.tokens.CompareAndSwap(current, next) {
 			return
 		}
 	}
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -9,8 +9,8 @@
 	"wisteriarelay.example/core/retry"
 )
 
-// Load pattern: every request fails, at six daemons that share the slack. Guards
-// against extra sends of the fleet beyond its budget in any sliding window.
+// Guards against a fleet that exceeds its retry budget in any sliding window while
+// every request fails at six daemons that share the slack.
 func TestFleetStaysWithinBudget(t *testing.T) {
 	g := NewWithT(t)
 	const (
@@ -20,16 +20,16 @@
 		slack   = 56.0
 	)
 	now := time.Unix(1000, 0)
-	windows := make([]*retry.Window, daemons)
+	windows := make([]*retry.WindowBudget, daemons)
 	for i := range windows {
-		windows[i] = retry.NewWindow(span, ratio, slack, now)
+		windows[i] = retry.NewWindowBudget(span, ratio, slack, now)
 		windows[i].SetPart(retry.Part{Ratio: 1, Slack: 1.0 / daemons})
 	}
 	var requests, extras []time.Time
 	for i := range 4000 {
 		now = now.Add(10 * time.Millisecond)
 		w := windows[i%daemons]
-		w.Request(now)
+		w.CountRequest(now)
 		requests = append(requests, now)
 		if w.Take(now) {
 			extras = append(extras, now)
@@ -47,18 +47,19 @@
 	g.Expect(len(extras)).To(BeNumerically(">", 800))
 }
 
-// Guards against extra sends by daemons that no longer carry the service.
-func TestNoShareNoSlack(t *testing.T) {
+// Guards against a daemon that uses the fleet's slack although it has no part of it,
+// because it is not a carrier of the service.
+func TestNoSlackForNonCarriers(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	w := retry.NewWindow(10*time.Second, 0.2, 56, now)
-	w.Request(now)
+	w := retry.NewWindowBudget(10*time.Second, 0.2, 56, now)
+	w.CountRequest(now)
 	g.Expect(w.Take(now)).To(BeFalse())
 }
 
-// Load pattern: from one moment on every request fails, while the daemons are
-// restarted one after the other. Guards against a budget that each restart renews: the predecessors' extra
-// sends count in the same window (1403 were sent where 1373 were allowed).
+// Guards against a retry budget that is renewed by each restart, in a rolling restart
+// while every request fails: the extra attempts before the restart count in the same
+// window. 1403 were made where 1373 were allowed.
 func TestRestartsDoNotRenewTheSlack(t *testing.T) {
 	g := NewWithT(t)
 	const (
@@ -71,19 +72,19 @@
 	)
 	now := time.Unix(1000, 0)
 	begin := now
-	windows := make([]*retry.Window, daemons)
+	windows := make([]*retry.WindowBudget, daemons)
 	started := make([]time.Time, daemons)
 	for i := range windows {
-		windows[i] = retry.NewWindow(span, ratio, slack, now.Add(-span))
+		windows[i] = retry.NewWindowBudget(span, ratio, slack, now.Add(-span))
 		started[i] = now.Add(-span)
 	}
-	var sent, extra []int
+	var requests, extras []int
 	restarts := 0
 	for step := 0; now.Sub(begin) < 2*span; step++ {
 		now = now.Add(interval)
 		if int(now.Sub(begin)/restartEvery) > restarts {
 			i := restarts % daemons
-			windows[i], started[i] = retry.NewWindow(span, ratio, slack, now), now
+			windows[i], started[i] = retry.NewWindowBudget(span, ratio, slack, now), now
 			restarts++
 		}
 		i := step % daemons
@@ -92,16 +93,16 @@
 			start = retry.Alone
 		}
 		windows[i].SetPart(retry.PartOf(daemons, start))
-		windows[i].Request(now)
-		sent = append(sent, 1)
-		extra = append(extra, 0)
+		windows[i].CountRequest(now)
+		requests = append(requests, 1)
+		extras = append(extras, 0)
 		if now.Sub(begin) > span/2 && windows[i].Take(now) {
-			extra[step] = 1
+			extras[step] = 1
 		}
 		first := max(0, step+1-int(span/interval))
-		bound := ratio*float64(len(sent[first:])) + slack
+		bound := ratio*float64(len(requests[first:])) + slack
 		used := 0
-		for _, n := range extra[first:] {
+		for _, n := range extras[first:] {
 			used += n
 		}
 		if step%100 == 0 && step > int(span/interval) {
