--- a/core/roster/carriers.go
+++ b/core/roster/carriers.go
@@ -9,17 +9,20 @@
 )
 
 const (
-	// minCarriers lets callers go on at once when one daemon of their data centre fails.
+	// minCarriers is the least number of carriers of a group in a data centre: if one
+	// fails, callers use the other at once.
 	minCarriers = 2
-	// defaultCores stands for the capacity of a daemon that does not state any.
+	// defaultCores is the capacity that is assumed for a daemon that reports none.
 	defaultCores = 0.25
 )
 
-// Carriers returns the daemons of a data centre that carry a group of so many
-// cores, best first. Callers choose among them at random, so that each gets the
-// same share: strong daemons come first, and there are as many as the weakest
-// of them needs to carry its share. Load pattern: most VMs of a fleet are a
-// fifth as strong as a few, and cannot carry what those can.
+// Carriers returns the daemons of a data centre that carry a group, in order of
+// preference; cores is what the group needs in each data centre. Callers choose among
+// the carriers at random, so each carrier gets the same share of the requests,
+// whatever its capacity. Daemons with the most cores therefore come first, and there
+// are as many carriers as the weakest of them needs to handle an equal share. Most VMs
+// of a fleet have a fifth of the cores of the few strong ones and could not handle the
+// same load.
 func (r *Roster) Carriers(now time.Time, group, dataCentre string, cores float64) []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -27,38 +30,41 @@
 }
 
 func (r *Roster) carriers(now time.Time, group, dataCentre string, cores float64) []Member {
-	all := r.ordered(now, group, dataCentre)
+	all := r.byPreference(now, group, dataCentre)
 	return all[:carrierCount(all, cores)]
 }
 
-// carrierCount returns how many of the ordered members carry a group.
-func carrierCount(ordered []Member, cores float64) int {
-	for i, m := range ordered {
+// carrierCount returns how many members, from the first in order of preference, are
+// needed for the cores.
+func carrierCount(byPreference []Member, cores float64) int {
+	for i, m := range byPreference {
 		if n := i + 1; n >= minCarriers && float64(n)*m.capacity() >= cores {
 			return n
 		}
 	}
-	return len(ordered)
+	return len(byPreference)
 }
 
-// ordered returns the living members of a data centre in the order in which they
-// carry the group.
-func (r *Roster) ordered(now time.Time, group, dataCentre string) []Member {
-	all := r.living(now, dataCentre)
-	slices.SortFunc(all, func(a, b Member) int { return before(group, a, b) })
+// byPreference returns the members of a data centre that are alive, in the order in
+// which they are chosen as carriers of the group.
+func (r *Roster) byPreference(now time.Time, group, dataCentre string) []Member {
+	all := r.aliveMembers(now, dataCentre)
+	slices.SortFunc(all, func(a, b Member) int { return comparePreference(group, a, b) })
 	return all
 }
 
-// before compares two members by the order in which they carry the group.
-func before(group string, a, b Member) int {
+// comparePreference compares two members by capacity, the larger first, and then by
+// rendezvous weight for the group.
+func comparePreference(group string, a, b Member) int {
 	if byCores := cmp.Compare(b.capacity(), a.capacity()); byCores != 0 {
 		return byCores
 	}
-	return cmp.Compare(rank(group, b.VM), rank(group, a.VM))
+	return cmp.Compare(rendezvousWeight(group, b.VM), rendezvousWeight(group, a.VM))
 }
 
-// living returns the members of a data centre that count as serving.
-func (r *Roster) living(now time.Time, dataCentre string) []Member {
+// aliveMembers returns the members of a data centre that can serve, including this
+// daemon.
+func (r *Roster) aliveMembers(now time.Time, dataCentre string) []Member {
 	var out []Member
 	if dataCentre == r.self.DataCentre && r.ready && !r.leaving {
 		out = append(out, r.self)
@@ -71,6 +77,7 @@
 	return out
 }
 
+// capacity returns the cores of the member, or defaultCores if it reports none.
 func (m Member) capacity() float64 {
 	if m.Cores <= 0 {
 		return defaultCores
@@ -78,9 +85,9 @@
 	return m.Cores
 }
 
-// rank orders the daemons for a group by rendezvous hashing: the loss of a
-// daemon moves only its own groups.
-func rank(group, vm string) uint64 {
+// rendezvousWeight returns the weight of a daemon for a group (rendezvous hashing): if
+// a daemon fails, only the groups that it carries move.
+func rendezvousWeight(group, vm string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(group)
@@ -89,7 +96,7 @@
 	return d.Sum64()
 }
 
-// Carries reports whether this daemon is among the carriers of the group.
+// Carries reports whether this daemon is one of the carriers of the group.
 func (r *Roster) Carries(now time.Time, group string, cores float64) bool {
 	for _, m := range r.Carriers(now, group, r.self.DataCentre, cores) {
 		if m.VM == r.self.VM {
@@ -99,8 +106,9 @@
 	return false
 }
 
-// Group returns the other daemons that carry the group, in all data centres:
-// those that said so lately, and those that should by rank.
+// Group returns the other daemons, in all data centres, that handle requests for the
+// group: its carriers by order of preference, those that recently reported that they
+// carry it, and those that a peer recently named as carriers.
 func (r *Roster) Group(now time.Time, group string, cores float64) []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,7 +119,7 @@
 		}
 	}
 	for vm, e := range r.entries {
-		if now.Sub(e.carries[group]) < carryTTL && !e.leaving || now.Sub(e.told[group]) < carryTTL {
+		if now.Sub(e.lastCarried[group]) < carrierTTL && !e.leaving || now.Sub(e.reportedAt[group]) < carrierTTL {
 			members[vm] = e.Member
 		}
 	}
@@ -123,27 +131,29 @@
 	return out
 }
 
-// FarCarriers returns the carriers of the group in other data centres that this
-// daemon heard itself, if it is the first carrier of its own data centre and so
-// the one that tells the others there.
+// FarCarriers returns the carriers of the group in other data centres from which this
+// daemon received heartbeats. It returns nil unless this daemon is the first carrier
+// of the group in its own data centre, because only that one sends the list to the
+// others there.
 func (r *Roster) FarCarriers(now time.Time, group string, cores float64) []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	near := r.carriers(now, group, r.self.DataCentre, cores)
-	if len(near) == 0 || near[0].VM != r.self.VM {
+	local := r.carriers(now, group, r.self.DataCentre, cores)
+	if len(local) == 0 || local[0].VM != r.self.VM {
 		return nil
 	}
 	var out []Member
 	for _, e := range r.entries {
-		if e.DataCentre != r.self.DataCentre && !e.leaving && now.Sub(e.carries[group]) < carryTTL {
+		if e.DataCentre != r.self.DataCentre && !e.leaving && now.Sub(e.lastCarried[group]) < carrierTTL {
 			out = append(out, e.Member)
 		}
 	}
 	return out
 }
 
-// Answer returns the addresses that a caller in the data centre should use:
-// those of the carriers there, or in the next data centre that has any.
+// Answer returns the addresses to which a caller in the data centre should connect:
+// those of the carriers there or, if there are none, in the first other data centre
+// that has any.
 func (r *Roster) Answer(now time.Time, group, dataCentre string, cores float64) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/core/roster/plan.go
+++ b/core/roster/plan.go
@@ -9,27 +9,29 @@
 )
 
 const (
-	// slotsPerCore is the number of target slots whose requests one core carries.
-	// Fewer carriers learn faster which targets are sick; more share the load.
+	// slotsPerCore is the number of target slots whose requests one core can handle.
+	// With fewer carriers each of them sees more results and detects failing targets
+	// sooner; with more carriers each has less load.
 	slotsPerCore = 500
-	// groupCores is the demand from which the services are split into more groups:
-	// each result is told to the whole group.
-	groupCores = 4
+	// coresPerGroup is the demand in cores from which another group is added. Each
+	// result of a request is sent to all carriers of the group, so groups must not
+	// grow without bound.
+	coresPerGroup = 4
 )
 
-// Demand is what the services of a fleet ask of its daemons.
+// Demand is the input of a plan.
 type Demand struct {
 	// Slots is the number of target slots of each service.
 	Slots map[string]int
-	// Joined lists services that one host has routes to. Callers are sent to
-	// daemons by host, so such services are carried together.
+	// Joined lists the services that are routed from the same host. Callers are
+	// directed to daemons by host, so these services must be in the same group.
 	Joined [][]string
 	// DataCentres is the number of data centres with daemons.
 	DataCentres int
 }
 
-// Plan assigns services to groups, each of which is carried by some daemons of
-// every data centre. One more service or target moves few services.
+// Plan assigns services to groups. Each group is carried by some daemons of every data
+// centre. If a service or a target is added, few services change their group.
 type Plan struct {
 	groups map[string]string
 	cores  map[string]float64
@@ -42,51 +44,55 @@
 	for _, n := range d.Slots {
 		total += n
 	}
-	count := int(math.Ceil(float64(total) / (slotsPerCore * groupCores)))
-	for service, lead := range leads(d) {
-		group := groupOf(lead, max(count, 1))
+	groupCount := int(math.Ceil(float64(total) / (slotsPerCore * coresPerGroup)))
+	for service, representative := range representatives(d) {
+		group := assignGroup(representative, max(groupCount, 1))
 		p.groups[service] = group
 		p.cores[group] += float64(d.Slots[service]) / slotsPerCore / float64(max(d.DataCentres, 1))
 	}
 	return p
 }
 
-// Group returns the name of the group that carries the service, and the cores
-// that it takes in each data centre.
+// Group returns the name of the service's group and the cores that the group needs in
+// each data centre. A service that is not in the plan is assigned as if there were one
+// group.
 func (p *Plan) Group(service string) (name string, cores float64) {
 	name, ok := p.groups[service]
 	if !ok {
-		name = groupOf(service, 1)
+		name = assignGroup(service, 1)
 	}
 	return name, p.cores[name]
 }
 
-// Cores returns the cores that the group takes in each data centre.
+// Cores returns the cores that the group needs in each data centre.
 func (p *Plan) Cores(group string) float64 {
 	return p.cores[group]
 }
 
-// leads maps each service to the first by name of those that hosts join it with.
-func leads(d Demand) map[string]string {
-	lead := make(map[string]string, len(d.Slots))
+// representatives maps each service to a representative of the services that must be
+// in the same group because they share hosts, directly or through others: the first of
+// them by name.
+func representatives(d Demand) map[string]string {
+	representative := make(map[string]string, len(d.Slots))
 	for s := range d.Slots {
-		lead[s] = s
+		representative[s] = s
 	}
 	for changed := true; changed; {
 		changed = false
 		for _, joined := range d.Joined {
-			changed = joinLeads(lead, joined) || changed
+			changed = mergeRepresentatives(representative, joined) || changed
 		}
 	}
-	return lead
+	return representative
 }
 
-// joinLeads gives the services their first lead and reports whether one changed.
-func joinLeads(lead map[string]string, joined []string) bool {
+// mergeRepresentatives gives the services on one host the same representative, the
+// first by name, and reports whether one changed.
+func mergeRepresentatives(representative map[string]string, joined []string) bool {
 	var all []string
 	for _, s := range joined {
-		if l, ok := lead[s]; ok {
-			all = append(all, l)
+		if name, ok := representative[s]; ok {
+			all = append(all, name)
 		}
 	}
 	if len(all) == 0 {
@@ -95,22 +101,22 @@
 	first := slices.Min(all)
 	changed := false
 	for _, s := range joined {
-		if l, ok := lead[s]; ok && l != first {
-			lead[s] = first
+		if name, ok := representative[s]; ok && name != first {
+			representative[s] = first
 			changed = true
 		}
 	}
 	return changed
 }
 
-// groupOf chooses one of the groups by rendezvous hashing: one group more takes
-// only its own share of the services from the others.
-func groupOf(service string, count int) string {
-	best, bestRank := "", uint64(0)
-	for i := range count {
+// assignGroup chooses the group of a service by rendezvous hashing: if a group is
+// added, only the services that move to it change their group.
+func assignGroup(service string, groupCount int) string {
+	best, bestWeight := "", uint64(0)
+	for i := range groupCount {
 		name := fmt.Sprintf("group-%d", i)
-		if rank := xxhash.Sum64String(name + " " + service); best == "" || rank > bestRank {
-			best, bestRank = name, rank
+		if weight := xxhash.Sum64String(name + " " + service); best == "" || weight > bestWeight {
+			best, bestWeight = name, weight
 		}
 	}
 	return best
--- a/core/roster/plan_test.go
+++ b/core/roster/plan_test.go
@@ -9,59 +9,61 @@
 	"wisteriarelay.example/core/roster"
 )
 
-// sized returns a member with a capacity in cores.
-func sized(n int, cores float64) roster.Member {
+// memberWithCores returns a member with the given capacity.
+func memberWithCores(n int, cores float64) roster.Member {
 	m := member("a", n)
 	m.Cores = cores
 	return m
 }
 
-// fleetOf returns the view of a daemon that is not among the members.
-func fleetOf(members ...roster.Member) *roster.Roster {
+// rosterOf returns the roster of a daemon in another data centre that received a
+// heartbeat from each of the members.
+func rosterOf(members ...roster.Member) *roster.Roster {
 	r := roster.New(member("b", 0))
 	for _, m := range members {
 		r.Add(m)
-		r.Heard(begin, m, roster.Standing{Ready: true}, nil)
+		r.Heard(startTime, m, roster.Standing{Ready: true}, nil)
 	}
 	return r
 }
 
-// Load pattern: most VMs are weak, a few are strong. Guards against callers who are
-// sent to weak ones, where answers wait for the link.
-func TestStrongDaemonsCarry(t *testing.T) {
+// Most VMs have little capacity, a few have much. Guards against callers being
+// directed to VMs with little capacity, where responses wait for the network link.
+func TestDaemonsWithMostCoresCarry(t *testing.T) {
 	g := NewWithT(t)
 	var members []roster.Member
 	for i := range 20 {
-		members = append(members, sized(i, 0.1))
+		members = append(members, memberWithCores(i, 0.1))
 	}
 	members[7].Cores, members[13].Cores = 0.8, 0.8
-	r := fleetOf(members...)
-	g.Expect(names(r.Carriers(begin, "all", "a", 1.5))).To(ConsistOf("a-7", "a-13"))
+	r := rosterOf(members...)
+	g.Expect(vmNames(r.Carriers(startTime, "all", "a", 1.5))).To(ConsistOf("a-7", "a-13"))
 }
 
-// Load pattern: one of two strong daemons dies. Guards against a single weak one
-// in its place, to which half of the callers would be sent.
-func TestWeakDaemonsCarryOnlyTheirShare(t *testing.T) {
+// One of two daemons with much capacity fails. Guards against its replacement by a
+// single weak daemon, which would then get half of the callers.
+func TestWeakDaemonsCarryOnlyWhatTheyCanHandle(t *testing.T) {
 	g := NewWithT(t)
-	members := []roster.Member{sized(0, 0.8)}
+	members := []roster.Member{memberWithCores(0, 0.8)}
 	for i := 1; i < 20; i++ {
-		members = append(members, sized(i, 0.1))
+		members = append(members, memberWithCores(i, 0.1))
 	}
-	carriers := fleetOf(members...).Carriers(begin, "all", "a", 1)
+	carriers := rosterOf(members...).Carriers(startTime, "all", "a", 1)
 	g.Expect(carriers).To(HaveLen(10), "a tenth of one core each")
 	g.Expect(carriers[0].VM).To(Equal("a-0"))
 }
 
-// Guards against callers without an address when no number of daemons is enough.
-func TestAllCarryWhenDemandIsTooLarge(t *testing.T) {
+// Guards against callers without an address when all daemons together are too weak for
+// the demand.
+func TestAllDaemonsCarryWhenDemandExceedsCapacity(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(fleetOf(sized(0, 0.1), sized(1, 0.1), sized(2, 0)).Carriers(begin, "all", "a", 50)).To(HaveLen(3))
+	g.Expect(rosterOf(memberWithCores(0, 0.1), memberWithCores(1, 0.1), memberWithCores(2, 0)).Carriers(startTime, "all", "a", 50)).To(HaveLen(3))
 }
 
 // Guards against a service that is left to a single daemon of a data centre, and
-// against callers of a host with routes to several services who are sent to
-// daemons that do not know all of them.
-func TestServicesOfAHostAreCarriedTogether(t *testing.T) {
+// against services of one host in different groups: callers are directed to daemons by
+// host, and would reach daemons that do not carry all services of the host.
+func TestServicesOfOneHostShareAGroup(t *testing.T) {
 	g := NewWithT(t)
 	d := roster.Demand{Slots: map[string]int{}, DataCentres: 5}
 	for i := range 60 {
@@ -72,16 +74,16 @@
 	groups := map[string]float64{}
 	for i := range 60 {
 		name, cores := p.Group(fmt.Sprintf("s%d", i))
-		lead, _ := p.Group(fmt.Sprintf("s%d", i-i%3))
-		g.Expect(name).To(Equal(lead))
+		representative, _ := p.Group(fmt.Sprintf("s%d", i-i%3))
+		g.Expect(name).To(Equal(representative))
 		g.Expect(cores).To(BeNumerically(">", 0))
 		groups[name] = cores
 	}
 	g.Expect(len(groups)).To(BeNumerically(">", 1), "a large fleet has several groups")
 }
 
-// Guards against a small fleet whose services are told apart, which leaves callers
-// of one host at daemons that do not carry the other service.
+// Guards against a small fleet whose services are split into groups, so that callers
+// of one host reach daemons that do not carry its other service.
 func TestSmallFleetHasOneGroup(t *testing.T) {
 	g := NewWithT(t)
 	p := roster.NewPlan(roster.Demand{Slots: map[string]int{"orders": 18, "lookups": 12}, DataCentres: 3})
@@ -94,9 +96,9 @@
 	g.Expect(none).To(Equal(cores))
 }
 
-// Guards against a plan that assigns most services anew when the fleet's targets
-// grow past the size of one group more.
-func TestPlanChangesSmoothly(t *testing.T) {
+// Guards against a plan that moves most services to other groups when the targets of
+// the fleet grow enough for one more group.
+func TestAddedGroupMovesFewServices(t *testing.T) {
 	g := NewWithT(t)
 	demand := func(slots int) roster.Demand {
 		d := roster.Demand{Slots: map[string]int{}, DataCentres: 5}
@@ -108,9 +110,9 @@
 	before, after := roster.NewPlan(demand(79)), roster.NewPlan(demand(81))
 	moved := 0
 	for i := range 200 {
-		was, _ := before.Group(fmt.Sprintf("s%d", i))
-		is, _ := after.Group(fmt.Sprintf("s%d", i))
-		if was != is {
+		oldGroup, _ := before.Group(fmt.Sprintf("s%d", i))
+		newGroup, _ := after.Group(fmt.Sprintf("s%d", i))
+		if oldGroup != newGroup {
 			moved++
 		}
 	}
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -7,54 +7,64 @@
 )
 
 const (
-	// nearTTL is how long a daemon of the own data centre counts as alive after
-	// it was heard; several heartbeats may be lost in it.
-	nearTTL = 900 * time.Millisecond
-	// quietTTL is the same for daemons that are not watched and beat less often.
-	quietTTL = 4500 * time.Millisecond
-	// farTTL is the same for daemons of other data centres, which are heard less often.
-	farTTL = 3500 * time.Millisecond
-	// carryTTL is how long a daemon counts as a carrier after it said so.
-	carryTTL = 3 * time.Second
+	// localTTL is how long a daemon of the own data centre counts as alive after its
+	// last heartbeat. It covers the loss of several heartbeats.
+	localTTL = 900 * time.Millisecond
+	// reducedRateTTL replaces localTTL for daemons that are not monitored and send
+	// heartbeats at a reduced rate.
+	reducedRateTTL = 4500 * time.Millisecond
+	// remoteTTL replaces localTTL for daemons of other data centres, whose heartbeats
+	// arrive less often.
+	remoteTTL = 3500 * time.Millisecond
+	// carrierTTL is how long a daemon counts as a carrier after it, or a peer, last
+	// reported that it carries a group.
+	carrierTTL = 3 * time.Second
 )
 
-// Member is one daemon of the fleet.
+// Member describes one daemon of the fleet.
 type Member struct {
 	VM         string `cbor:"1,keyasint"`
 	DataCentre string `cbor:"2,keyasint"`
-	// Inner is the address for peers, Callers the one for callers.
+	// Inner is the address for peers, Callers the address for callers.
 	Inner   string `cbor:"3,keyasint"`
 	Callers string `cbor:"4,keyasint"`
 	// Born is the Unix time in milliseconds at which the daemon started.
 	Born int64 `cbor:"5,keyasint"`
-	// Cores is the processor share that the daemon has for requests; 0 if it states none.
+	// Cores is the number of processor cores that the daemon has for requests; 0 if it
+	// reports none.
 	Cores float64 `cbor:"6,keyasint,omitempty"`
 }
 
-// Standing is what a daemon says of itself beside its place.
+// Standing is the status that a daemon reports about itself.
 type Standing struct {
 	Ready   bool
 	Leaving bool
-	// Quiet says that it beats less often, because it is not watched.
+	// Quiet is true if the daemon sends heartbeats at a reduced rate, because it is
+	// not monitored.
 	Quiet bool
 }
 
-// entry is a member with what was heard of it.
+// entry is a member with the latest reports about it.
 type entry struct {
 	Member
-	heard   time.Time
-	ready   bool
-	leaving bool
-	// quiet says that the member beats less often.
-	quiet   bool
-	carries map[string]time.Time
-	// askedAt is when this daemon first counted on the member without having heard it.
-	askedAt time.Time
-	// told is when a peer of the own data centre last said that the member carries a group.
-	told map[string]time.Time
-}
-
-// Roster is the fleet as one daemon sees it. It is safe for concurrent use.
+	lastHeard time.Time
+	ready     bool
+	leaving   bool
+	// reducedRate is true if the member sends heartbeats at a reduced rate.
+	reducedRate bool
+	// lastCarried holds, by group, when the member last reported that it carries the
+	// group.
+	lastCarried map[string]time.Time
+	// assumedAliveSince is when this daemon first took the member for alive without
+	// having received a heartbeat from it.
+	assumedAliveSince time.Time
+	// reportedAt holds, by group, when a peer of the own data centre last named the
+	// member as a carrier of the group.
+	reportedAt map[string]time.Time
+}
+
+// Roster holds the members of the fleet as seen by one daemon. It is safe for
+// concurrent use.
 type Roster struct {
 	self    Member
 	mu      sync.Mutex
@@ -63,12 +73,13 @@
 	leaving bool
 }
 
-// New returns a roster with only the daemon itself.
+// New returns a roster that contains only the daemon itself.
 func New(self Member) *Roster {
 	return &Roster{self: self, entries: map[string]*entry{}}
 }
 
-// Add takes in a member that is known from the store.
+// Add adds a member that is known from the store or from a peer. It does nothing if
+// this run of the daemon, or a later one, is already known.
 func (r *Roster) Add(m Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,19 +89,20 @@
 	if e := r.entries[m.VM]; e != nil && e.Born >= m.Born {
 		return
 	}
-	r.entries[m.VM] = &entry{Member: m, carries: map[string]time.Time{}}
+	r.entries[m.VM] = &entry{Member: m, lastCarried: map[string]time.Time{}}
 }
 
-// SetSelf says whether this daemon is ready and whether it is leaving.
+// SetSelf sets whether this daemon is ready and whether it is leaving.
 func (r *Roster) SetSelf(ready, leaving bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ready, r.leaving = ready, leaving
 }
 
-// Heard notes a message of a member and returns the groups that it has begun
-// to carry. ok is false if the message comes from an earlier run of the daemon.
-func (r *Roster) Heard(now time.Time, m Member, s Standing, carries []string) (begun []string, ok bool) {
+// Heard records a heartbeat of a member and the groups that it carries. It returns the
+// groups that the member did not carry before. ok is false if the heartbeat is
+// ignored, because it comes from an earlier run of the daemon or from this daemon.
+func (r *Roster) Heard(now time.Time, m Member, s Standing, carries []string) (newlyCarried []string, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.entries[m.VM]
@@ -98,23 +110,24 @@
 		return nil, false
 	}
 	if e == nil || m.Born > e.Born {
-		e = &entry{carries: map[string]time.Time{}}
+		e = &entry{lastCarried: map[string]time.Time{}}
 		r.entries[m.VM] = e
 	}
 	e.Member = m
-	e.heard = now
-	e.ready, e.leaving, e.quiet = s.Ready, s.Leaving, s.Quiet
-	for _, s := range carries {
-		if now.Sub(e.carries[s]) >= carryTTL {
-			begun = append(begun, s)
+	e.lastHeard = now
+	e.ready, e.leaving, e.reducedRate = s.Ready, s.Leaving, s.Quiet
+	for _, group := range carries {
+		if now.Sub(e.lastCarried[group]) >= carrierTTL {
+			newlyCarried = append(newlyCarried, group)
 		}
-		e.carries[s] = now
+		e.lastCarried[group] = now
 	}
-	return begun, true
+	return newlyCarried, true
 }
 
-// Told notes the carriers of a group in other data centres that a peer hears.
-// It makes nobody alive: it only says who is to get evidence.
+// Told records the carriers of a group in other data centres, as reported by a peer.
+// The members do not count as alive because of it; the report only adds them to the
+// daemons to which results are sent.
 func (r *Roster) Told(now time.Time, group string, members []Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -124,48 +137,51 @@
 			continue
 		}
 		if e == nil || m.Born > e.Born {
-			e = &entry{Member: m, carries: map[string]time.Time{}}
+			e = &entry{Member: m, lastCarried: map[string]time.Time{}}
 			r.entries[m.VM] = e
 		}
-		if e.told == nil {
-			e.told = map[string]time.Time{}
+		if e.reportedAt == nil {
+			e.reportedAt = map[string]time.Time{}
 		}
-		e.told[group] = now
+		e.reportedAt[group] = now
 	}
 }
 
-// alive reports whether the member counts as serving.
+// alive reports whether the member counts as able to serve.
 func (r *Roster) alive(e *entry, now time.Time) bool {
 	if e.leaving {
 		return false
 	}
 	if e.DataCentre == r.self.DataCentre {
-		return e.ready && now.Sub(e.heard) < e.ttl()
+		return e.ready && now.Sub(e.lastHeard) < e.ttl()
 	}
-	return r.farAlive(e, now)
+	return r.remoteAlive(e, now)
 }
 
-// ttl returns how long a member of the own data centre counts as alive.
+// ttl returns how long a member of the own data centre counts as alive after a
+// heartbeat.
 func (e *entry) ttl() time.Duration {
-	if e.quiet {
-		return quietTTL
+	if e.reducedRate {
+		return reducedRateTTL
 	}
-	return nearTTL
+	return localTTL
 }
 
-// farAlive gives a daemon of another data centre that was never heard the
-// benefit of the doubt for a while.
-func (r *Roster) farAlive(e *entry, now time.Time) bool {
-	if e.heard.IsZero() {
-		if e.askedAt.IsZero() {
-			e.askedAt = now
+// remoteAlive reports whether a daemon of another data centre counts as alive. One
+// that has not sent a heartbeat yet is taken for alive for remoteTTL from the first
+// call.
+func (r *Roster) remoteAlive(e *entry, now time.Time) bool {
+	if e.lastHeard.IsZero() {
+		if e.assumedAliveSince.IsZero() {
+			e.assumedAliveSince = now
 		}
-		return now.Sub(e.askedAt) < farTTL
+		return now.Sub(e.assumedAliveSince) < remoteTTL
 	}
-	return now.Sub(e.heard) < farTTL
+	return now.Sub(e.lastHeard) < remoteTTL
 }
 
-// DataCentres returns the data centres that have members, the own one first.
+// DataCentres returns the data centres that have members: the own one first, the
+// others by name.
 func (r *Roster) DataCentres() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -183,7 +199,8 @@
 	return append([]string{r.self.DataCentre}, slices.Compact(others)...)
 }
 
-// Near returns the other members of the own data centre, heard or not.
+// Near returns the other members of the own data centre, whether or not they are
+// alive.
 func (r *Roster) Near() []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -196,32 +213,33 @@
 	return out
 }
 
-// AnyReady reports whether another daemon was heard that serves.
+// AnyReady reports whether another daemon recently sent a heartbeat that says it is
+// ready and not leaving.
 func (r *Roster) AnyReady(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range r.entries {
-		if e.ready && !e.leaving && !e.heard.IsZero() && now.Sub(e.heard) < farTTL {
+		if e.ready && !e.leaving && !e.lastHeard.IsZero() && now.Sub(e.lastHeard) < remoteTTL {
 			return true
 		}
 	}
 	return false
 }
 
-// ageMargin is the difference of two start times from which a daemon counts as
-// older; it covers clocks that differ.
-const ageMargin = 5 * time.Second
+// clockSkewMargin is the difference of two start times from which a daemon counts as
+// started earlier. It covers clocks that differ between VMs.
+const clockSkewMargin = 5 * time.Second
 
-// YoungerThanMost reports whether most daemons of which anything is known started
-// well before this one.
+// YoungerThanMost reports whether more than half of the known daemons started well
+// before this one.
 func (r *Roster) YoungerThanMost() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	older := 0
+	startedEarlier := 0
 	for _, e := range r.entries {
-		if r.self.Born-e.Born > ageMargin.Milliseconds() {
-			older++
+		if r.self.Born-e.Born > clockSkewMargin.Milliseconds() {
+			startedEarlier++
 		}
 	}
-	return 2*older > len(r.entries)
+	return 2*startedEarlier > len(r.entries)
 }
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -10,19 +10,20 @@
 	"wisteriarelay.example/core/roster"
 )
 
-// carriers is the demand in cores that the least number of carriers meets.
-const carriers = 0
+// minimalDemand is a demand in cores that the least number of carriers can meet.
+const minimalDemand = 0
 
-// leastCarriers is that number.
-const leastCarriers = 2
+// minCarriers is the least number of carriers in a data centre.
+const minCarriers = 2
 
-var begin = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
 func member(dc string, n int) roster.Member {
 	return roster.Member{VM: fmt.Sprintf("%s-%d", dc, n), DataCentre: dc, Inner: fmt.Sprintf("10.0.%d.1:1", n), Callers: fmt.Sprintf("10.0.%d.1:2", n), Born: 1}
 }
 
-// newRoster returns the view of a-0 that has heard nine daemons of its data centre.
+// newRoster returns the roster of a-0, which received a heartbeat from nine daemons of
+// its data centre.
 func newRoster(now time.Time) *roster.Roster {
 	r := roster.New(member("a", 0))
 	r.SetSelf(true, false)
@@ -32,7 +33,7 @@
 	return r
 }
 
-func names(members []roster.Member) []string {
+func vmNames(members []roster.Member) []string {
 	var out []string
 	for _, m := range members {
 		out = append(out, m.VM)
@@ -40,141 +41,147 @@
 	return out
 }
 
-// Guards against daemons that hear the same and disagree on who carries a service.
+// Guards against daemons that received the same heartbeats but disagree on the
+// carriers of a service.
 func TestDaemonsAgreeOnCarriers(t *testing.T) {
 	g := NewWithT(t)
-	mine := newRoster(begin)
+	one := newRoster(startTime)
 	other := roster.New(member("a", 5))
 	other.SetSelf(true, false)
 	for i := range 10 {
-		other.Heard(begin, member("a", i), roster.Standing{Ready: true}, nil)
+		other.Heard(startTime, member("a", i), roster.Standing{Ready: true}, nil)
 	}
-	g.Expect(names(mine.Carriers(begin, "orders", "a", carriers))).To(Equal(names(other.Carriers(begin, "orders", "a", carriers))))
+	g.Expect(vmNames(one.Carriers(startTime, "orders", "a", minimalDemand))).To(Equal(vmNames(other.Carriers(startTime, "orders", "a", minimalDemand))))
 }
 
-// Load pattern: a carrier dies. Guards against callers who are sent to it, and
-// against a change of the carriers of other services.
-func TestDeadCarrierIsReplaced(t *testing.T) {
+// A carrier fails. Guards against callers who are still directed to it, and against
+// the loss of the remaining carrier.
+func TestFailedCarrierIsReplaced(t *testing.T) {
 	g := NewWithT(t)
-	r := newRoster(begin)
-	before := r.Carriers(begin, "orders", "a", carriers)
+	r := newRoster(startTime)
+	before := r.Carriers(startTime, "orders", "a", minimalDemand)
 	dead := before[0].VM
-	now := begin.Add(time.Second)
+	now := startTime.Add(time.Second)
 	for i := 1; i < 10; i++ {
 		if m := member("a", i); m.VM != dead {
 			r.Heard(now, m, roster.Standing{Ready: true}, nil)
 		}
 	}
-	after := names(r.Carriers(now, "orders", "a", carriers))
+	after := vmNames(r.Carriers(now, "orders", "a", minimalDemand))
 	g.Expect(after).NotTo(ContainElement(dead))
 	g.Expect(after).To(ContainElement(before[1].VM))
 }
 
-// Guards against callers who are sent to a daemon that is leaving or not ready.
-func TestLeavingDaemonIsNotAnswered(t *testing.T) {
+// Guards against callers who are directed to a daemon that is leaving.
+func TestLeavingDaemonIsNotReturnedToCallers(t *testing.T) {
 	g := NewWithT(t)
-	r := newRoster(begin)
-	first := r.Carriers(begin, "orders", "a", carriers)[0]
+	r := newRoster(startTime)
+	first := r.Carriers(startTime, "orders", "a", minimalDemand)[0]
 	if first.VM == "a-0" {
 		r.SetSelf(true, true)
 	} else {
-		r.Heard(begin, first, roster.Standing{Ready: true, Leaving: true}, nil)
+		r.Heard(startTime, first, roster.Standing{Ready: true, Leaving: true}, nil)
 	}
-	g.Expect(r.Answer(begin, "orders", "a", carriers)).NotTo(ContainElement(first.Callers))
+	g.Expect(r.Answer(startTime, "orders", "a", minimalDemand)).NotTo(ContainElement(first.Callers))
 }
 
-// Guards against callers without an answer when their data centre is lost.
-func TestOtherDataCentreTakesOver(t *testing.T) {
+// Guards against callers who get no address when all daemons of their data centre have
+// failed.
+func TestCallersFailOverToOtherDataCentre(t *testing.T) {
 	g := NewWithT(t)
-	r := newRoster(begin)
-	g.Expect(r.Answer(begin, "orders", "lost", carriers)).To(HaveLen(leastCarriers))
+	r := newRoster(startTime)
+	g.Expect(r.Answer(startTime, "orders", "lost", minimalDemand)).To(HaveLen(minCarriers))
 	r.SetSelf(false, false)
-	g.Expect(r.Answer(begin.Add(time.Minute), "orders", "lost", carriers)).To(BeEmpty())
+	g.Expect(r.Answer(startTime.Add(time.Minute), "orders", "lost", minimalDemand)).To(BeEmpty())
 }
 
-// Guards against a late message of an earlier run that is taken for the new one.
-func TestEarlierRunIsIgnored(t *testing.T) {
+// Guards against a late heartbeat of an earlier run of a daemon that is taken for one
+// of the current run.
+func TestHeartbeatOfEarlierRunIsIgnored(t *testing.T) {
 	g := NewWithT(t)
-	r := newRoster(begin)
+	r := newRoster(startTime)
 	restarted := member("a", 3)
 	restarted.Born = 2
-	begun, ok := r.Heard(begin, restarted, roster.Standing{Ready: true}, []string{"orders"})
+	newlyCarried, ok := r.Heard(startTime, restarted, roster.Standing{Ready: true}, []string{"orders"})
 	g.Expect(ok).To(BeTrue())
-	g.Expect(begun).To(Equal([]string{"orders"}))
-	_, ok = r.Heard(begin, member("a", 3), roster.Standing{Ready: true}, nil)
+	g.Expect(newlyCarried).To(Equal([]string{"orders"}))
+	_, ok = r.Heard(startTime, member("a", 3), roster.Standing{Ready: true}, nil)
 	g.Expect(ok).To(BeFalse())
 }
 
-// Guards against evidence that reaches no carrier of another data centre before
-// its daemons were heard, and against sending to daemons that stay silent.
-func TestGroupTrustsUnheardDaemonsForAWhile(t *testing.T) {
+// Guards against results that reach no carrier of another data centre because its
+// daemons have not sent a heartbeat yet, and against sending results for long to
+// daemons that never send one.
+func TestUnseenRemoteDaemonsCountAsAliveForAWhile(t *testing.T) {
 	g := NewWithT(t)
-	r := newRoster(begin)
+	r := newRoster(startTime)
 	for i := range 4 {
 		r.Add(member("b", i))
 	}
-	far := func(now time.Time) int {
+	remoteCount := func(now time.Time) int {
 		n := 0
-		for _, m := range r.Group(now, "orders", carriers) {
+		for _, m := range r.Group(now, "orders", minimalDemand) {
 			if m.DataCentre == "b" {
 				n++
 			}
 		}
 		return n
 	}
-	g.Expect(far(begin)).To(Equal(leastCarriers))
-	g.Expect(far(begin.Add(10 * time.Second))).To(BeNumerically("<", leastCarriers+1))
+	g.Expect(remoteCount(startTime)).To(Equal(minCarriers))
+	g.Expect(remoteCount(startTime.Add(10 * time.Second))).To(BeNumerically("<", minCarriers+1))
 }
 
-// Guards against evidence of a daemon that carries nothing which never reaches the
-// carriers of other data centres, because their heartbeats go to carriers only;
-// and against hearsay that makes a dead daemon an address for callers.
-func TestCarriersOfOtherDataCentresAreKnownByHearsay(t *testing.T) {
+// Heartbeats to other data centres go to carriers only, so a daemon that carries
+// nothing knows the carriers there only from peers. Guards against its results never
+// reaching them, and against a report of a peer that makes a failed daemon an address
+// for callers.
+func TestRemoteCarriersAreLearnedFromPeers(t *testing.T) {
 	g := NewWithT(t)
-	now := begin.Add(time.Minute)
+	now := startTime.Add(time.Minute)
 	first := newRoster(now)
-	lead := first.Carriers(now, "orders", "a", 100)[0]
-	r := roster.New(lead)
+	firstCarrier := first.Carriers(now, "orders", "a", 100)[0]
+	r := roster.New(firstCarrier)
 	r.SetSelf(true, false)
 	r.Heard(now, member("b", 1), roster.Standing{Ready: true}, []string{"orders"})
-	far := r.FarCarriers(now, "orders", carriers)
-	g.Expect(names(far)).To(Equal([]string{"b-1"}))
-
-	stray := roster.New(member("a", 77))
-	stray.Heard(now, lead, roster.Standing{Ready: true}, []string{"orders"})
-	g.Expect(names(stray.Group(now, "orders", carriers))).NotTo(ContainElement("b-1"))
-	stray.Told(now, "orders", far)
-	g.Expect(names(stray.Group(now, "orders", carriers))).To(ContainElement("b-1"))
+	remoteCarriers := r.FarCarriers(now, "orders", minimalDemand)
+	g.Expect(vmNames(remoteCarriers)).To(Equal([]string{"b-1"}))
+
+	nonCarrier := roster.New(member("a", 77))
+	nonCarrier.Heard(now, firstCarrier, roster.Standing{Ready: true}, []string{"orders"})
+	g.Expect(vmNames(nonCarrier.Group(now, "orders", minimalDemand))).NotTo(ContainElement("b-1"))
+	nonCarrier.Told(now, "orders", remoteCarriers)
+	g.Expect(vmNames(nonCarrier.Group(now, "orders", minimalDemand))).To(ContainElement("b-1"))
 	later := now.Add(time.Minute)
-	stray.Told(later, "orders", far)
-	g.Expect(stray.Answer(later, "orders", "b", carriers)).To(BeEmpty())
-	g.Expect(names(stray.Group(later.Add(4*time.Second), "orders", carriers))).NotTo(ContainElement("b-1"))
+	nonCarrier.Told(later, "orders", remoteCarriers)
+	g.Expect(nonCarrier.Answer(later, "orders", "b", minimalDemand)).To(BeEmpty())
+	g.Expect(vmNames(nonCarrier.Group(later.Add(4*time.Second), "orders", minimalDemand))).NotTo(ContainElement("b-1"))
 
 	second := roster.New(first.Carriers(now, "orders", "a", 100)[1])
 	second.SetSelf(true, false)
-	second.Heard(now, lead, roster.Standing{Ready: true}, nil)
+	second.Heard(now, firstCarrier, roster.Standing{Ready: true}, nil)
 	second.Heard(now, member("b", 1), roster.Standing{Ready: true}, []string{"orders"})
-	g.Expect(second.FarCarriers(now, "orders", carriers)).To(BeEmpty(), "only the first carrier tells")
+	g.Expect(second.FarCarriers(now, "orders", minimalDemand)).To(BeEmpty(), "only the first carrier tells")
 }
 
-// Guards against a daemon that is restarted alone and spends what its predecessor
-// already spent of the fleet's retry budget; and against taking a start of the
-// whole fleet, with clocks that differ by seconds, for one.
-func TestDaemonKnowsWhetherItWasRestartedAlone(t *testing.T) {
+// A daemon that is restarted alone must not spend again what its earlier run already
+// spent of the fleet's retry budget. Guards against missing such a restart, and
+// against taking a start of the whole fleet, with clocks that differ by seconds, for
+// one.
+func TestSingleRestartIsDistinguishedFromFleetStart(t *testing.T) {
 	g := NewWithT(t)
-	young := member("a", 0)
-	young.Born = 100_000
-	r := roster.New(young)
+	self := member("a", 0)
+	self.Born = 100_000
+	r := roster.New(self)
 	g.Expect(r.YoungerThanMost()).To(BeFalse())
 	for i := 1; i < 6; i++ {
 		m := member("a", i)
-		m.Born = young.Born - 3000
+		m.Born = self.Born - 3000
 		r.Add(m)
 	}
 	g.Expect(r.YoungerThanMost()).To(BeFalse())
 	for i := 1; i < 7; i++ {
 		m := member("b", i)
-		m.Born = young.Born - 30_000
+		m.Born = self.Born - 30_000
 		r.Add(m)
 	}
 	g.Expect(r.YoungerThanMost()).To(BeTrue())
--- a/core/roster/state.go
+++ b/core/roster/state.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// MemberState is what is known of one daemon, for the state dump.
+// MemberState is the state of one daemon in the state dump.
 type MemberState struct {
-	VM         string        `json:"vm"`
-	DataCentre string        `json:"data-centre"`
-	Alive      bool          `json:"alive"`
-	Leaving    bool          `json:"leaving,omitempty"`
-	HeardAgo   time.Duration `json:"heard-ago-ns"`
+	VM         string `json:"vm"`
+	DataCentre string `json:"data-centre"`
+	Alive      bool   `json:"alive"`
+	Leaving    bool   `json:"leaving,omitempty"`
+	// HeardAgo is the time since the last heartbeat; -1 if there was none.
+	HeardAgo time.Duration `json:"heard-ago-ns"`
 }
 
-// State returns what is known of the other daemons, in order.
+// State returns the state of the other daemons, sorted by VM.
 func (r *Roster) State(now time.Time) []MemberState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make([]MemberState, 0, len(r.entries))
 	for _, e := range r.entries {
 		s := MemberState{VM: e.VM, DataCentre: e.DataCentre, Alive: r.alive(e, now), Leaving: e.leaving, HeardAgo: -1}
-		if !e.heard.IsZero() {
-			s.HeardAgo = now.Sub(e.heard)
+		if !e.lastHeard.IsZero() {
+			s.HeardAgo = now.Sub(e.lastHeard)
 		}
 		out = append(out, s)
 	}
