--- a/core/gossip/beliefs.go
+++ b/core/gossip/beliefs.go
@@ -10,39 +10,42 @@
 	"wisteriarelay.example/core/sched"
 )
 
-// maxBeliefs bounds the targets of one report, so that it fits in a datagram.
+// maxBeliefs is the largest number of targets in one report; with more it would not
+// fit in a datagram.
 const maxBeliefs = 28
 
-// Beliefs are what the sender believes of some targets of one service.
-type Beliefs struct {
-	Service string   `cbor:"1,keyasint"`
-	Targets []belief `cbor:"2,keyasint"`
-	// Left is the number of reports on the service that follow this one.
-	Left int `cbor:"3,keyasint,omitempty"`
+// ServiceBeliefs holds the sender's beliefs about some targets of a service.
+type ServiceBeliefs struct {
+	Service string          `cbor:"1,keyasint"`
+	Targets []encodedBelief `cbor:"2,keyasint"`
+	// Remaining is the number of reports on the service that follow this one.
+	Remaining int `cbor:"3,keyasint,omitempty"`
 }
 
-// belief is a sched.TargetBelief in few bytes.
-type belief struct {
+// encodedBelief is the compact encoding of a sched.TargetBelief.
+type encodedBelief struct {
 	_    struct{} `cbor:",toarray"`
 	ID   string
 	Born int64
-	// Impaired and Sick are probabilities in shares of math.MaxUint8.
+	// Impaired and Sick are probabilities, scaled to the range from 0 to
+	// math.MaxUint8.
 	Impaired uint8
 	Sick     uint8
-	// Age and OnsetAge are in milliseconds; a negative OnsetAge stands for no spell.
+	// Age and OnsetAge are in milliseconds; a negative OnsetAge means that the target
+	// is not in a spell of failures.
 	Age      int64
 	OnsetAge int64
-	// Load is the work in flight of the whole fleet at the target.
+	// Load is the number of requests that the whole fleet has in flight at the target.
 	Load int
 }
 
-func newBelief(b sched.TargetBelief) belief {
-	share := func(p float64) uint8 { return uint8(math.Round(p * math.MaxUint8)) }
-	out := belief{
+func encodeBelief(b sched.TargetBelief) encodedBelief {
+	scale := func(p float64) uint8 { return uint8(math.Round(p * math.MaxUint8)) }
+	out := encodedBelief{
 		ID:       b.ID,
 		Born:     b.Born,
-		Impaired: share(b.Snapshot.Impaired),
-		Sick:     share(b.Snapshot.Sick),
+		Impaired: scale(b.Snapshot.Impaired),
+		Sick:     scale(b.Snapshot.Sick),
 		Age:      b.Snapshot.Age.Milliseconds(),
 		OnsetAge: -1,
 		Load:     b.Load,
@@ -53,7 +56,7 @@
 	return out
 }
 
-func (b *belief) decoded() sched.TargetBelief {
+func (b *encodedBelief) decode() sched.TargetBelief {
 	sick := float64(b.Sick) / math.MaxUint8
 	s := judge.Snapshot{
 		Impaired: min(float64(b.Impaired)/math.MaxUint8, 1-sick),
@@ -67,34 +70,36 @@
 	return sched.TargetBelief{ID: b.ID, Born: b.Born, Snapshot: s, Load: b.Load}
 }
 
-// TellBeliefs tells a peer what is believed of the targets of a service.
+// TellBeliefs sends a peer this daemon's beliefs about the targets of a service, in as
+// many reports as they need.
 func (n *Node) TellBeliefs(to roster.Member, service string, targets []sched.TargetBelief) {
-	left := (len(targets) + maxBeliefs - 1) / maxBeliefs
+	remaining := (len(targets) + maxBeliefs - 1) / maxBeliefs
 	for part := range slices.Chunk(targets, maxBeliefs) {
-		left--
-		out := Beliefs{Service: service, Left: left}
+		remaining--
+		out := ServiceBeliefs{Service: service, Remaining: remaining}
 		for _, t := range part {
-			out.Targets = append(out.Targets, newBelief(t))
+			out.Targets = append(out.Targets, encodeBelief(t))
 		}
-		n.sendAll(&Report{VM: n.self.VM, Born: n.self.Born, Beliefs: []Beliefs{out}}, []roster.Member{to})
+		n.sendReport(&Report{VM: n.self.VM, Born: n.self.Born, Beliefs: []ServiceBeliefs{out}}, []roster.Member{to})
 	}
 }
 
-// AskBeliefs asks peers what they believe of the targets of a service.
+// AskBeliefs requests from peers their beliefs about the targets of a service.
 func (n *Node) AskBeliefs(members []roster.Member, service string) {
-	n.sendAll(&Report{VM: n.self.VM, Born: n.self.Born, Asks: []string{service}}, members)
+	n.sendReport(&Report{VM: n.self.VM, Born: n.self.Born, BeliefRequests: []string{service}}, members)
 }
 
-// takeBeliefs hands on what a report says of targets, and what it asks.
-func (r *receiver) takeBeliefs(report *Report, from string) {
+// handleBeliefs calls the handlers for the beliefs in a report and for the services
+// whose beliefs it requests.
+func (r *receiver) handleBeliefs(report *Report, from string) {
 	for _, b := range report.Beliefs {
 		targets := make([]sched.TargetBelief, 0, len(b.Targets))
 		for i := range b.Targets {
-			targets = append(targets, b.Targets[i].decoded())
+			targets = append(targets, b.Targets[i].decode())
 		}
-		r.handlers.Beliefs(b.Service, targets, b.Left)
+		r.handlers.Beliefs(b.Service, targets, b.Remaining)
 	}
-	for _, service := range report.Asks {
+	for _, service := range report.BeliefRequests {
 		r.handlers.Asked(roster.Member{VM: report.VM, Born: report.Born, Inner: from}, service)
 	}
 }
--- a/core/gossip/doc.go
+++ b/core/gossip/doc.go
@@ -1,5 +1,6 @@
-// Package gossip carries short reports between daemons as datagrams: heartbeats,
-// what requests have shown of targets, and changes of the target list. A report
-// may be lost, repeated or late; each event carries a number by which a receiver
-// takes it at most once, and each is sent twice.
+// Package gossip exchanges short reports between daemons in UDP datagrams: heartbeats,
+// results of requests to targets, beliefs about targets, changes of the target list
+// and the operators' configuration. A report may be lost, duplicated or late. Each
+// event has a sequence number, by which a receiver processes it at most once; events
+// that count against a target are sent twice.
 package gossip
--- a/core/gossip/document.go
+++ b/core/gossip/document.go
@@ -12,38 +12,40 @@
 )
 
 const (
-	// pieceBytes is the part of a document that one datagram carries.
-	pieceBytes = 1200
-	// maxPieces bounds the pieces of a document.
-	maxPieces = 2048
-	// maxDocument bounds a document in bytes after it was unpacked.
-	maxDocument = 8 << 20
+	// maxFragmentBytes is the largest number of bytes of a compressed document that
+	// one datagram carries.
+	maxFragmentBytes = 1200
+	// maxFragments is the largest number of fragments of a document.
+	maxFragments = 2048
+	// maxDocumentBytes is the largest size of a document before compression.
+	maxDocumentBytes = 8 << 20
 )
 
-// Document is data of the store that one daemon reads for its data centre.
+// Document is data from the store that one daemon reads and sends to the others in its
+// data centre.
 type Document struct {
 	// Version orders the documents; a higher one replaces a lower one.
 	Version int64
 	Data    []byte
 }
 
-// Piece is a part of a compressed document.
-type Piece struct {
+// Fragment is one part of a compressed document.
+type Fragment struct {
 	_       struct{} `cbor:",toarray"`
 	Version int64
-	// Sum is the hash of the whole document, which tells apart documents that say
-	// they have the same version.
-	Sum    uint64
-	Number int
-	Count  int
-	Data   []byte
+	// Hash is the hash of the whole document. It distinguishes different documents
+	// that claim the same version.
+	Hash  uint64
+	Index int
+	Count int
+	Data  []byte
 }
 
-// split returns the pieces of a document; it fails with fault.MessageInvalid if
-// that is too large.
-func (d *Document) split() ([]Piece, error) {
-	var packed bytes.Buffer
-	w, err := flate.NewWriter(&packed, flate.DefaultCompression)
+// split compresses the document and divides it into fragments. It fails with
+// fault.MessageInvalid if the document is too large.
+func (d *Document) split() ([]Fragment, error) {
+	var compressed bytes.Buffer
+	w, err := flate.NewWriter(&compressed, flate.DefaultCompression)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Internal, "document cannot be compressed")
 	}
@@ -53,68 +55,73 @@
 	if err := w.Close(); err != nil {
 		return nil, fault.Wrap(err, fault.Internal, "document cannot be compressed")
 	}
-	count := (packed.Len() + pieceBytes - 1) / pieceBytes
-	if count > maxPieces || len(d.Data) > maxDocument {
+	count := (compressed.Len() + maxFragmentBytes - 1) / maxFragmentBytes
+	if count > maxFragments || len(d.Data) > maxDocumentBytes {
 		return nil, fault.New(fault.MessageInvalid, "document of %d bytes is too large to be passed on", len(d.Data))
 	}
-	sum := xxhash.Sum64(d.Data)
-	pieces := make([]Piece, count)
-	for i := range pieces {
-		pieces[i] = Piece{Version: d.Version, Sum: sum, Number: i, Count: count, Data: packed.Next(pieceBytes)}
+	hash := xxhash.Sum64(d.Data)
+	fragments := make([]Fragment, count)
+	for i := range fragments {
+		fragments[i] = Fragment{Version: d.Version, Hash: hash, Index: i, Count: count, Data: compressed.Next(maxFragmentBytes)}
 	}
-	return pieces, nil
+	return fragments, nil
 }
 
-// joiner puts pieces together. It keeps those of one document, the newest.
-type joiner struct {
-	version int64
-	sum     uint64
-	pieces  [][]byte
-	missing int
+// reassembler reassembles a document from its fragments. It keeps the fragments of one
+// document only, the one with the highest version.
+type reassembler struct {
+	version   int64
+	hash      uint64
+	fragments [][]byte
+	missing   int
 }
 
-// add takes in a piece and returns the document once it is whole. Pieces of other
-// versions cost only themselves.
-func (j *joiner) add(p *Piece) (*Document, error) {
-	if p.Count <= 0 || p.Count > maxPieces || p.Number < 0 || p.Number >= p.Count || len(p.Data) > pieceBytes {
-		return nil, fault.New(fault.MessageInvalid, "piece %d of %d is not valid", p.Number, p.Count)
+// add adds a fragment and returns the document once all fragments have arrived.
+// Fragments of an older version are ignored; one of a newer version, or of another
+// document with the same version, starts a new reassembly.
+func (r *reassembler) add(f *Fragment) (*Document, error) {
+	if f.Count <= 0 || f.Count > maxFragments || f.Index < 0 || f.Index >= f.Count || len(f.Data) > maxFragmentBytes {
+		return nil, fault.New(fault.MessageInvalid, "fragment %d of %d is invalid", f.Index, f.Count)
 	}
-	if p.Version < j.version {
+	if f.Version < r.version {
 		return nil, nil
 	}
-	if p.Version > j.version || p.Sum != j.sum || p.Count != len(j.pieces) {
-		*j = joiner{version: p.Version, sum: p.Sum, pieces: make([][]byte, p.Count), missing: p.Count}
+	if f.Version > r.version || f.Hash != r.hash || f.Count != len(r.fragments) {
+		*r = reassembler{version: f.Version, hash: f.Hash, fragments: make([][]byte, f.Count), missing: f.Count}
 	}
-	if j.pieces[p.Number] != nil {
+	if r.fragments[f.Index] != nil {
 		return nil, nil
 	}
-	j.pieces[p.Number] = p.Data
-	if j.missing--; j.missing > 0 {
+	r.fragments[f.Index] = f.Data
+	if r.missing--; r.missing > 0 {
 		return nil, nil
 	}
-	return j.unpack()
+	return r.decompress()
 }
 
-func (j *joiner) unpack() (*Document, error) {
-	packed := flate.NewReader(bytes.NewReader(bytes.Join(j.pieces, nil)))
-	data, err := io.ReadAll(io.LimitReader(packed, maxDocument+1))
+// decompress joins and decompresses the fragments, and checks size and hash of the
+// document.
+func (r *reassembler) decompress() (*Document, error) {
+	reader := flate.NewReader(bytes.NewReader(bytes.Join(r.fragments, nil)))
+	data, err := io.ReadAll(io.LimitReader(reader, maxDocumentBytes+1))
 	if err != nil {
-		return nil, fault.Wrap(err, fault.MessageInvalid, "document cannot be unpacked")
+		return nil, fault.Wrap(err, fault.MessageInvalid, "document cannot be decompressed")
 	}
-	if len(data) > maxDocument || xxhash.Sum64(data) != j.sum {
+	if len(data) > maxDocumentBytes || xxhash.Sum64(data) != r.hash {
 		return nil, fault.New(fault.MessageInvalid, "document of %d bytes does not match its hash", len(data))
 	}
-	return &Document{Version: j.version, Data: data}, nil
+	return &Document{Version: r.version, Data: data}, nil
 }
 
-// TellConfig passes the operators' configuration on, as it lies in the store.
+// TellConfig sends the operators' configuration to peers, in the form in which the
+// store holds it.
 func (n *Node) TellConfig(d Document, to []roster.Member) {
-	pieces, err := d.split()
+	fragments, err := d.split()
 	if err != nil {
 		_ = n.logger.Log("msg", "configuration not passed on", "version", d.Version, "err", err)
 		return
 	}
-	for i := range pieces {
-		n.sendAll(&Report{VM: n.self.VM, Born: n.self.Born, Piece: &pieces[i]}, to)
+	for i := range fragments {
+		n.sendReport(&Report{VM: n.self.VM, Born: n.self.Born, ConfigFragment: &fragments[i]}, to)
 	}
 }
--- a/core/gossip/document_test.go
+++ b/core/gossip/document_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// document returns data that hardly compresses.
-func document(version int64, size int) Document {
+// randomDocument returns a document whose data hardly compresses.
+func randomDocument(version int64, size int) Document {
 	random := rand.New(rand.NewPCG(uint64(version), 1))
 	data := make([]byte, size)
 	for i := range data {
@@ -18,21 +18,21 @@
 	return Document{Version: version, Data: data}
 }
 
-func split(g *WithT, d Document) []Piece {
+func mustSplit(g *WithT, d Document) []Fragment {
 	pieces, err := d.split()
 	g.Expect(err).NotTo(HaveOccurred())
 	return pieces
 }
 
-// Guards against a configuration that is put together wrongly from pieces that come
-// in any order and more than once.
-func TestPiecesJoinInAnyOrder(t *testing.T) {
+// Guards against a configuration that is reassembled wrongly if fragments arrive out
+// of order or more than once.
+func TestFragmentsReassembleInAnyOrder(t *testing.T) {
 	g := NewWithT(t)
-	want := document(7, 20_000)
-	pieces := split(g, want)
+	want := randomDocument(7, 20_000)
+	pieces := mustSplit(g, want)
 	g.Expect(len(pieces)).To(BeNumerically(">", 10))
 	rand.Shuffle(len(pieces), func(a, b int) { pieces[a], pieces[b] = pieces[b], pieces[a] })
-	var j joiner
+	var j reassembler
 	var got []*Document
 	for i := range pieces {
 		for range 2 {
@@ -48,15 +48,15 @@
 	g.Expect(bytes.Equal(got[0].Data, want.Data)).To(BeTrue())
 }
 
-// Guards against pieces of an older configuration, or of another with the same
-// version, that end up in one document.
-func TestPiecesOfDifferentDocumentsDoNotMix(t *testing.T) {
+// Guards against fragments of an older configuration, or of another one with the same
+// version, that are reassembled into one document.
+func TestFragmentsOfDifferentDocumentsDoNotMix(t *testing.T) {
 	g := NewWithT(t)
-	older, newer := split(g, document(1, 3000)), split(g, document(2, 3000))
-	other := split(g, Document{Version: 2, Data: document(3, 3000).Data})
-	var j joiner
+	older, newer := mustSplit(g, randomDocument(1, 3000)), mustSplit(g, randomDocument(2, 3000))
+	other := mustSplit(g, Document{Version: 2, Data: randomDocument(3, 3000).Data})
+	var j reassembler
 	for i := range newer {
-		for _, p := range []*Piece{&other[i], &older[i], &newer[i]} {
+		for _, p := range []*Fragment{&other[i], &older[i], &newer[i]} {
 			d, err := j.add(p)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(d).To(BeNil(), "each piece of the one starts the other anew")
@@ -64,22 +64,22 @@
 	}
 }
 
-// Guards against memory and time that a forged or damaged piece takes.
-func TestUnusablePiecesAreDropped(t *testing.T) {
+// Guards against memory and time spent on a forged or damaged fragment.
+func TestInvalidFragmentsAreRejected(t *testing.T) {
 	g := NewWithT(t)
-	bad := map[string]Piece{
+	bad := map[string]Fragment{
 		"no pieces":       {Version: 1},
 		"too many":        {Version: 1, Count: 1 << 30},
-		"number too high": {Version: 1, Number: 2, Count: 2},
-		"negative":        {Version: 1, Number: -1, Count: 2},
-		"too long":        {Version: 1, Count: 1, Data: make([]byte, pieceBytes+1)},
+		"number too high": {Version: 1, Index: 2, Count: 2},
+		"negative":        {Version: 1, Index: -1, Count: 2},
+		"too long":        {Version: 1, Count: 1, Data: make([]byte, maxFragmentBytes+1)},
 		"not compressed":  {Version: 1, Count: 1, Data: []byte("abc")},
-		"wrong hash":      split(g, document(1, 10))[0],
+		"wrong hash":      mustSplit(g, randomDocument(1, 10))[0],
 	}
 	for name, p := range bad {
-		var j joiner
+		var j reassembler
 		if name == "wrong hash" {
-			p.Sum++
+			p.Hash++
 		}
 		d, err := j.add(&p)
 		g.Expect(d).To(BeNil(), name)
@@ -87,10 +87,11 @@
 	}
 }
 
-// Guards against a small datagram that unpacks to more memory than a VM has.
-func TestUnpackedDocumentIsBounded(t *testing.T) {
+// Guards against a document that fits in few datagrams but needs more memory after
+// decompression than a VM has.
+func TestDocumentSizeIsBounded(t *testing.T) {
 	g := NewWithT(t)
-	d := Document{Version: 1, Data: make([]byte, maxDocument+1)}
+	d := Document{Version: 1, Data: make([]byte, maxDocumentBytes+1)}
 	_, err := d.split()
 	g.Expect(err).To(HaveOccurred())
 }
--- a/core/gossip/events.go
+++ b/core/gossip/events.go
@@ -10,23 +10,26 @@
 	"wisteriarelay.example/core/sched"
 )
 
-// maxEvents bounds the events of one report, so that it fits in a datagram.
+// maxEvents is the largest number of events in one report; with more it would not fit
+// in a datagram.
 const maxEvents = 64
 
-// Results are events of targets at one daemon.
-type Results struct {
+// EventBatch holds events of one daemon. A daemon numbers its events in sequence from
+// its start.
+type EventBatch struct {
 	_ struct{} `cbor:",toarray"`
-	// First is the number of the first event; the sender counts its events from its start.
-	First  uint64
-	Events []Event
+	// FirstSeq is the sequence number of the first event.
+	FirstSeq uint64
+	Events   []EncodedEvent
 }
 
-// Event is one event of a target in few bytes: each request causes two, which go to
-// all carriers. Its fields are fixed, because daemons that do not know a further one
-// cannot read it; what is added goes into [Report].
-type Event struct {
+// EncodedEvent is the compact encoding of a sched.Event: each request causes two
+// events, which are sent to all carriers. The fields are fixed, because a daemon of an
+// earlier version could not decode an event with a further field; new data goes into
+// [Report].
+type EncodedEvent struct {
 	_ struct{} `cbor:",toarray"`
-	// Offset is the number of the event, counted from Results.First.
+	// Offset is the event's sequence number minus FirstSeq of its batch.
 	Offset   uint64
 	Target   TargetHash
 	InFlight int
@@ -35,11 +38,12 @@
 	Latency int64
 }
 
-// TargetHash stands for one run of a target of a service.
+// TargetHash identifies one run of a target of a service in events.
 type TargetHash uint32
 
-// HashTarget returns the hash of a target. Both ends know the targets; two that
-// share a hash are told apart by [TargetIndex].
+// HashTarget returns the hash of a target. Sender and receiver both know the targets,
+// so the hash is enough to identify one; [TargetIndex] leaves out targets with the
+// same hash.
 func HashTarget(service string, k sched.Key) TargetHash {
 	var d xxhash.Digest
 	d.Reset()
@@ -50,55 +54,56 @@
 	return TargetHash(d.Sum64())
 }
 
-// TargetRef names a target.
+// TargetRef identifies a target.
 type TargetRef struct {
 	Service    string
 	Key        sched.Key
 	DataCentre string
 }
 
-// TargetIndex finds targets by their hashes.
+// TargetIndex maps hashes to targets.
 type TargetIndex map[TargetHash]TargetRef
 
-// NewTargetIndex returns the index of the targets of all services. Targets that
-// share a hash are left out: what peers say of them cannot be told apart.
+// NewTargetIndex returns the index of the targets of all services. Targets with the
+// same hash are left out, because events of one could be taken for events of the
+// other.
 func NewTargetIndex(targets map[string][]sched.Target) TargetIndex {
 	index := TargetIndex{}
-	shared := map[TargetHash]bool{}
-	for service, each := range targets {
-		for _, t := range each {
+	collides := map[TargetHash]bool{}
+	for service, list := range targets {
+		for _, t := range list {
 			h := HashTarget(service, t.Key)
 			_, taken := index[h]
-			shared[h] = shared[h] || taken
+			collides[h] = collides[h] || taken
 			index[h] = TargetRef{Service: service, Key: t.Key, DataCentre: t.DataCentre}
 		}
 	}
-	for h, twice := range shared {
-		if twice {
+	for h, collision := range collides {
+		if collision {
 			delete(index, h)
 		}
 	}
 	return index
 }
 
-// queued is an event on its way to peers.
-type queued struct {
-	number  uint64
+// queuedEvent is an event that waits to be sent to peers.
+type queuedEvent struct {
+	seq     uint64
 	service string
 	target  TargetHash
 	event   sched.Event
 }
 
-func newQueued(number uint64, e sched.Event) queued {
-	return queued{number: number, service: e.Service, target: HashTarget(e.Service, e.Target), event: e}
+func newQueuedEvent(seq uint64, e sched.Event) queuedEvent {
+	return queuedEvent{seq: seq, service: e.Service, target: HashTarget(e.Service, e.Target), event: e}
 }
 
-// newResults returns the events, in the order of their numbers, as they are sent.
-func newResults(events []queued) *Results {
-	out := &Results{First: events[0].number}
+// newEventBatch encodes events, which must be in the order of their sequence numbers.
+func newEventBatch(events []queuedEvent) *EventBatch {
+	out := &EventBatch{FirstSeq: events[0].seq}
 	for _, e := range events {
-		out.Events = append(out.Events, Event{
-			Offset:   e.number - out.First,
+		out.Events = append(out.Events, EncodedEvent{
+			Offset:   e.seq - out.FirstSeq,
 			Target:   e.target,
 			InFlight: e.event.InFlight,
 			Result:   e.event.Result,
@@ -108,8 +113,8 @@
 	return out
 }
 
-// decoded returns the event; ref is its target.
-func (e *Event) decoded(ref TargetRef) sched.Event {
+// decode returns the event; ref identifies its target.
+func (e *EncodedEvent) decode(ref TargetRef) sched.Event {
 	return sched.Event{
 		Service:  ref.Service,
 		Target:   ref.Key,
--- a/core/gossip/fuzz_test.go
+++ b/core/gossip/fuzz_test.go
@@ -4,14 +4,15 @@
 	"testing"
 )
 
-// Guards against a datagram that ends the daemon or takes memory without bound.
+// Guards against a datagram that makes the daemon panic or allocate memory without
+// bound.
 func FuzzReport(f *testing.F) {
-	beat := Report{VM: "vm", DataCentre: "a", Callers: "10.0.0.1:80", Ready: true, Carries: []string{"group-0"}, Cores: 0.3}
-	pieces, err := (&Document{Version: 1, Data: []byte("configuration")}).split()
+	heartbeat := Report{VM: "vm", DataCentre: "a", Callers: "10.0.0.1:80", Ready: true, Carries: []string{"group-0"}, Cores: 0.3}
+	fragments, err := (&Document{Version: 1, Data: []byte("configuration")}).split()
 	if err != nil {
 		f.Fatal(err)
 	}
-	for _, r := range []Report{beat, {VM: "vm", Results: &Results{First: 1, Events: []Event{{Target: 7}}}}, {VM: "vm", Piece: &pieces[0]}} {
+	for _, r := range []Report{heartbeat, {VM: "vm", EventBatch: &EventBatch{FirstSeq: 1, Events: []EncodedEvent{{Target: 7}}}}, {VM: "vm", ConfigFragment: &fragments[0]}} {
 		data, err := r.Encode()
 		if err != nil {
 			f.Fatal(err)
@@ -24,17 +25,17 @@
 		if err != nil {
 			return
 		}
-		if r.Results != nil {
-			for i := range r.Results.Events {
-				_ = r.Results.Events[i].decoded(TargetRef{})
+		if r.EventBatch != nil {
+			for i := range r.EventBatch.Events {
+				_ = r.EventBatch.Events[i].decode(TargetRef{})
 			}
 		}
-		if r.Piece == nil {
+		if r.ConfigFragment == nil {
 			return
 		}
-		var j joiner
-		d, err := j.add(r.Piece)
-		if err == nil && d != nil && len(d.Data) > maxDocument {
+		var j reassembler
+		d, err := j.add(r.ConfigFragment)
+		if err == nil && d != nil && len(d.Data) > maxDocumentBytes {
 			t.Fatalf("document of %d bytes", len(d.Data))
 		}
 	})
--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -16,48 +16,49 @@
 	"wisteriarelay.example/core/watch"
 )
 
-// Guards against a repeated datagram that counts a result twice.
-func TestEachNumberIsTakenOnce(t *testing.T) {
+// Guards against a duplicate datagram whose result is counted twice.
+func TestEachSequenceNumberIsNewOnce(t *testing.T) {
 	g := NewWithT(t)
-	var s seen
-	g.Expect(s.first(10)).To(BeTrue())
-	g.Expect(s.first(10)).To(BeFalse())
-	g.Expect(s.first(8)).To(BeTrue())
-	g.Expect(s.first(8)).To(BeFalse())
-	g.Expect(s.first(200)).To(BeTrue())
-	g.Expect(s.first(100)).To(BeFalse())
-	g.Expect(s.first(199)).To(BeTrue())
+	var s dedupWindow
+	g.Expect(s.markNew(10)).To(BeTrue())
+	g.Expect(s.markNew(10)).To(BeFalse())
+	g.Expect(s.markNew(8)).To(BeTrue())
+	g.Expect(s.markNew(8)).To(BeFalse())
+	g.Expect(s.markNew(200)).To(BeTrue())
+	g.Expect(s.markNew(100)).To(BeFalse())
+	g.Expect(s.markNew(199)).To(BeTrue())
 }
 
-// Guards against a full report that no longer fits in one packet.
+// Guards against a report with the largest number of items that does not fit in one
+// packet.
 func TestFullReportsFitInADatagram(t *testing.T) {
 	g := NewWithT(t)
 	events := Report{VM: "front-lautoka-north-12", Born: 1 << 41, Forward: true}
-	var many []queued
+	var queued []queuedEvent
 	for i := range uint64(maxEvents) {
-		many = append(many, newQueued(1<<40+1000*i, sched.Event{
+		queued = append(queued, newQueuedEvent(1<<40+1000*i, sched.Event{
 			Service: "service-with-a-name", Target: sched.Key{ID: "i-0123456789", Born: 1 << 41}, InFlight: 300, Result: judge.Broken, Latency: time.Hour,
 		}))
 	}
-	events.Results = newResults(many)
+	events.EventBatch = newEventBatch(queued)
 	data, err := events.Encode()
 	g.Expect(err).NotTo(HaveOccurred())
-	back, err := Decode(data)
+	decoded, err := Decode(data)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(back.Results).To(Equal(events.Results))
+	g.Expect(decoded.EventBatch).To(Equal(events.EventBatch))
 
-	list := Report{VM: "front-lautoka-north-12", Born: 1 << 41, List: &watch.Part{}}
+	list := Report{VM: "front-lautoka-north-12", Born: 1 << 41, ListPart: &watch.Part{}}
 	for range maxChanges {
-		list.List.Changes = append(list.List.Changes, watch.Change{ID: "i-0123456789", Entry: &watch.Entry{
+		list.ListPart.Changes = append(list.ListPart.Changes, watch.Change{ID: "i-0123456789", Entry: &watch.Entry{
 			Service: "service-with-a-name", Address: "10.128.100.100:12345", DataCentre: "lautoka-north", Slots: 200, Born: 1 << 41, Seq: 1 << 30, ColdLeft: 1 << 32,
 		}})
 	}
 	_, err = list.Encode()
 	g.Expect(err).NotTo(HaveOccurred())
 
-	beliefs := Report{VM: "front-lautoka-north-12", Born: 1 << 41, Beliefs: []Beliefs{{Service: "service-with-a-name"}}}
+	beliefs := Report{VM: "front-lautoka-north-12", Born: 1 << 41, Beliefs: []ServiceBeliefs{{Service: "service-with-a-name"}}}
 	for range maxBeliefs {
-		beliefs.Beliefs[0].Targets = append(beliefs.Beliefs[0].Targets, newBelief(sched.TargetBelief{
+		beliefs.Beliefs[0].Targets = append(beliefs.Beliefs[0].Targets, encodeBelief(sched.TargetBelief{
 			ID: "i-0123456789", Born: 1 << 41, Snapshot: judge.Snapshot{Impaired: 0.123, Sick: 0.456, Age: 1 << 33, OnsetAge: 1 << 33},
 		}))
 	}
@@ -65,7 +66,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 }
 
-// Guards against a process that stops at a datagram from somewhere else.
+// Guards against a datagram from an unknown sender that makes the process panic.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte{0xa1, 0x01, 0x61, 0x61})
 	f.Fuzz(func(_ *testing.T, data []byte) {
@@ -73,15 +74,15 @@
 	})
 }
 
-// fleet is daemons in two data centres that all carry one service.
-type fleet struct {
-	members []roster.Member
-	nodes   []*Node
-	heard   chan string
+// testFleet is daemons in two data centres that all carry the same service.
+type testFleet struct {
+	members  []roster.Member
+	nodes    []*Node
+	received chan string
 }
 
-func newFleet(t *testing.T, size int) *fleet {
-	f := &fleet{heard: make(chan string, 100)}
+func newTestFleet(t *testing.T, size int) *testFleet {
+	f := &testFleet{received: make(chan string, 100)}
 	var conns []*net.UDPConn
 	for i := range size {
 		conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -100,7 +101,7 @@
 	return f
 }
 
-func (f *fleet) newNode(i int, conn *net.UDPConn) *Node {
+func (f *testFleet) newNode(i int, conn *net.UDPConn) *Node {
 	index := NewTargetIndex(map[string][]sched.Target{"orders": {{Key: sched.Key{ID: "t1"}}}})
 	sources := Sources{
 		Targets: func() TargetIndex { return index },
@@ -108,52 +109,53 @@
 			return Audience{Carriers: slices.Concat(f.members[:i], f.members[i+1:])}
 		},
 	}
-	handlers := Handlers{Event: func(peer string, _ sched.Event) { f.heard <- peer + " to " + f.members[i].VM }}
+	handlers := Handlers{Event: func(peer string, _ sched.Event) { f.received <- peer + " to " + f.members[i].VM }}
 	return NewNode(f.members[i], conn, sources, handlers, log.NewNopLogger())
 }
 
-// Guards against an event that crosses between data centres once for each
-// carrier: at 27 carriers that was the largest part of the paid traffic.
+// Guards against an event that is sent to another data centre once for each carrier
+// there. With 27 carriers this was the largest part of the billed traffic.
 func TestEventCrossesBetweenDataCentresOnce(t *testing.T) {
 	g := NewWithT(t)
-	f := newFleet(t, 8)
+	f := newTestFleet(t, 8)
 	gateways := map[string]bool{}
 	for i := range f.nodes {
-		r := f.nodes[i].recipients("orders")
-		g.Expect(r.near).To(HaveLen(3))
-		g.Expect(r.far).To(HaveLen(1))
-		for _, members := range r.far {
+		r := f.nodes[i].newFanout("orders")
+		g.Expect(r.local).To(HaveLen(3))
+		g.Expect(r.remote).To(HaveLen(1))
+		for _, members := range r.remote {
 			gateways[members[0].VM] = true
 		}
 	}
 	g.Expect(len(gateways)).To(BeNumerically(">", 2), "the work of passing on is spread")
 }
 
-// Guards against carriers of another data centre that hear nothing, or hear twice.
+// Guards against carriers of another data centre that do not get an event, or get it
+// twice.
 func TestForwardedEventReachesEachCarrierOnce(t *testing.T) {
 	g := NewWithT(t)
-	f := newFleet(t, 8)
+	f := newTestFleet(t, 8)
 	for _, n := range f.nodes {
-		r := &receiver{Node: n, groups: newGroups(n)}
+		r := &receiver{Node: n, fanouts: newFanoutCache(n)}
 		go r.run()
 	}
-	s := &sender{Node: f.nodes[0], groups: newGroups(f.nodes[0])}
+	s := &sender{Node: f.nodes[0], fanouts: newFanoutCache(f.nodes[0])}
 	s.Tell(sched.Event{Service: "orders", Target: sched.Key{ID: "t1"}, Result: judge.Broken})
 	s.flush()
 	s.flush()
 	got := map[string]int{}
 	for range 7 {
-		var one string
-		g.Eventually(f.heard, 10*time.Second).Should(Receive(&one))
-		got[one]++
+		var delivery string
+		g.Eventually(f.received, 10*time.Second).Should(Receive(&delivery))
+		got[delivery]++
 	}
 	g.Expect(got).To(HaveLen(7))
-	g.Consistently(f.heard, 50*time.Millisecond).ShouldNot(Receive())
+	g.Consistently(f.received, 50*time.Millisecond).ShouldNot(Receive())
 }
 
-// Guards against a result that is taken for one of another target, because both have
-// the same hash, and against losing those of all others with it.
-func TestTargetsThatShareAHashAreLeftOut(t *testing.T) {
+// Guards against a result that is attributed to the wrong target because two have the
+// same hash, and against losing the results of all other targets as well.
+func TestTargetsWithCollidingHashesAreLeftOut(t *testing.T) {
 	g := NewWithT(t)
 	one := sched.Target{Key: sched.Key{ID: "t1", Born: 1}}
 	again := sched.Target{Key: sched.Key{ID: "t1", Born: 2}}
@@ -164,41 +166,43 @@
 	g.Expect(index).NotTo(HaveKey(HashTarget("orders", one.Key)))
 }
 
-// Guards against evidence that takes more of a small link than it has to: each
-// request causes two events, which go to all carriers.
-func TestEventIsSmall(t *testing.T) {
+// Each request causes two events, which are sent to all carriers. Guards against an
+// encoding that uses more of a small network link than necessary.
+func TestEncodedEventIsSmall(t *testing.T) {
 	g := NewWithT(t)
 	size := func(count int) int {
-		var events []queued
+		var events []queuedEvent
 		for i := range uint64(count) {
-			events = append(events, newQueued(1<<40+i, sched.Event{Service: "reservas", Target: sched.Key{ID: "i-0123456789", Born: 1 << 41}, InFlight: 2, Result: judge.Served, Latency: 400 * time.Millisecond}))
+			events = append(events, newQueuedEvent(1<<40+i, sched.Event{Service: "reservas", Target: sched.Key{ID: "i-0123456789", Born: 1 << 41}, InFlight: 2, Result: judge.Served, Latency: 400 * time.Millisecond}))
 		}
-		data, err := (&Report{VM: "front-mdp-1", Born: 1 << 41, Results: newResults(events)}).Encode()
+		data, err := (&Report{VM: "front-mdp-1", Born: 1 << 41, EventBatch: newEventBatch(events)}).Encode()
 		g.Expect(err).NotTo(HaveOccurred())
 		return len(data)
 	}
 	g.Expect(size(11) - size(1)).To(BeNumerically("<=", 10*14))
 }
 
-// Load pattern: callers spread over all daemons. Guards against telling each of them
-// every event, and against hiding failures from those with stray requests.
-func TestStraysHearOnlyFailures(t *testing.T) {
+// Callers are spread over all daemons. Guards against sending each of these every
+// event, and against hiding failures from daemons that handle a few requests for a
+// service that they do not carry.
+func TestFailuresOnlyRecipientsGetNoOtherEvents(t *testing.T) {
 	g := NewWithT(t)
-	r := &recipients{near: []roster.Member{{VM: "carrier"}}, strays: []roster.Member{{VM: "stray"}}}
-	g.Expect(r.within(sched.Event{Result: judge.Served})).To(HaveLen(1))
-	g.Expect(r.within(sched.Event{})).To(HaveLen(1))
-	g.Expect(r.within(sched.Event{Result: judge.Broken})).To(HaveLen(2))
-	g.Expect(r.within(sched.Event{Result: judge.Slow})).To(HaveLen(2))
+	r := &fanout{local: []roster.Member{{VM: "carrier"}}, failuresOnly: []roster.Member{{VM: "stray"}}}
+	g.Expect(r.localRecipients(sched.Event{Result: judge.Served})).To(HaveLen(1))
+	g.Expect(r.localRecipients(sched.Event{})).To(HaveLen(1))
+	g.Expect(r.localRecipients(sched.Event{Result: judge.Broken})).To(HaveLen(2))
+	g.Expect(r.localRecipients(sched.Event{Result: judge.Slow})).To(HaveLen(2))
 }
 
-// Load pattern: a group of many carriers. Guards against events of every target that
-// go to all of them: what one data centre uses, others hardly need to know.
-func TestEventsOfALargeGroupStayWithTheirTargets(t *testing.T) {
+// A group has many carriers. Guards against sending the events of every target to all
+// of them: other data centres hardly need the results of targets that one data centre
+// uses.
+func TestEventsOfLargeGroupStayInTargetDataCentre(t *testing.T) {
 	g := NewWithT(t)
-	r := &recipients{far: map[string][]roster.Member{"b": {{VM: "b-1"}}, "c": {{VM: "c-1"}}}}
-	g.Expect(r.beyond("a")).To(HaveLen(2))
-	r.local = true
-	g.Expect(r.beyond("a")).To(BeEmpty())
-	g.Expect(r.beyond("b")).To(Equal([][]roster.Member{{{VM: "b-1"}}}))
-	g.Expect(r.beyond("")).To(BeEmpty())
+	r := &fanout{remote: map[string][]roster.Member{"b": {{VM: "b-1"}}, "c": {{VM: "c-1"}}}}
+	g.Expect(r.remoteRecipients("a")).To(HaveLen(2))
+	r.ownTargetsOnly = true
+	g.Expect(r.remoteRecipients("a")).To(BeEmpty())
+	g.Expect(r.remoteRecipients("b")).To(Equal([][]roster.Member{{{VM: "b-1"}}}))
+	g.Expect(r.remoteRecipients("")).To(BeEmpty())
 }
--- a/core/gossip/node.go
+++ b/core/gossip/node.go
@@ -17,76 +17,83 @@
 )
 
 const (
-	// beatInterval is the time between two heartbeats of a watched daemon to its
-	// data centre.
-	beatInterval = 200 * time.Millisecond
-	// quietBeats is the number of heartbeats of which a daemon that is not watched
-	// sends one, to those that are.
-	quietBeats = 5
-	// farBeats is the number of heartbeats after which the carriers in other data
-	// centres get one too; traffic between data centres is paid for.
-	farBeats = 5
-	// gatherTime is how long events are gathered before they are sent. Those that
-	// speak against a target are sent at once.
-	gatherTime = 15 * time.Millisecond
-	// repeatAfter is the longest time until events that speak against a target are
-	// sent the second time.
-	repeatAfter = 40 * time.Millisecond
-	// maxQueued bounds the events that wait to be sent; the oldest are dropped.
-	maxQueued = 1024
+	// heartbeatInterval is the time between two heartbeats of a monitored daemon to
+	// the members of its data centre.
+	heartbeatInterval = 200 * time.Millisecond
+	// reducedRateEvery is the number of heartbeat intervals between two heartbeats of
+	// a daemon that is not monitored. It sends them to the monitored daemons only.
+	reducedRateEvery = 5
+	// remoteEvery is the number of heartbeat intervals between two heartbeats to
+	// carriers in other data centres. Traffic between data centres is billed.
+	remoteEvery = 5
+	// batchDelay is how long events are collected into a batch. Events that count
+	// against a target are sent at once, except slow responses.
+	batchDelay = 15 * time.Millisecond
+	// repeatDelay is the longest delay before events that count against a target are
+	// sent a second time.
+	repeatDelay = 40 * time.Millisecond
+	// maxPending is the largest number of events that wait to be sent. If there are
+	// more, the oldest are dropped.
+	maxPending = 1024
 )
 
-// Handlers are told what peers report. They must not block.
+// Handlers are called with the contents of the reports that arrive. They must not
+// block.
 type Handlers struct {
-	// Heard is told each report; it returns false if the report is to be ignored.
+	// Heard is called with each heartbeat. If it returns false, the rest of the report
+	// is ignored.
 	Heard func(m roster.Member, r *Report) bool
+	// Event is called once with each event of a target.
 	Event func(peer string, e sched.Event)
-	List  func(p watch.Part)
-	// Group is told who carries a group in other data centres.
+	// List is called with each part of a change of the target list.
+	List func(p watch.Part)
+	// Group is called with carriers of a group in other data centres.
 	Group func(g Group)
-	// Snapshot is told the whole target list, Members who else is in the data centre;
-	// both come only to a daemon that has just started.
+	// Snapshot is called with the whole target list, Members with members of the
+	// fleet. Peers send both only to a daemon that has just started.
 	Snapshot func(d watch.Delta)
 	Members  func(sender string, members []roster.Member)
-	// Config is told a configuration that a peer has read.
+	// Config is called with a configuration that a peer read from the store.
 	Config func(d Document)
-	// Beliefs is told what a peer believes of the targets of a service; left is the
-	// number of reports on it that follow.
+	// Beliefs is called with a peer's beliefs about targets of a service; left is the
+	// number of reports on the service that follow.
 	Beliefs func(service string, targets []sched.TargetBelief, left int)
-	// Asked is told that a peer asks for what this daemon believes of a service.
+	// Asked is called if a peer requests this daemon's beliefs about a service.
 	Asked func(peer roster.Member, service string)
 }
 
-// Sources are asked for what the reports of this daemon hold.
+// Sources provide the contents and the recipients of the reports that this daemon
+// sends.
 type Sources struct {
-	// State returns the daemon's own part of a report.
+	// State returns the daemon's heartbeat.
 	State func() Report
-	// Near returns the daemons of the own data centre.
+	// Near returns the other members of the local data centre.
 	Near func() []roster.Member
-	// Watched returns those that all of them have to hear often, and whether this
-	// daemon is one of them.
+	// Watched returns the monitored daemons of the local data centre without this one,
+	// and whether this daemon is monitored too.
 	Watched func() (members []roster.Member, self bool)
-	// Targets returns the targets that this daemon knows.
+	// Targets returns the index of the targets that this daemon knows.
 	Targets func() TargetIndex
 	// Group returns the daemons that get the events of a service.
 	Group func(service string) Audience
-	// Peers returns the daemons that carry what this daemon carries.
+	// Peers returns the daemons that carry a group which this daemon carries too.
 	Peers func() []roster.Member
-	// Groups returns what the own data centre is told of carriers in others.
+	// Groups returns the carriers in other data centres that the local data centre is
+	// informed of.
 	Groups func() []Group
 }
 
-// Audience is the daemons that get the events of a service.
+// Audience holds the daemons that get the events of a service.
 type Audience struct {
 	Carriers []roster.Member
-	// Strays are daemons of the own data centre that only get the events that speak
+	// Strays are daemons of the local data centre that get only the events that count
 	// against a target.
 	Strays []roster.Member
-	// Local says that another data centre only gets the events of its own targets.
+	// Local is true if another data centre gets only the events of its own targets.
 	Local bool
 }
 
-// Node sends and receives reports.
+// Node sends and receives reports on a UDP socket.
 type Node struct {
 	self     roster.Member
 	conn     *net.UDPConn
@@ -94,25 +101,30 @@
 	handlers Handlers
 	logger   log.Logger
 
-	mu      sync.Mutex
-	number  uint64
-	fresh   []queued
-	again   []queued
+	mu sync.Mutex
+	// lastSeq is the sequence number of the last event that was queued.
+	lastSeq uint64
+	// pending holds events that were not sent yet, repeats those to be sent a second
+	// time.
+	pending []queuedEvent
+	repeats []queuedEvent
 	dropped uint64
-	wake    chan struct{}
-	urgent  chan struct{}
+	// wake tells the sender that events are pending, urgent that they must be sent at
+	// once.
+	wake   chan struct{}
+	urgent chan struct{}
 
-	seenMu sync.Mutex
-	seen   map[string]*seenOf
+	windowsMu sync.Mutex
+	windows   map[string]*senderWindow
 }
 
-// seenOf is what was taken from one run of a sender.
-type seenOf struct {
-	born int64
-	seen seen
+// senderWindow is the deduplication window for one run of a sender.
+type senderWindow struct {
+	born   int64
+	window dedupWindow
 }
 
-// NewNode returns a node on the connection.
+// NewNode returns a node that uses the connection.
 func NewNode(self roster.Member, conn *net.UDPConn, sources Sources, handlers Handlers, logger log.Logger) *Node {
 	return &Node{
 		self:     self,
@@ -122,82 +134,87 @@
 		logger:   logger,
 		wake:     make(chan struct{}, 1),
 		urgent:   make(chan struct{}, 1),
-		seen:     map[string]*seenOf{},
+		windows:  map[string]*senderWindow{},
 	}
 }
 
-// Start runs the node until ctx ends.
+// Start starts sending and receiving. Sending ends with ctx, receiving when the
+// connection is closed.
 func (n *Node) Start(ctx context.Context) {
-	r := &receiver{Node: n, groups: newGroups(n)}
+	r := &receiver{Node: n, fanouts: newFanoutCache(n)}
 	go r.run()
-	b := &beats{n}
-	go b.loop(ctx)
-	s := &sender{Node: n, groups: newGroups(n)}
+	h := &heartbeater{n}
+	go h.loop(ctx)
+	s := &sender{Node: n, fanouts: newFanoutCache(n)}
 	go s.loop(ctx)
 }
 
-// Tell queues an event for the peers of its service. It does not block.
+// Tell queues an event to be sent to the daemons that get the events of its service.
+// It does not block.
 func (n *Node) Tell(e sched.Event) {
 	n.mu.Lock()
-	n.number++
-	if len(n.fresh) >= maxQueued {
-		n.fresh = n.fresh[1:]
+	n.lastSeq++
+	if len(n.pending) >= maxPending {
+		n.pending = n.pending[1:]
 		n.dropped++
 	}
-	n.fresh = append(n.fresh, newQueued(n.number, e))
+	n.pending = append(n.pending, newQueuedEvent(n.lastSeq, e))
 	n.mu.Unlock()
-	signal(n.wake)
+	notify(n.wake)
 	if e.Result.Bad() && e.Result != judge.Slow {
-		signal(n.urgent)
+		notify(n.urgent)
 	}
 }
 
-func signal(c chan<- struct{}) {
+// notify sends a signal on a channel with a buffer of one, unless one is waiting
+// already.
+func notify(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// maxChanges bounds the changes of the target list in one report, so that it
-// fits in a datagram.
+// maxChanges is the largest number of changes of the target list in one report; with
+// more it would not fit in a datagram.
 const maxChanges = 8
 
-// Dropped returns the number of events that were dropped unsent.
+// Dropped returns the number of events that were dropped before they were sent.
 func (n *Node) Dropped() int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return int64(n.dropped)
 }
 
-// TellList passes a change of the target list on to the own data centre.
+// TellList sends a change of the target list to the members of the local data centre.
 func (n *Node) TellList(d watch.Delta) {
-	near := n.sources.Near()
+	local := n.sources.Near()
 	for _, part := range d.Split(maxChanges) {
-		n.sendAll(&Report{VM: n.self.VM, Born: n.self.Born, List: &part}, near)
+		n.sendReport(&Report{VM: n.self.VM, Born: n.self.Born, ListPart: &part}, local)
 	}
 }
 
-// Beat sends a heartbeat to everybody at once, for example when the daemon starts
-// or leaves.
+// Beat sends a heartbeat to the members of the local data centre and to carriers in
+// others at once, for example when the daemon starts or leaves.
 func (n *Node) Beat() {
 	report := n.sources.State()
-	n.sendAll(&report, n.sources.Near())
-	n.beatFar(&report)
+	n.sendReport(&report, n.sources.Near())
+	n.sendRemoteHeartbeat(&report)
 }
 
-// beatFar sends a heartbeat to the carriers in other data centres.
-func (n *Node) beatFar(report *Report) {
-	told := map[string]bool{}
+// sendRemoteHeartbeat sends a heartbeat to the carriers in other data centres.
+func (n *Node) sendRemoteHeartbeat(report *Report) {
+	sent := map[string]bool{}
 	for _, m := range n.sources.Peers() {
-		if m.DataCentre != report.DataCentre && !told[m.VM] {
-			told[m.VM] = true
-			n.sendAll(report, []roster.Member{m})
+		if m.DataCentre != report.DataCentre && !sent[m.VM] {
+			sent[m.VM] = true
+			n.sendReport(report, []roster.Member{m})
 		}
 	}
 }
 
-func (n *Node) sendAll(r *Report, members []roster.Member) {
+// sendReport encodes a report and sends it to each of the members.
+func (n *Node) sendReport(r *Report, members []roster.Member) {
 	if len(members) == 0 {
 		return
 	}
@@ -212,21 +229,21 @@
 			_ = n.logger.Log("msg", "peer has no usable address", "peer", m.VM, "err", err)
 			continue
 		}
-		// Reports may be lost anyway, so a failed send needs no answer.
+		// Datagrams may be lost anyway, so a failed write is not handled.
 		_, _ = n.conn.WriteToUDPAddrPort(data, address)
 	}
 }
 
-// beats sends heartbeats.
-type beats struct{ *Node }
+// heartbeater sends heartbeats at regular intervals.
+type heartbeater struct{ *Node }
 
-func (b *beats) loop(ctx context.Context) {
-	tick := time.NewTicker(beatInterval)
+func (h *heartbeater) loop(ctx context.Context) {
+	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
 	for count := 0; ; count++ {
-		b.beat(count)
-		if count%farBeats == 0 {
-			b.tellGroups()
+		h.sendDue(count)
+		if count%remoteEvery == 0 {
+			h.sendRemoteCarriers()
 		}
 		select {
 		case <-ctx.Done():
@@ -236,34 +253,35 @@
 	}
 }
 
-// beat sends the heartbeats that are due.
-func (b *beats) beat(count int) {
-	watched, self := b.sources.Watched()
-	if !self && count%quietBeats != 0 {
+// sendDue sends the heartbeats that are due in the interval with the given number.
+func (h *heartbeater) sendDue(count int) {
+	monitored, self := h.sources.Watched()
+	if !self && count%reducedRateEvery != 0 {
 		return
 	}
-	report := b.sources.State()
+	report := h.sources.State()
 	if self {
-		b.sendAll(&report, b.sources.Near())
+		h.sendReport(&report, h.sources.Near())
 	} else {
 		report.Quiet = true
-		b.sendAll(&report, watched)
+		h.sendReport(&report, monitored)
 	}
-	if count%farBeats == 0 {
-		b.beatFar(&report)
+	if count%remoteEvery == 0 {
+		h.sendRemoteHeartbeat(&report)
 	}
 }
 
-// maxGroup bounds the members of one report, so that it fits in a datagram.
-const maxGroup = 12
+// maxMembers is the largest number of members in one report; with more it would not
+// fit in a datagram.
+const maxMembers = 12
 
-// tellGroups tells the own data centre who carries what in others, so that
-// evidence from daemons that do not carry a service reaches all that do.
-func (b *beats) tellGroups() {
-	near := b.sources.Near()
-	for _, g := range b.sources.Groups() {
-		for part := range slices.Chunk(g.Members, maxGroup) {
-			b.sendAll(&Report{VM: b.self.VM, Born: b.self.Born, Groups: []Group{{Name: g.Name, Members: part}}}, near)
+// sendRemoteCarriers informs the local data centre of the carriers in others, so that
+// results from a daemon that does not carry a service reach all its carriers.
+func (h *heartbeater) sendRemoteCarriers() {
+	local := h.sources.Near()
+	for _, g := range h.sources.Groups() {
+		for part := range slices.Chunk(g.Members, maxMembers) {
+			h.sendReport(&Report{VM: h.self.VM, Born: h.self.Born, RemoteCarriers: []Group{{Name: g.Name, Members: part}}}, local)
 		}
 	}
 }
--- a/core/gossip/receiver.go
+++ b/core/gossip/receiver.go
@@ -8,54 +8,58 @@
 	"wisteriarelay.example/core/roster"
 )
 
-// receiver takes reports in.
+// receiver reads reports from the connection and calls the handlers.
 type receiver struct {
 	*Node
-	groups   *groups
-	config   joiner
-	snapshot joiner
+	fanouts           *fanoutCache
+	configFragments   reassembler
+	snapshotFragments reassembler
 }
 
-// run ends when the connection is closed.
+// run processes reports until the connection is closed.
 func (r *receiver) run() {
-	buffer := make([]byte, 2*maxReport)
+	buffer := make([]byte, 2*maxReportBytes)
 	for {
 		size, from, err := r.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // An earlier datagram was refused by its receiver.
+			continue // The host of a peer rejected an earlier datagram (ICMP).
 		}
 		report, err := Decode(buffer[:size])
 		if err != nil {
 			_ = r.logger.Log("msg", "report dropped", "from", from, "err", err)
 			continue
 		}
-		r.take(report, from.String())
+		r.handle(report, from.String())
 	}
 }
 
-func (r *receiver) take(report *Report, from string) {
-	if report.Beat() && !r.handlers.Heard(report.Member(from), report) {
+// handle processes one report. If the report is a heartbeat that the Heard handler
+// rejects, its other contents are ignored.
+func (r *receiver) handle(report *Report, from string) {
+	if report.IsHeartbeat() && !r.handlers.Heard(report.Sender(from), report) {
 		return
 	}
-	r.takeEvents(report)
-	r.takeBeliefs(report, from)
-	r.takeStart(report)
-	for _, g := range report.Groups {
+	r.handleEvents(report)
+	r.handleBeliefs(report, from)
+	r.handleStartup(report)
+	for _, g := range report.RemoteCarriers {
 		r.handlers.Group(g)
 	}
-	if report.List != nil {
-		r.handlers.List(*report.List)
+	if report.ListPart != nil {
+		r.handlers.List(*report.ListPart)
 	}
-	if report.Piece != nil {
-		r.takePiece(report)
+	if report.ConfigFragment != nil {
+		r.handleConfigFragment(report)
 	}
 }
 
-func (r *receiver) takePiece(report *Report) {
-	d, err := r.config.add(report.Piece)
+// handleConfigFragment adds a fragment of a configuration and calls the handler once
+// it is complete.
+func (r *receiver) handleConfigFragment(report *Report) {
+	d, err := r.configFragments.add(report.ConfigFragment)
 	if err != nil {
 		_ = r.logger.Log("msg", "piece of a configuration dropped", "peer", report.VM, "err", err)
 		return
@@ -65,42 +69,43 @@
 	}
 }
 
-// takeEvents takes in the events that are new and passes them on if asked to. Those
-// of targets that this daemon does not know cost only themselves.
-func (r *receiver) takeEvents(report *Report) {
-	if report.Results == nil {
+// handleEvents calls the handler for the events that are new, and forwards them in the
+// local data centre if the report requests it. Events of unknown targets are skipped.
+func (r *receiver) handleEvents(report *Report) {
+	if report.EventBatch == nil {
 		return
 	}
 	index := r.sources.Targets()
-	onward := map[roster.Member][]queued{}
-	for i := range report.Results.Events {
-		e := &report.Results.Events[i]
-		number := report.Results.First + e.Offset
+	forwarded := map[roster.Member][]queuedEvent{}
+	for i := range report.EventBatch.Events {
+		e := &report.EventBatch.Events[i]
+		seq := report.EventBatch.FirstSeq + e.Offset
 		ref, known := index[e.Target]
-		if !known || !r.firstTime(report, number) {
+		if !known || !r.markNew(report, seq) {
 			continue
 		}
-		event := e.decoded(ref)
+		event := e.decode(ref)
 		r.handlers.Event(report.VM, event)
 		if !report.Forward {
 			continue
 		}
-		for _, m := range r.groups.of(ref.Service).within(event) {
-			onward[m] = append(onward[m], queued{number: number, service: ref.Service, target: e.Target, event: event})
+		for _, m := range r.fanouts.get(ref.Service).localRecipients(event) {
+			forwarded[m] = append(forwarded[m], queuedEvent{seq: seq, service: ref.Service, target: e.Target, event: event})
 		}
 	}
-	for m, events := range onward {
+	for m, events := range forwarded {
 		r.sendEvents(m, Report{VM: report.VM, Born: report.Born}, events)
 	}
 }
 
-func (r *receiver) firstTime(report *Report, number uint64) bool {
-	r.seenMu.Lock()
-	defer r.seenMu.Unlock()
-	s := r.seen[report.VM]
-	if s == nil || s.born != report.Born {
-		s = &seenOf{born: report.Born}
-		r.seen[report.VM] = s
+// markNew marks the sender's event as received and reports whether it was new.
+func (r *receiver) markNew(report *Report, seq uint64) bool {
+	r.windowsMu.Lock()
+	defer r.windowsMu.Unlock()
+	w := r.windows[report.VM]
+	if w == nil || w.born != report.Born {
+		w = &senderWindow{born: report.Born}
+		r.windows[report.VM] = w
 	}
-	return s.seen.first(number)
+	return w.window.markNew(seq)
 }
--- a/core/gossip/report.go
+++ b/core/gossip/report.go
@@ -8,95 +8,101 @@
 	"wisteriarelay.example/core/watch"
 )
 
-// maxReport is the largest report in bytes; it fits in one packet.
-const maxReport = 1400
+// maxReportBytes is the largest size of an encoded report. It fits in one packet
+// without IP fragmentation.
+const maxReportBytes = 1400
 
-// Report is one message between daemons. One without a data centre only carries
-// events, and leaves out what heartbeats tell of the sender.
+// Report is one message between daemons. A report with a data centre is a heartbeat
+// and describes its sender; others only identify the sender and leave out the fields
+// of heartbeats.
 type Report struct {
-	VM         string      `cbor:"1,keyasint"`
-	Born       int64       `cbor:"2,keyasint"`
-	DataCentre string      `cbor:"3,keyasint,omitempty"`
-	Callers    string      `cbor:"4,keyasint,omitempty"`
-	Ready      bool        `cbor:"5,keyasint,omitempty"`
-	Leaving    bool        `cbor:"6,keyasint,omitempty"`
-	Carries    []string    `cbor:"7,keyasint,omitempty"`
-	List       *watch.Part `cbor:"9,keyasint,omitempty"`
-	// Beliefs tell a daemon that begins to carry a service, or asks, what is known of
-	// its targets. Field 11 held them in another form.
-	Beliefs []Beliefs `cbor:"18,keyasint,omitempty"`
-	// Asks are the services of whose targets the sender asks for beliefs.
-	Asks []string `cbor:"17,keyasint,omitempty"`
-	// Groups tell the own data centre who carries what in others.
-	Groups []Group `cbor:"12,keyasint,omitempty"`
-	// Forward asks the receiver to pass the events on in its data centre.
+	VM string `cbor:"1,keyasint"`
+	// Born is the start time of the sender, as in roster.Member.
+	Born       int64  `cbor:"2,keyasint"`
+	DataCentre string `cbor:"3,keyasint,omitempty"`
+	Callers    string `cbor:"4,keyasint,omitempty"`
+	Ready      bool   `cbor:"5,keyasint,omitempty"`
+	Leaving    bool   `cbor:"6,keyasint,omitempty"`
+	// Carries lists the names of the groups that the sender carries.
+	Carries []string `cbor:"7,keyasint,omitempty"`
+	// ListPart is a part of a change of the target list.
+	ListPart *watch.Part `cbor:"9,keyasint,omitempty"`
+	// Beliefs are sent to a daemon that starts to carry a service, or requests them.
+	// Field 11 held them in another encoding.
+	Beliefs []ServiceBeliefs `cbor:"18,keyasint,omitempty"`
+	// BeliefRequests are the services for which the sender requests beliefs.
+	BeliefRequests []string `cbor:"17,keyasint,omitempty"`
+	// RemoteCarriers inform the local data centre of carriers in others.
+	RemoteCarriers []Group `cbor:"12,keyasint,omitempty"`
+	// Forward asks the receiver to forward the events in its data centre.
 	Forward bool `cbor:"13,keyasint,omitempty"`
 	// Config is the version of the configuration that the sender has in force.
 	Config int64 `cbor:"10,keyasint,omitempty"`
-	// Quiet says that the sender beats less often, because it is not watched.
+	// Quiet is true if the sender sends heartbeats at a reduced rate, because it is
+	// not monitored.
 	Quiet bool `cbor:"16,keyasint,omitempty"`
-	// Piece is a part of the operators' configuration.
-	Piece *Piece `cbor:"15,keyasint,omitempty"`
-	// Results are events of targets. Field 8 held them in another form.
-	Results *Results `cbor:"23,keyasint,omitempty"`
-	// Targets is the version of the store up to which the sender knows the targets;
-	// 0 if it knows none.
+	// ConfigFragment is a fragment of the operators' configuration.
+	ConfigFragment *Fragment `cbor:"15,keyasint,omitempty"`
+	// EventBatch holds events of targets. Field 8 held them in another encoding.
+	EventBatch *EventBatch `cbor:"23,keyasint,omitempty"`
+	// Targets is the store version of the sender's target list; 0 if it has none.
 	Targets int64 `cbor:"19,keyasint,omitempty"`
-	// Snapshot is a part of the whole target list, Members are daemons of the
-	// receiver's data centre. Both are for daemons that have just started.
-	Snapshot *Piece          `cbor:"20,keyasint,omitempty"`
-	Members  []roster.Member `cbor:"21,keyasint,omitempty"`
-	// Seeks asks the receiver for daemons of the sender's data centre.
+	// SnapshotFragment is a fragment of the whole target list, Members are members of
+	// the fleet. Both are sent only to daemons that have just started.
+	SnapshotFragment *Fragment       `cbor:"20,keyasint,omitempty"`
+	Members          []roster.Member `cbor:"21,keyasint,omitempty"`
+	// Seeks asks the receiver for members of the sender's data centre.
 	Seeks bool `cbor:"22,keyasint,omitempty"`
 	// Cores is the capacity of the sender, as in roster.Member.
 	Cores float64 `cbor:"14,keyasint,omitempty"`
 }
 
-// Group is the carriers of a group of services in other data centres.
+// Group holds carriers of a group of services in other data centres.
 type Group struct {
 	Name    string          `cbor:"1,keyasint"`
 	Members []roster.Member `cbor:"2,keyasint"`
 }
 
-// Member returns the sender; inner is the address that the report came from.
-func (r *Report) Member(inner string) roster.Member {
+// Sender returns the sender of a heartbeat; inner is the address that the report came
+// from.
+func (r *Report) Sender(inner string) roster.Member {
 	return roster.Member{VM: r.VM, DataCentre: r.DataCentre, Inner: inner, Callers: r.Callers, Born: r.Born, Cores: r.Cores}
 }
 
-// Check fails with fault.MessageInvalid if the report names no sender.
-func (r *Report) Check() error {
-	if r.VM == "" || r.Beat() && r.Callers == "" {
-		return fault.New(fault.MessageInvalid, "report names no sender")
+// Validate fails with fault.MessageInvalid if the report does not identify its sender.
+func (r *Report) Validate() error {
+	if r.VM == "" || r.IsHeartbeat() && r.Callers == "" {
+		return fault.New(fault.MessageInvalid, "report does not identify its sender")
 	}
 	return nil
 }
 
-// Beat reports whether the report is a heartbeat that describes its sender.
-func (r *Report) Beat() bool {
+// IsHeartbeat reports whether the report is a heartbeat, which describes its sender.
+func (r *Report) IsHeartbeat() bool {
 	return r.DataCentre != ""
 }
 
-// Decode reads a report.
+// Decode decodes and validates a report. It fails with fault.MessageInvalid.
 func Decode(data []byte) (*Report, error) {
 	var r Report
 	if err := cbor.Unmarshal(data, &r); err != nil {
 		return nil, fault.Wrap(err, fault.MessageInvalid, "report cannot be decoded")
 	}
-	if err := r.Check(); err != nil {
+	if err := r.Validate(); err != nil {
 		return nil, err
 	}
 	return &r, nil
 }
 
-// Encode returns the report in its binary form; it fails with
-// fault.MessageInvalid if that does not fit in a datagram.
+// Encode encodes the report as CBOR. It fails with fault.MessageInvalid if the result
+// does not fit in a datagram.
 func (r *Report) Encode() ([]byte, error) {
 	data, err := cbor.Marshal(r)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.MessageInvalid, "report cannot be encoded")
 	}
-	if len(data) > maxReport {
-		return nil, fault.New(fault.MessageInvalid, "report of %d bytes exceeds %d", len(data), maxReport)
+	if len(data) > maxReportBytes {
+		return nil, fault.New(fault.MessageInvalid, "report of %d bytes exceeds %d", len(data), maxReportBytes)
 	}
 	return data, nil
 }
--- a/core/gossip/sender.go
+++ b/core/gossip/sender.go
@@ -8,57 +8,58 @@
 	"wisteriarelay.example/core/roster"
 )
 
-// sender sends events: to each member of the group in the own data centre, and
-// to one in each other, which passes them on there. Traffic between data centres
-// is paid for.
+// sender sends events: to each recipient in the local data centre, and to one gateway
+// in each other data centre, which forwards them there. Traffic between data centres
+// is billed.
 type sender struct {
 	*Node
-	groups *groups
+	fanouts *fanoutCache
 }
 
 func (s *sender) loop(ctx context.Context) {
-	repeat := time.NewTimer(repeatAfter)
-	defer repeat.Stop()
-	gather := time.NewTimer(gatherTime)
-	defer gather.Stop()
+	repeatTimer := time.NewTimer(repeatDelay)
+	defer repeatTimer.Stop()
+	batchTimer := time.NewTimer(batchDelay)
+	defer batchTimer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-repeat.C:
+		case <-repeatTimer.C:
 		case <-s.urgent:
 		case <-s.wake:
-			gather.Reset(gatherTime)
+			batchTimer.Reset(batchDelay)
 			select {
 			case <-ctx.Done():
 				return
 			case <-s.urgent:
-			case <-gather.C:
+			case <-batchTimer.C:
 			}
 		}
 		if s.flush() {
-			repeat.Reset(repeatAfter)
+			repeatTimer.Reset(repeatDelay)
 		}
 	}
 }
 
-// flush sends the queued events and reports whether some have to be repeated.
+// flush sends the pending events and the repeats, and reports whether events remain to
+// be repeated.
 func (s *sender) flush() bool {
 	s.mu.Lock()
-	fresh, again := s.fresh, s.again
-	s.again = bad(s.fresh)
-	s.fresh = nil
-	repeat := len(s.again) > 0
+	pending, repeats := s.pending, s.repeats
+	s.repeats = failuresIn(s.pending)
+	s.pending = nil
+	repeat := len(s.repeats) > 0
 	s.mu.Unlock()
-	s.send(fresh, 0)
-	// The second gateway gets the repetition, in case the first one is lost.
-	s.send(again, 1)
+	s.send(pending, 0)
+	// Repeats go through the second gateway, in case the first one has failed.
+	s.send(repeats, 1)
 	return repeat
 }
 
-// bad returns the events that speak against a target.
-func bad(events []queued) []queued {
-	var out []queued
+// failuresIn returns the events that count against a target.
+func failuresIn(events []queuedEvent) []queuedEvent {
+	var out []queuedEvent
 	for _, e := range events {
 		if e.event.Result.Bad() {
 			out = append(out, e)
@@ -67,34 +68,34 @@
 	return out
 }
 
-// send sends events; gateway is the position of the gateway that is used in
-// other data centres.
-func (s *sender) send(events []queued, gateway int) {
-	near := map[roster.Member][]queued{}
-	far := map[roster.Member][]queued{}
+// send sends events. In each other data centre they go to the gateway at the given
+// position in the order of preference.
+func (s *sender) send(events []queuedEvent, gateway int) {
+	local := map[roster.Member][]queuedEvent{}
+	remote := map[roster.Member][]queuedEvent{}
 	index := s.sources.Targets()
 	for _, e := range events {
-		r := s.groups.of(e.service)
-		for _, m := range r.within(e.event) {
-			near[m] = append(near[m], e)
+		f := s.fanouts.get(e.service)
+		for _, m := range f.localRecipients(e.event) {
+			local[m] = append(local[m], e)
 		}
-		for _, members := range r.beyond(index[e.target].DataCentre) {
+		for _, members := range f.remoteRecipients(index[e.target].DataCentre) {
 			m := members[gateway%len(members)]
-			far[m] = append(far[m], e)
+			remote[m] = append(remote[m], e)
 		}
 	}
-	for m, theirs := range near {
-		s.sendEvents(m, Report{VM: s.self.VM, Born: s.self.Born}, theirs)
+	for m, batch := range local {
+		s.sendEvents(m, Report{VM: s.self.VM, Born: s.self.Born}, batch)
 	}
-	for m, theirs := range far {
-		s.sendEvents(m, Report{VM: s.self.VM, Born: s.self.Born, Forward: true}, theirs)
+	for m, batch := range remote {
+		s.sendEvents(m, Report{VM: s.self.VM, Born: s.self.Born, Forward: true}, batch)
 	}
 }
 
-// sendEvents sends events with a report in as many datagrams as they need.
-func (n *Node) sendEvents(m roster.Member, r Report, events []queued) {
+// sendEvents sends events to a member, in as many copies of the report as they need.
+func (n *Node) sendEvents(m roster.Member, r Report, events []queuedEvent) {
 	for part := range slices.Chunk(events, maxEvents) {
-		r.Results = newResults(part)
-		n.sendAll(&r, []roster.Member{m})
+		r.EventBatch = newEventBatch(part)
+		n.sendReport(&r, []roster.Member{m})
 	}
 }
--- a/core/gossip/start.go
+++ b/core/gossip/start.go
@@ -10,67 +10,69 @@
 	"wisteriarelay.example/core/watch"
 )
 
-// Snapshot is the whole target list in the pieces in which it is passed on.
+// Snapshot is the whole target list, divided into fragments to be sent.
 type Snapshot struct {
-	pieces []Piece
+	fragments []Fragment
 }
 
-// NewSnapshot packs a whole target list; it fails with fault.MessageInvalid if
-// that is too large.
+// NewSnapshot encodes the whole target list. It fails with fault.MessageInvalid if the
+// list is too large.
 func NewSnapshot(d watch.Delta) (*Snapshot, error) {
 	data, err := cbor.Marshal(d)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.MessageInvalid, "target list cannot be encoded")
 	}
-	pieces, err := (&Document{Version: d.Version, Data: data}).split()
-	return &Snapshot{pieces: pieces}, err
+	fragments, err := (&Document{Version: d.Version, Data: data}).split()
+	return &Snapshot{fragments: fragments}, err
 }
 
-// TellSnapshot passes the whole target list on to a daemon that has just started.
+// TellSnapshot sends the whole target list to a daemon that has just started.
 func (n *Node) TellSnapshot(s *Snapshot, to roster.Member) {
-	for i := range s.pieces {
-		n.sendAll(&Report{VM: n.self.VM, Born: n.self.Born, Snapshot: &s.pieces[i]}, []roster.Member{to})
+	for i := range s.fragments {
+		n.sendReport(&Report{VM: n.self.VM, Born: n.self.Born, SnapshotFragment: &s.fragments[i]}, []roster.Member{to})
 	}
 }
 
-// TellMembers tells a daemon that has just started who else is in its data centre.
+// TellMembers sends members of the fleet to a daemon that has just started.
 func (n *Node) TellMembers(members []roster.Member, to roster.Member) {
-	for part := range slices.Chunk(members, maxGroup) {
-		n.sendAll(&Report{VM: n.self.VM, Born: n.self.Born, Members: part}, []roster.Member{to})
+	for part := range slices.Chunk(members, maxMembers) {
+		n.sendReport(&Report{VM: n.self.VM, Born: n.self.Born, Members: part}, []roster.Member{to})
 	}
 }
 
-// Seek asks daemons of which only the addresses are known for those of the own
-// data centre.
+// Seek asks daemons of which only the addresses are known for the members of this
+// daemon's data centre.
 func (n *Node) Seek(addresses []string) {
 	report := n.sources.State()
 	report.Seeks = true
-	n.sendTo(&report, addresses)
+	n.sendToAddresses(&report, addresses)
 }
 
 // BeatTo sends a heartbeat to the addresses at once.
 func (n *Node) BeatTo(addresses []string) {
 	report := n.sources.State()
-	n.sendTo(&report, addresses)
+	n.sendToAddresses(&report, addresses)
 }
 
-func (n *Node) sendTo(report *Report, addresses []string) {
+// sendToAddresses sends a report to daemons of which only the addresses are known.
+func (n *Node) sendToAddresses(report *Report, addresses []string) {
 	members := make([]roster.Member, len(addresses))
 	for i, a := range addresses {
 		members[i] = roster.Member{Inner: a}
 	}
-	n.sendAll(report, members)
+	n.sendReport(report, members)
 }
 
-// takeStart hands on what a daemon that has just started is told.
-func (r *receiver) takeStart(report *Report) {
+// handleStartup calls the handlers for the contents that are sent only to daemons that
+// have just started.
+func (r *receiver) handleStartup(report *Report) {
 	if len(report.Members) > 0 {
 		r.handlers.Members(report.VM, report.Members)
 	}
-	if report.Snapshot == nil {
+	if report.SnapshotFragment == nil {
 		return
 	}
-	d, err := r.takeSnapshot(report.Snapshot)
+	d, err := r.addSnapshotFragment(report.SnapshotFragment)
 	if err != nil {
 		_ = r.logger.Log("msg", "piece of a target list dropped", "peer", report.VM, "err", err)
 		return
@@ -80,9 +82,9 @@
 	}
 }
 
-// takeSnapshot takes in a piece and returns the list once it is whole.
-func (r *receiver) takeSnapshot(p *Piece) (*watch.Delta, error) {
-	doc, err := r.snapshot.add(p)
+// addSnapshotFragment adds a fragment and returns the target list once it is complete.
+func (r *receiver) addSnapshotFragment(f *Fragment) (*watch.Delta, error) {
+	doc, err := r.snapshotFragments.add(f)
 	if doc == nil || err != nil {
 		return nil, err
 	}
@@ -91,7 +93,7 @@
 		return nil, fault.Wrap(err, fault.MessageInvalid, "target list cannot be decoded")
 	}
 	if d.Since != 0 || d.Version <= 0 || d.Age < 0 {
-		return nil, fault.New(fault.MessageInvalid, "list of version %d since %d is not whole", d.Version, d.Since)
+		return nil, fault.New(fault.MessageInvalid, "target list of version %d since %d is not a valid snapshot", d.Version, d.Since)
 	}
 	return &d, nil
 }
--- a/core/roster/monitored.go
+++ b/core/roster/monitored.go
@@ -15,7 +15,7 @@
 	readerGroup = "readers"
 )
 
-// Watched returns the daemons of the own data centre that are monitored: they send
+// Watched returns the daemons of the local data centre that are monitored: they send
 // heartbeats to all members there at the full rate. They are the carriers of the
 // groups, the readers of the store, and the standbys of both; cores is the demand of
 // each group. The other daemons send heartbeats only to the monitored ones, so that
@@ -36,8 +36,8 @@
 	return out
 }
 
-// carriersAndStandbys returns the carriers of the group in the own data centre and its
-// standbys.
+// carriersAndStandbys returns the carriers of the group in the local data centre and
+// its standbys.
 func (r *Roster) carriersAndStandbys(now time.Time, group string, cores float64) []Member {
 	all := r.byPreference(now, group, r.self.DataCentre)
 	return all[:min(carrierCount(all, cores)+standbys, len(all))]
@@ -79,10 +79,10 @@
 	return false
 }
 
-// Ahead returns the number of daemons of the own data centre that precede this one in
-// the order of readers and may be alive. A daemon from which no heartbeat was received
-// yet counts, because the caller has just started and does not know the others'
-// status.
+// Ahead returns the number of daemons of the local data centre that precede this one
+// in the order of readers and may be alive. A daemon from which no heartbeat was
+// received yet counts, because the caller has just started and does not know the
+// others' status.
 func (r *Roster) Ahead(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// localTTL is how long a daemon of the own data centre counts as alive after its
+	// localTTL is how long a daemon of the local data centre counts as alive after its
 	// last heartbeat. It covers the loss of several heartbeats.
 	localTTL = 900 * time.Millisecond
 	// reducedRateTTL replaces localTTL for daemons that are not monitored and send
@@ -58,7 +58,7 @@
 	// assumedAliveSince is when this daemon first took the member for alive without
 	// having received a heartbeat from it.
 	assumedAliveSince time.Time
-	// reportedAt holds, by group, when a peer of the own data centre last named the
+	// reportedAt holds, by group, when a peer of the local data centre last named the
 	// member as a carrier of the group.
 	reportedAt map[string]time.Time
 }
@@ -158,7 +158,7 @@
 	return r.remoteAlive(e, now)
 }
 
-// ttl returns how long a member of the own data centre counts as alive after a
+// ttl returns how long a member of the local data centre counts as alive after a
 // heartbeat.
 func (e *entry) ttl() time.Duration {
 	if e.reducedRate {
@@ -199,7 +199,7 @@
 	return append([]string{r.self.DataCentre}, slices.Compact(others)...)
 }
 
-// Near returns the other members of the own data centre, whether or not they are
+// Near returns the other members of the local data centre, whether or not they are
 // alive.
 func (r *Roster) Near() []Member {
 	r.mu.Lock()
