--- a/core/gossip/document_test.go
+++ b/core/gossip/document_test.go
@@ -19,9 +19,9 @@
 }
 
 func mustSplit(g *WithT, d Document) []Fragment {
-	pieces, err := d.split()
+	fragments, err := d.split()
 	g.Expect(err).NotTo(HaveOccurred())
-	return pieces
+	return fragments
 }
 
 // Guards against a configuration that is reassembled wrongly if fragments arrive out
@@ -29,14 +29,14 @@
 func TestFragmentsReassembleInAnyOrder(t *testing.T) {
 	g := NewWithT(t)
 	want := randomDocument(7, 20_000)
-	pieces := mustSplit(g, want)
-	g.Expect(len(pieces)).To(BeNumerically(">", 10))
-	rand.Shuffle(len(pieces), func(a, b int) { pieces[a], pieces[b] = pieces[b], pieces[a] })
-	var j reassembler
+	fragments := mustSplit(g, want)
+	g.Expect(len(fragments)).To(BeNumerically(">", 10))
+	rand.Shuffle(len(fragments), func(a, b int) { fragments[a], fragments[b] = fragments[b], fragments[a] })
+	var r reassembler
 	var got []*Document
-	for i := range pieces {
+	for i := range fragments {
 		for range 2 {
-			d, err := j.add(&pieces[i])
+			d, err := r.add(&fragments[i])
 			g.Expect(err).NotTo(HaveOccurred())
 			if d != nil {
 				got = append(got, d)
@@ -54,10 +54,10 @@
 	g := NewWithT(t)
 	older, newer := mustSplit(g, randomDocument(1, 3000)), mustSplit(g, randomDocument(2, 3000))
 	other := mustSplit(g, Document{Version: 2, Data: randomDocument(3, 3000).Data})
-	var j reassembler
+	var r reassembler
 	for i := range newer {
 		for _, p := range []*Fragment{&other[i], &older[i], &newer[i]} {
-			d, err := j.add(p)
+			d, err := r.add(p)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(d).To(BeNil(), "each piece of the one starts the other anew")
 		}
@@ -77,11 +77,11 @@
 		"wrong hash":      mustSplit(g, randomDocument(1, 10))[0],
 	}
 	for name, p := range bad {
-		var j reassembler
+		var r reassembler
 		if name == "wrong hash" {
 			p.Hash++
 		}
-		d, err := j.add(&p)
+		d, err := r.add(&p)
 		g.Expect(d).To(BeNil(), name)
 		g.Expect(err).To(HaveOccurred(), name)
 	}
--- a/core/gossip/fuzz_test.go
+++ b/core/gossip/fuzz_test.go
@@ -33,8 +33,8 @@
 		if r.ConfigFragment == nil {
 			return
 		}
-		var j reassembler
-		d, err := j.add(r.ConfigFragment)
+		var a reassembler
+		d, err := a.add(r.ConfigFragment)
 		if err == nil && d != nil && len(d.Data) > maxDocumentBytes {
 			t.Fatalf("document of %d bytes", len(d.Data))
 		}
--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -19,14 +19,14 @@
 // Guards against a duplicate datagram whose result is counted twice.
 func TestEachSequenceNumberIsNewOnce(t *testing.T) {
 	g := NewWithT(t)
-	var s dedupWindow
-	g.Expect(s.markNew(10)).To(BeTrue())
-	g.Expect(s.markNew(10)).To(BeFalse())
-	g.Expect(s.markNew(8)).To(BeTrue())
-	g.Expect(s.markNew(8)).To(BeFalse())
-	g.Expect(s.markNew(200)).To(BeTrue())
-	g.Expect(s.markNew(100)).To(BeFalse())
-	g.Expect(s.markNew(199)).To(BeTrue())
+	var w dedupWindow
+	g.Expect(w.markNew(10)).To(BeTrue())
+	g.Expect(w.markNew(10)).To(BeFalse())
+	g.Expect(w.markNew(8)).To(BeTrue())
+	g.Expect(w.markNew(8)).To(BeFalse())
+	g.Expect(w.markNew(200)).To(BeTrue())
+	g.Expect(w.markNew(100)).To(BeFalse())
+	g.Expect(w.markNew(199)).To(BeTrue())
 }
 
 // Guards against a report with the largest number of items that does not fit in one
@@ -187,11 +187,11 @@
 // service that they do not carry.
 func TestFailuresOnlyRecipientsGetNoOtherEvents(t *testing.T) {
 	g := NewWithT(t)
-	r := &fanout{local: []roster.Member{{VM: "carrier"}}, failuresOnly: []roster.Member{{VM: "stray"}}}
-	g.Expect(r.localRecipients(sched.Event{Result: judge.Served})).To(HaveLen(1))
-	g.Expect(r.localRecipients(sched.Event{})).To(HaveLen(1))
-	g.Expect(r.localRecipients(sched.Event{Result: judge.Broken})).To(HaveLen(2))
-	g.Expect(r.localRecipients(sched.Event{Result: judge.Slow})).To(HaveLen(2))
+	f := &fanout{local: []roster.Member{{VM: "carrier"}}, failuresOnly: []roster.Member{{VM: "stray"}}}
+	g.Expect(f.localRecipients(sched.Event{Result: judge.Served})).To(HaveLen(1))
+	g.Expect(f.localRecipients(sched.Event{})).To(HaveLen(1))
+	g.Expect(f.localRecipients(sched.Event{Result: judge.Broken})).To(HaveLen(2))
+	g.Expect(f.localRecipients(sched.Event{Result: judge.Slow})).To(HaveLen(2))
 }
 
 // A group has many carriers. Guards against sending the events of every target to all
@@ -199,10 +199,10 @@
 // uses.
 func TestEventsOfLargeGroupStayInTargetDataCentre(t *testing.T) {
 	g := NewWithT(t)
-	r := &fanout{remote: map[string][]roster.Member{"b": {{VM: "b-1"}}, "c": {{VM: "c-1"}}}}
-	g.Expect(r.remoteRecipients("a")).To(HaveLen(2))
-	r.ownTargetsOnly = true
-	g.Expect(r.remoteRecipients("a")).To(BeEmpty())
-	g.Expect(r.remoteRecipients("b")).To(Equal([][]roster.Member{{{VM: "b-1"}}}))
-	g.Expect(r.remoteRecipients("")).To(BeEmpty())
+	f := &fanout{remote: map[string][]roster.Member{"b": {{VM: "b-1"}}, "c": {{VM: "c-1"}}}}
+	g.Expect(f.remoteRecipients("a")).To(HaveLen(2))
+	f.ownTargetsOnly = true
+	g.Expect(f.remoteRecipients("a")).To(BeEmpty())
+	g.Expect(f.remoteRecipients("b")).To(Equal([][]roster.Member{{{VM: "b-1"}}}))
+	g.Expect(f.remoteRecipients("")).To(BeEmpty())
 }
--- a/core/roster/carriers.go
+++ b/core/roster/carriers.go
@@ -20,9 +20,9 @@
 // preference; cores is what the group needs in each data centre. Callers choose among
 // the carriers at random, so each carrier gets the same share of the requests,
 // whatever its capacity. Daemons with the most cores therefore come first, and there
-// are as many carriers as the weakest of them needs to handle an equal share. Most VMs
-// of a fleet have a fifth of the cores of the few strong ones and could not handle the
-// same load.
+// are as many carriers as the smallest of them needs to handle an equal share. Most
+// VMs of a fleet have a fifth of the cores of the few large ones and could not handle
+// the same load.
 func (r *Roster) Carriers(now time.Time, group, dataCentre string, cores float64) []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/core/roster/plan.go
+++ b/core/roster/plan.go
@@ -86,13 +86,13 @@
 	return representative
 }
 
-// mergeRepresentatives gives the services on one host the same representative, the
-// first by name, and reports whether one changed.
+// mergeRepresentatives gives the services that are routed from one host the same
+// representative, the first by name, and reports whether one changed.
 func mergeRepresentatives(representative map[string]string, joined []string) bool {
 	var all []string
 	for _, s := range joined {
-		if name, ok := representative[s]; ok {
-			all = append(all, name)
+		if rep, ok := representative[s]; ok {
+			all = append(all, rep)
 		}
 	}
 	if len(all) == 0 {
@@ -101,7 +101,7 @@
 	first := slices.Min(all)
 	changed := false
 	for _, s := range joined {
-		if name, ok := representative[s]; ok && name != first {
+		if rep, ok := representative[s]; ok && rep != first {
 			representative[s] = first
 			changed = true
 		}
--- a/core/roster/plan_test.go
+++ b/core/roster/plan_test.go
@@ -27,8 +27,8 @@
 	return r
 }
 
-// Most VMs have little capacity, a few have much. Guards against callers being
-// directed to VMs with little capacity, where responses wait for the network link.
+// Most VMs are small, a few are large. Guards against callers being directed to small
+// VMs, where responses wait for the network link.
 func TestDaemonsWithMostCoresCarry(t *testing.T) {
 	g := NewWithT(t)
 	var members []roster.Member
@@ -40,9 +40,9 @@
 	g.Expect(vmNames(r.Carriers(startTime, "all", "a", 1.5))).To(ConsistOf("a-7", "a-13"))
 }
 
-// One of two daemons with much capacity fails. Guards against its replacement by a
-// single weak daemon, which would then get half of the callers.
-func TestWeakDaemonsCarryOnlyWhatTheyCanHandle(t *testing.T) {
+// One of two large daemons fails. Guards against its replacement by a single small
+// daemon, which would then get half of the callers.
+func TestSmallDaemonsCarryOnlyWhatTheyCanHandle(t *testing.T) {
 	g := NewWithT(t)
 	members := []roster.Member{memberWithCores(0, 0.8)}
 	for i := 1; i < 20; i++ {
@@ -53,8 +53,8 @@
 	g.Expect(carriers[0].VM).To(Equal("a-0"))
 }
 
-// Guards against callers without an address when all daemons together are too weak for
-// the demand.
+// Guards against callers without an address when all daemons together are too small
+// for the demand.
 func TestAllDaemonsCarryWhenDemandExceedsCapacity(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(rosterOf(memberWithCores(0, 0.1), memberWithCores(1, 0.1), memberWithCores(2, 0)).Carriers(startTime, "all", "a", 50)).To(HaveLen(3))
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -180,7 +180,7 @@
 	return now.Sub(e.lastHeard) < remoteTTL
 }
 
-// DataCentres returns the data centres that have members: the own one first, the
+// DataCentres returns the data centres that have members: the local one first, the
 // others by name.
 func (r *Roster) DataCentres() []string {
 	r.mu.Lock()
--- a/core/roster/watched.go
+++ b/core/roster/watched.go
@@ -80,9 +80,8 @@
 }
 
 // Ahead returns the number of daemons of the local data centre that precede this one
-// in the order of readers and may be alive. A daemon from which no heartbeat was
-// received yet counts, because the caller has just started and does not know the
-// others' status.
+// in the order of readers and may be alive. It is meant for a daemon that has just
+// started: members from which it has not received a heartbeat yet are counted.
 func (r *Roster) Ahead(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/core/roster/watched_test.go
+++ b/core/roster/watched_test.go
@@ -30,11 +30,11 @@
 	received map[string]int
 }
 
-// newSimulation returns two daemons with much capacity and the given number of weak
-// ones. They know each other from the store only.
-func newSimulation(weak int) *simulation {
+// newSimulation returns two large daemons and the given number of small ones. They
+// know each other from the store only.
+func newSimulation(small int) *simulation {
 	s := &simulation{now: startTime, rosters: map[string]*roster.Roster{}, dead: map[string]bool{}, isolated: map[string]bool{}}
-	for i := range weak + 2 {
+	for i := range small + 2 {
 		m := memberWithCores(i, 0.16)
 		if i < 2 {
 			m.Cores = 0.8
@@ -42,12 +42,12 @@
 		s.members = append(s.members, m)
 	}
 	for _, m := range s.members {
-		v := roster.New(m)
-		v.SetSelf(true, false)
+		r := roster.New(m)
+		r.SetSelf(true, false)
 		for _, o := range s.members {
-			v.Add(o)
+			r.Add(o)
 		}
-		s.rosters[m.VM] = v
+		s.rosters[m.VM] = r
 	}
 	return s
 }
