--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -47,9 +47,9 @@
 // entry is a member with the latest reports about it.
 type entry struct {
 	Member
-	lastHeard time.Time
-	ready     bool
-	leaving   bool
+	lastHeartbeat time.Time
+	ready         bool
+	leaving       bool
 	// reducedRate is true if the member sends heartbeats at a reduced rate.
 	reducedRate bool
 	// lastCarried holds, by group, when the member last reported that it carries the
@@ -114,7 +114,7 @@
 		r.entries[m.VM] = e
 	}
 	e.Member = m
-	e.lastHeard = now
+	e.lastHeartbeat = now
 	e.ready, e.leaving, e.reducedRate = s.Ready, s.Leaving, s.Quiet
 	for _, group := range carries {
 		if now.Sub(e.lastCarried[group]) >= carrierTTL {
@@ -153,7 +153,7 @@
 		return false
 	}
 	if e.DataCentre == r.self.DataCentre {
-		return e.ready && now.Sub(e.lastHeard) < e.ttl()
+		return e.ready && now.Sub(e.lastHeartbeat) < e.ttl()
 	}
 	return r.remoteAlive(e, now)
 }
@@ -171,13 +171,13 @@
 // that has not sent a heartbeat yet is taken for alive for remoteTTL from the first
 // call.
 func (r *Roster) remoteAlive(e *entry, now time.Time) bool {
-	if e.lastHeard.IsZero() {
+	if e.lastHeartbeat.IsZero() {
 		if e.assumedAliveSince.IsZero() {
 			e.assumedAliveSince = now
 		}
 		return now.Sub(e.assumedAliveSince) < remoteTTL
 	}
-	return now.Sub(e.lastHeard) < remoteTTL
+	return now.Sub(e.lastHeartbeat) < remoteTTL
 }
 
 // DataCentres returns the data centres that have members: the local one first, the
@@ -219,7 +219,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range r.entries {
-		if e.ready && !e.leaving && !e.lastHeard.IsZero() && now.Sub(e.lastHeard) < remoteTTL {
+		if e.ready && !e.leaving && !e.lastHeartbeat.IsZero() && now.Sub(e.lastHeartbeat) < remoteTTL {
 			return true
 		}
 	}
--- a/core/roster/state.go
+++ b/core/roster/state.go
@@ -12,8 +12,8 @@
 	DataCentre string `json:"data-centre"`
 	Alive      bool   `json:"alive"`
 	Leaving    bool   `json:"leaving,omitempty"`
-	// HeardAgo is the time since the last heartbeat; -1 if there was none.
-	HeardAgo time.Duration `json:"heard-ago-ns"`
+	// SinceHeartbeat is the time since the last heartbeat; -1 if there was none.
+	SinceHeartbeat time.Duration `json:"heard-ago-ns"`
 }
 
 // State returns the state of the other daemons, sorted by VM.
@@ -22,9 +22,9 @@
 	defer r.mu.Unlock()
 	out := make([]MemberState, 0, len(r.entries))
 	for _, e := range r.entries {
-		s := MemberState{VM: e.VM, DataCentre: e.DataCentre, Alive: r.alive(e, now), Leaving: e.leaving, HeardAgo: -1}
-		if !e.lastHeard.IsZero() {
-			s.HeardAgo = now.Sub(e.lastHeard)
+		s := MemberState{VM: e.VM, DataCentre: e.DataCentre, Alive: r.alive(e, now), Leaving: e.leaving, SinceHeartbeat: -1}
+		if !e.lastHeartbeat.IsZero() {
+			s.SinceHeartbeat = now.Sub(e.lastHeartbeat)
 		}
 		out = append(out, s)
 	}
--- a/core/roster/watched.go
+++ b/core/roster/watched.go
@@ -87,7 +87,7 @@
 	defer r.mu.Unlock()
 	ahead := 0
 	for _, e := range r.entries {
-		timedOut := !e.lastHeard.IsZero() && now.Sub(e.lastHeard) >= e.ttl()
+		timedOut := !e.lastHeartbeat.IsZero() && now.Sub(e.lastHeartbeat) >= e.ttl()
 		if e.DataCentre == r.self.DataCentre && !e.leaving && !timedOut && comparePreference(readerGroup, e.Member, r.self) < 0 {
 			ahead++
 		}
--- a/core/watch/entry.go
+++ b/core/watch/entry.go
@@ -57,9 +57,9 @@
 // Part is one part of a delta that is sent to peers in several messages.
 type Part struct {
 	Delta
-	// Number is the index of the part, from 0 to Count - 1.
-	Number int `cbor:"5,keyasint"`
-	Count  int `cbor:"6,keyasint"`
+	// Index is the position of the part, from 0 to Count - 1.
+	Index int `cbor:"5,keyasint"`
+	Count int `cbor:"6,keyasint"`
 }
 
 // Split divides a delta into parts of at most size changes. A delta without changes
@@ -70,7 +70,7 @@
 	for i := range parts {
 		partDelta := d
 		partDelta.Changes = d.Changes[min(i*size, len(d.Changes)):min((i+1)*size, len(d.Changes))]
-		parts[i] = Part{Delta: partDelta, Number: i, Count: count}
+		parts[i] = Part{Delta: partDelta, Index: i, Count: count}
 	}
 	return parts
 }
@@ -91,14 +91,14 @@
 	if p.Count <= 1 {
 		return p.Delta, true
 	}
-	if p.Version < a.version || p.Count > maxParts || p.Number < 0 || p.Number >= p.Count {
+	if p.Version < a.version || p.Count > maxParts || p.Index < 0 || p.Index >= p.Count {
 		return Delta{}, false
 	}
 	if p.Version > a.version || a.parts == nil {
 		a.version = p.Version
 		a.parts = make(map[int][]Change, p.Count)
 	}
-	a.parts[p.Number] = p.Changes
+	a.parts[p.Index] = p.Changes
 	if len(a.parts) < p.Count {
 		return Delta{}, false
 	}
