--- a/core/gossip/groups.go
+++ b/core/gossip/groups.go
@@ -12,83 +12,89 @@
 	"wisteriarelay.example/core/sched"
 )
 
-// groupTTL is how long the members of a group are taken as known.
-const groupTTL = 100 * time.Millisecond
+// fanoutTTL is how long the recipients of a service's events are cached.
+const fanoutTTL = 100 * time.Millisecond
 
-// recipients are the daemons that get the events of one service.
-type recipients struct {
-	near []roster.Member
-	// strays get only the events that speak against a target.
-	strays []roster.Member
-	// far holds the members of each other data centre, the preferred gateway first.
-	far map[string][]roster.Member
-	// local says that each of these only gets the events of its own targets.
-	local bool
+// fanout holds the daemons to which the events of one service are sent.
+type fanout struct {
+	// local holds the carriers in the local data centre.
+	local []roster.Member
+	// failuresOnly holds daemons that get only events that count against a target.
+	failuresOnly []roster.Member
+	// remote holds the carriers in other data centres, by data centre, the preferred
+	// gateway first.
+	remote map[string][]roster.Member
+	// ownTargetsOnly is true if each other data centre gets only the events of its own
+	// targets.
+	ownTargetsOnly bool
 }
 
-// beyond returns the data centres that get an event of a target in the data centre.
-func (r *recipients) beyond(dataCentre string) [][]roster.Member {
-	if r.local {
-		if members := r.far[dataCentre]; len(members) > 0 {
+// remoteRecipients returns the carriers in other data centres that get the events of a
+// target in the given data centre, one list for each data centre.
+func (f *fanout) remoteRecipients(dataCentre string) [][]roster.Member {
+	if f.ownTargetsOnly {
+		if members := f.remote[dataCentre]; len(members) > 0 {
 			return [][]roster.Member{members}
 		}
 		return nil
 	}
-	return slices.Collect(maps.Values(r.far))
+	return slices.Collect(maps.Values(f.remote))
 }
 
-// within returns those of the own data centre that get the event.
-func (r *recipients) within(e sched.Event) []roster.Member {
+// localRecipients returns the daemons of the local data centre that get the event.
+func (f *fanout) localRecipients(e sched.Event) []roster.Member {
 	if !e.Result.Bad() {
-		return r.near
+		return f.local
 	}
-	return slices.Concat(r.near, r.strays)
+	return slices.Concat(f.local, f.failuresOnly)
 }
 
-// groups remembers the recipients of each service for a moment. It belongs to
-// one goroutine.
-type groups struct {
-	node  *Node
-	known map[string]*recipients
-	asOf  time.Time
+// fanoutCache caches the fanouts of services for fanoutTTL. It must be used by one
+// goroutine only.
+type fanoutCache struct {
+	node    *Node
+	fanouts map[string]*fanout
+	asOf    time.Time
 }
 
-func newGroups(n *Node) *groups {
-	return &groups{node: n, known: map[string]*recipients{}}
+func newFanoutCache(n *Node) *fanoutCache {
+	return &fanoutCache{node: n, fanouts: map[string]*fanout{}}
 }
 
-func (g *groups) of(service string) *recipients {
-	if now := time.Now(); now.Sub(g.asOf) > groupTTL {
-		clear(g.known)
-		g.asOf = now
+// get returns the fanout of the service, from the cache if it is recent enough.
+func (c *fanoutCache) get(service string) *fanout {
+	if now := time.Now(); now.Sub(c.asOf) > fanoutTTL {
+		clear(c.fanouts)
+		c.asOf = now
 	}
-	r := g.known[service]
-	if r == nil {
-		r = g.node.recipients(service)
-		g.known[service] = r
+	f := c.fanouts[service]
+	if f == nil {
+		f = c.node.newFanout(service)
+		c.fanouts[service] = f
 	}
-	return r
+	return f
 }
 
-func (n *Node) recipients(service string) *recipients {
+// newFanout returns the current fanout of the service.
+func (n *Node) newFanout(service string) *fanout {
 	audience := n.sources.Group(service)
-	out := &recipients{strays: audience.Strays, local: audience.Local, far: map[string][]roster.Member{}}
+	out := &fanout{failuresOnly: audience.Strays, ownTargetsOnly: audience.Local, remote: map[string][]roster.Member{}}
 	for _, m := range audience.Carriers {
 		if m.DataCentre == n.self.DataCentre {
-			out.near = append(out.near, m)
+			out.local = append(out.local, m)
 			continue
 		}
-		out.far[m.DataCentre] = append(out.far[m.DataCentre], m)
+		out.remote[m.DataCentre] = append(out.remote[m.DataCentre], m)
 	}
-	for _, members := range out.far {
+	for _, members := range out.remote {
 		n.sortGateways(members)
 	}
 	return out
 }
 
-// sortGateways orders the members of another data centre so that the daemons of
-// this one spread over them.
+// sortGateways orders the members of another data centre by rendezvous hashing, so
+// that the daemons of this one use different gateways.
 func (n *Node) sortGateways(members []roster.Member) {
-	rank := func(m roster.Member) uint64 { return xxhash.Sum64String(n.self.VM + " " + m.VM) }
-	slices.SortFunc(members, func(a, b roster.Member) int { return cmp.Compare(rank(a), rank(b)) })
+	weight := func(m roster.Member) uint64 { return xxhash.Sum64String(n.self.VM + " " + m.VM) }
+	slices.SortFunc(members, func(a, b roster.Member) int { return cmp.Compare(weight(a), weight(b)) })
 }
--- a/core/gossip/seen.go
+++ b/core/gossip/seen.go
@@ -1,27 +1,29 @@
 package gossip
 
-// seenSpan is the number of event numbers behind the highest that are remembered.
-const seenSpan = 64
+// dedupWindowSize is the number of sequence numbers, up to the highest, that a window
+// covers.
+const dedupWindowSize = 64
 
-// seen remembers which event numbers of a sender were taken.
-type seen struct {
+// dedupWindow is a sliding window that records which events of a sender were received.
+type dedupWindow struct {
 	highest uint64
-	// bits marks the numbers behind the highest; bit 0 stands for the highest.
+	// bits marks the sequence numbers that were received; bit 0 stands for the
+	// highest, the next bit for the number before it.
 	bits uint64
 }
 
-// first reports whether the number is new, and remembers it. A number too far
-// behind to be known counts as taken.
-func (s *seen) first(number uint64) bool {
-	if number > s.highest {
-		s.bits = s.bits<<min(number-s.highest, seenSpan) | 1
-		s.highest = number
+// markNew marks a sequence number as received and reports whether it was new. A number
+// below the window counts as received.
+func (w *dedupWindow) markNew(seq uint64) bool {
+	if seq > w.highest {
+		w.bits = w.bits<<min(seq-w.highest, dedupWindowSize) | 1
+		w.highest = seq
 		return true
 	}
-	behind := s.highest - number
-	if behind >= seenSpan || s.bits&(1<<behind) != 0 {
+	age := w.highest - seq
+	if age >= dedupWindowSize || w.bits&(1<<age) != 0 {
 		return false
 	}
-	s.bits |= 1 << behind
+	w.bits |= 1 << age
 	return true
 }
--- a/core/roster/watched.go
+++ b/core/roster/watched.go
@@ -6,24 +6,28 @@
 )
 
 const (
-	// spares is the number of daemons behind those that carry a group, or read the
-	// store, which are watched as closely because they come next.
-	spares = 4
-	// readerGroup is the name under which daemons are ordered for reading the store.
+	// standbys is the number of daemons, next in order after the carriers of a group
+	// or the readers of the store, that are monitored as closely because they replace
+	// a failed one.
+	standbys = 4
+	// readerGroup is the group name by which daemons are ordered for reading the
+	// store.
 	readerGroup = "readers"
 )
 
-// Watched returns the daemons of the own data centre that everybody there has to
-// hear often: those that carry one of the groups or read the store, and those
-// that come next. The others are heard by the watched ones only, so that the
-// heartbeats of a data centre grow with its size and not with its square. A daemon
-// that hears none of them counts itself as watched, and so makes itself known.
+// Watched returns the daemons of the local data centre that are monitored: they send
+// heartbeats to all members there at the full rate. They are the carriers of the
+// groups, the readers of the store, and the standbys of both; cores is the demand of
+// each group. The other daemons send heartbeats only to the monitored ones, so that
+// the number of heartbeats in a data centre grows with its size and not with its
+// square. A daemon that receives no heartbeats finds itself among the monitored ones,
+// and so becomes known to the others.
 func (r *Roster) Watched(now time.Time, cores map[string]float64) []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := r.first(now, readerGroup, 0)
+	out := r.carriersAndStandbys(now, readerGroup, 0)
 	for group, c := range cores {
-		for _, m := range r.first(now, group, c) {
+		for _, m := range r.carriersAndStandbys(now, group, c) {
 			if !slices.ContainsFunc(out, func(o Member) bool { return o.VM == m.VM }) {
 				out = append(out, m)
 			}
@@ -32,68 +36,73 @@
 	return out
 }
 
-// first returns the carriers of the group in the own data centre and its spares.
-func (r *Roster) first(now time.Time, group string, cores float64) []Member {
-	all := r.ordered(now, group, r.self.DataCentre)
-	return all[:min(carrierCount(all, cores)+spares, len(all))]
+// carriersAndStandbys returns the carriers of the group in the local data centre and
+// its standbys.
+func (r *Roster) carriersAndStandbys(now time.Time, group string, cores float64) []Member {
+	all := r.byPreference(now, group, r.self.DataCentre)
+	return all[:min(carrierCount(all, cores)+standbys, len(all))]
 }
 
-// Ordered returns the living members of a data centre, those first that read the store.
+// Ordered returns the members of a data centre that are alive, in the order in which
+// they read the store for the others.
 func (r *Roster) Ordered(now time.Time, dataCentre string) []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ordered(now, readerGroup, dataCentre)
+	return r.byPreference(now, readerGroup, dataCentre)
 }
 
-// Abroad returns daemons of other data centres that serve, at most count of each:
-// those that were heard, and those that a peer has named as carriers.
+// Abroad returns daemons of other data centres, at most count of each: those that
+// count as alive, and those that a peer recently named as carriers.
 func (r *Roster) Abroad(now time.Time, count int) []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	found := map[string]int{}
+	perDataCentre := map[string]int{}
 	var out []Member
 	for _, e := range r.entries {
-		if e.DataCentre == r.self.DataCentre || !r.farAlive(e, now) && !e.toldLately(now) || found[e.DataCentre] >= count {
+		if e.DataCentre == r.self.DataCentre || !r.remoteAlive(e, now) && !e.reportedRecently(now) || perDataCentre[e.DataCentre] >= count {
 			continue
 		}
-		found[e.DataCentre]++
+		perDataCentre[e.DataCentre]++
 		out = append(out, e.Member)
 	}
 	return out
 }
 
-func (e *entry) toldLately(now time.Time) bool {
-	for _, at := range e.told {
-		if now.Sub(at) < carryTTL {
+// reportedRecently reports whether a peer recently named the member as a carrier of
+// any group.
+func (e *entry) reportedRecently(now time.Time) bool {
+	for _, at := range e.reportedAt {
+		if now.Sub(at) < carrierTTL {
 			return true
 		}
 	}
 	return false
 }
 
-// Ahead returns the number of daemons of the own data centre that come before this
-// one in reading the store and of which nothing speaks against their being alive.
-// It is for a daemon that has just started and has not heard the others yet.
+// Ahead returns the number of daemons of the local data centre that precede this one
+// in the order of readers and may be alive. It is meant for a daemon that has just
+// started: members from which it has not received a heartbeat yet are counted.
 func (r *Roster) Ahead(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ahead := 0
 	for _, e := range r.entries {
-		silent := !e.heard.IsZero() && now.Sub(e.heard) >= e.ttl()
-		if e.DataCentre == r.self.DataCentre && !e.leaving && !silent && before(readerGroup, e.Member, r.self) < 0 {
+		timedOut := !e.lastHeartbeat.IsZero() && now.Sub(e.lastHeartbeat) >= e.ttl()
+		if e.DataCentre == r.self.DataCentre && !e.leaving && !timedOut && comparePreference(readerGroup, e.Member, r.self) < 0 {
 			ahead++
 		}
 	}
 	return ahead
 }
 
-// Rank returns the position of this daemon among those alive in its data
-// centre; the first reads the store for the others.
+// Rank returns the position of this daemon in the order of readers of its data centre.
+// Rank 0 reads the store for the others. If this daemon does not count as alive, the
+// rank is the number of those that do.
 func (r *Roster) Rank(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	position := 0
-	for _, m := range r.ordered(now, readerGroup, r.self.DataCentre) {
+	for _, m := range r.byPreference(now, readerGroup, r.self.DataCentre) {
 		if m.VM == r.self.VM {
 			return position
 		}
--- a/core/roster/watched_test.go
+++ b/core/roster/watched_test.go
@@ -10,134 +10,136 @@
 )
 
 const (
-	beat       = 200 * time.Millisecond
-	quietBeats = 5
-	groupName  = "all"
+	heartbeatInterval = 200 * time.Millisecond
+	reducedRateEvery  = 5
+	groupName         = "all"
 )
 
-// quarter is the daemons of one data centre that tell each other of themselves.
-type quarter struct {
-	now   time.Time
-	round int
-	all   []roster.Member
-	views map[string]*roster.Roster
-	dead  map[string]bool
-	// deaf daemons hear nobody.
-	deaf map[string]bool
-	// sent counts the heartbeats of the last round, heard those for each receiver.
-	sent  int
-	heard map[string]int
+// simulation runs the daemons of one data centre, which send each other heartbeats.
+type simulation struct {
+	now     time.Time
+	round   int
+	members []roster.Member
+	rosters map[string]*roster.Roster
+	dead    map[string]bool
+	// isolated daemons receive no heartbeats.
+	isolated map[string]bool
+	// sent is the number of heartbeats delivered in the last round, received the same
+	// by receiver.
+	sent     int
+	received map[string]int
 }
 
-// newQuarter returns so many weak daemons and two strong ones that know each other
-// by name only.
-func newQuarter(weak int) *quarter {
-	q := &quarter{now: begin, views: map[string]*roster.Roster{}, dead: map[string]bool{}, deaf: map[string]bool{}}
-	for i := range weak + 2 {
-		m := sized(i, 0.16)
+// newSimulation returns two large daemons and the given number of small ones. They
+// know each other from the store only.
+func newSimulation(small int) *simulation {
+	s := &simulation{now: startTime, rosters: map[string]*roster.Roster{}, dead: map[string]bool{}, isolated: map[string]bool{}}
+	for i := range small + 2 {
+		m := memberWithCores(i, 0.16)
 		if i < 2 {
 			m.Cores = 0.8
 		}
-		q.all = append(q.all, m)
+		s.members = append(s.members, m)
 	}
-	for _, m := range q.all {
-		v := roster.New(m)
-		v.SetSelf(true, false)
-		for _, o := range q.all {
-			v.Add(o)
+	for _, m := range s.members {
+		r := roster.New(m)
+		r.SetSelf(true, false)
+		for _, o := range s.members {
+			r.Add(o)
 		}
-		q.views[m.VM] = v
+		s.rosters[m.VM] = r
 	}
-	return q
+	return s
 }
 
-// beat lets one interval pass.
-func (q *quarter) beat() {
-	q.now = q.now.Add(beat)
-	q.round++
-	q.sent, q.heard = 0, map[string]int{}
-	for i, m := range q.all {
-		if !q.dead[m.VM] {
-			q.send(m, (q.round+i)%quietBeats == 0)
+// step lets one heartbeat interval pass.
+func (s *simulation) step() {
+	s.now = s.now.Add(heartbeatInterval)
+	s.round++
+	s.sent, s.received = 0, map[string]int{}
+	for i, m := range s.members {
+		if !s.dead[m.VM] {
+			s.send(m, (s.round+i)%reducedRateEvery == 0)
 		}
 	}
 }
 
-func (q *quarter) send(m roster.Member, quietDue bool) {
-	to := q.views[m.VM].Watched(q.now, map[string]float64{groupName: 1})
-	quiet := true
+func (s *simulation) send(m roster.Member, reducedDue bool) {
+	to := s.rosters[m.VM].Watched(s.now, map[string]float64{groupName: 1})
+	reduced := true
 	for _, o := range to {
-		quiet = quiet && o.VM != m.VM
+		reduced = reduced && o.VM != m.VM
 	}
-	if !quiet {
-		to = q.all
+	if !reduced {
+		to = s.members
 	}
-	if quiet && !quietDue {
+	if reduced && !reducedDue {
 		return
 	}
 	for _, o := range to {
-		if o.VM == m.VM || q.dead[o.VM] || q.deaf[o.VM] {
+		if o.VM == m.VM || s.dead[o.VM] || s.isolated[o.VM] {
 			continue
 		}
-		q.sent++
-		q.heard[o.VM]++
-		q.views[o.VM].Heard(q.now, m, roster.Standing{Ready: true, Quiet: quiet}, nil)
+		s.sent++
+		s.received[o.VM]++
+		s.rosters[o.VM].Heard(s.now, m, roster.Standing{Ready: true, Quiet: reduced}, nil)
 	}
 }
 
-func (q *quarter) pass(d time.Duration) {
-	for range int(d / beat) {
-		q.beat()
+func (s *simulation) advance(d time.Duration) {
+	for range int(d / heartbeatInterval) {
+		s.step()
 	}
 }
 
-// carriers returns whom the daemon takes for the carriers.
-func (q *quarter) carriers(vm string) []string {
-	return names(q.views[vm].Carriers(q.now, groupName, "a", 1))
+// carriers returns the carriers as the daemon determines them.
+func (s *simulation) carriers(vm string) []string {
+	return vmNames(s.rosters[vm].Carriers(s.now, groupName, "a", 1))
 }
 
-// expectAgreement checks that all living daemons that hear take the same living
-// ones for the carriers.
-func (q *quarter) expectAgreement(g *WithT, want int) {
+// expectAgreement checks that all daemons that are alive and not isolated determine
+// the same carriers, that there are as many as wanted, and that these are alive.
+func (s *simulation) expectAgreement(g *WithT, want int) {
 	first := ""
-	for _, m := range q.all {
-		if q.dead[m.VM] || q.deaf[m.VM] {
+	for _, m := range s.members {
+		if s.dead[m.VM] || s.isolated[m.VM] {
 			continue
 		}
 		if first == "" {
 			first = m.VM
 		}
-		carriers := q.carriers(m.VM)
+		carriers := s.carriers(m.VM)
 		g.Expect(carriers).To(HaveLen(want))
-		g.Expect(carriers).To(ConsistOf(q.carriers(first)))
+		g.Expect(carriers).To(ConsistOf(s.carriers(first)))
 		for _, c := range carriers {
-			g.Expect(q.dead[c]).To(BeFalse())
+			g.Expect(s.dead[c]).To(BeFalse())
 		}
 	}
 }
 
-// Guards against heartbeats that grow with the square of a data centre: a daemon of
-// the planned size (138 in a data centre) would send and receive 690 a second.
-func TestHeartbeatsOfALargeDataCentre(t *testing.T) {
+// Guards against heartbeats that grow with the square of the size of a data centre: at
+// the planned size of 138 daemons in a data centre, each would send and receive 690 a
+// second.
+func TestHeartbeatCountInLargeDataCentre(t *testing.T) {
 	for _, size := range []int{20, 60, 138} {
 		g := NewWithT(t)
-		q := newQuarter(size)
-		q.pass(10 * time.Second)
-		q.expectAgreement(g, 2)
-		most := 0
-		for _, m := range q.all[2:] {
-			if !q.isWatched(m.VM) {
-				most = max(most, q.heard[m.VM])
+		s := newSimulation(size)
+		s.advance(10 * time.Second)
+		s.expectAgreement(g, 2)
+		maxReceived := 0
+		for _, m := range s.members[2:] {
+			if !s.isMonitored(m.VM) {
+				maxReceived = max(maxReceived, s.received[m.VM])
 			}
 		}
-		// Carriers, readers and the spares of each.
-		g.Expect(most).To(BeNumerically("<=", 12), "whatever the size")
-		g.Expect(q.sent).To(BeNumerically("<", 14*size))
+		// Carriers, readers of the store, and the standbys of each.
+		g.Expect(maxReceived).To(BeNumerically("<=", 12), "whatever the size")
+		g.Expect(s.sent).To(BeNumerically("<", 14*size))
 	}
 }
 
-func (q *quarter) isWatched(vm string) bool {
-	for _, m := range q.views[vm].Watched(q.now, map[string]float64{groupName: 1}) {
+func (s *simulation) isMonitored(vm string) bool {
+	for _, m := range s.rosters[vm].Watched(s.now, map[string]float64{groupName: 1}) {
 		if m.VM == vm {
 			return true
 		}
@@ -145,46 +147,46 @@
 	return false
 }
 
-// Load pattern: the daemons that carry die, one after the other and at once with
-// their spares. Guards against callers who are sent to dead ones for longer than a
-// few heartbeats, and against daemons that disagree on who comes next.
-func TestWatchedDaemonsAreReplaced(t *testing.T) {
+// The carriers fail, first one after the other and then together with their standbys.
+// Guards against callers who are directed to failed daemons for longer than a few
+// heartbeats, and against daemons that disagree on the replacements.
+func TestFailedMonitoredDaemonsAreReplaced(t *testing.T) {
 	g := NewWithT(t)
-	q := newQuarter(60)
-	q.pass(5 * time.Second)
+	s := newSimulation(60)
+	s.advance(5 * time.Second)
 	for range 2 {
-		q.dead[q.carriers("a-40")[0]] = true
-		q.pass(1200 * time.Millisecond)
-		q.expectAgreement(g, len(q.carriers("a-40")))
+		s.dead[s.carriers("a-40")[0]] = true
+		s.advance(1200 * time.Millisecond)
+		s.expectAgreement(g, len(s.carriers("a-40")))
 	}
-	for _, m := range q.views["a-40"].Watched(q.now, map[string]float64{groupName: 1}) {
-		q.dead[m.VM] = m.VM != "a-40"
+	for _, m := range s.rosters["a-40"].Watched(s.now, map[string]float64{groupName: 1}) {
+		s.dead[m.VM] = m.VM != "a-40"
 	}
-	q.pass(3 * time.Second)
-	q.expectAgreement(g, 7)
+	s.advance(3 * time.Second)
+	s.expectAgreement(g, 7)
 }
 
-// Guards against a daemon that is taken for dead because it is not heard by daemons
-// that need not hear it, and so never carries when its turn comes.
-func TestQuietDaemonsAreKnownToTheWatched(t *testing.T) {
+// Guards against a daemon that counts as failed because daemons that need not receive
+// its heartbeats do not receive them, and which therefore never becomes a carrier.
+func TestMonitoredDaemonsKnowUnmonitoredOnes(t *testing.T) {
 	g := NewWithT(t)
-	q := newQuarter(60)
-	q.pass(20 * time.Second)
-	carrier := q.carriers("a-0")[0]
-	g.Expect(q.views[carrier].Carriers(q.now, groupName, "a", 100)).To(HaveLen(62))
+	s := newSimulation(60)
+	s.advance(20 * time.Second)
+	carrier := s.carriers("a-0")[0]
+	g.Expect(s.rosters[carrier].Carriers(s.now, groupName, "a", 100)).To(HaveLen(62))
 }
 
-// Guards against a daemon that hears nobody and stays unknown to the others when it
-// hears again.
-func TestDaemonThatHearsAgainFindsTheOthers(t *testing.T) {
+// A daemon receives no heartbeats for a while. Guards against it staying unknown to
+// the others once it receives them again.
+func TestIsolatedDaemonRejoins(t *testing.T) {
 	g := NewWithT(t)
-	q := newQuarter(20)
-	q.pass(5 * time.Second)
-	q.deaf["a-7"] = true
-	q.pass(5 * time.Second)
-	g.Expect(q.isWatched("a-7")).To(BeTrue(), "it takes itself for alone")
-	q.deaf["a-7"] = false
-	q.pass(2 * time.Second)
-	q.expectAgreement(g, 2)
-	g.Expect(q.isWatched("a-7")).To(BeFalse())
+	s := newSimulation(20)
+	s.advance(5 * time.Second)
+	s.isolated["a-7"] = true
+	s.advance(5 * time.Second)
+	g.Expect(s.isMonitored("a-7")).To(BeTrue(), "it takes itself for alone")
+	s.isolated["a-7"] = false
+	s.advance(2 * time.Second)
+	s.expectAgreement(g, 2)
+	g.Expect(s.isMonitored("a-7")).To(BeFalse())
 }
