--- a/core/detect/assess.go
+++ b/core/detect/assess.go
@@ -11,329 +11,350 @@
 )
 
 const (
-	// slowMargin is the least difference to the median that counts as slow.
-	// Below it, the network distance between data centres (0.5 ms) and
-	// scheduling noise outweigh what the target does.
+	// slowMargin is the least excess over the median latency that counts as
+	// slow. Below it, the network distance between data centres (0.5 ms) and
+	// scheduling noise outweigh the target's own latency.
 	slowMargin = 5 * time.Millisecond
-	// coldFactor multiplies the slow factor while a target starts slowly.
-	coldFactor = 4
-	// probeFailures is the number of failed probes in a row, with no good
-	// request or probe beside them, that speaks against a target.
-	probeFailures = 3
-	// sickFailures is the least number of failures from which one observer finds
-	// a target sick. With 4 requests and a limit of 40%, two stray failures
-	// would do, which 1 of 100 failing at random makes common.
-	sickFailures = 3
-	// pooledFailures is the least number of own failures with which an
-	// observer joins an agreement that rests on pooled evidence.
-	pooledFailures = 2
-	// pooledRequests is the same for requests that were slow.
-	pooledRequests = 2
-	// poolSteps divides the window into the shortest span of pooled evidence.
-	poolSteps = 4
-	// suspectFailures is the number of failures at one observer from which a
-	// target is watched more closely.
-	suspectFailures = 2
-	// minDataCentres is the number of data centres that agree if carriers
-	// stand in as many.
+	// slowStartFactor multiplies the slow factor of a target in slow start.
+	slowStartFactor = 4
+	// minProbeFailures is the number of probes that have to fail, with no
+	// successful request or probe since the first of them, before probes count
+	// against a target.
+	minProbeFailures = 3
+	// minFailures is the least number of failures for which one observer finds
+	// a target failing. With 4 requests and a limit of 40%, two unrelated
+	// failures would suffice, which is common when 1 of 100 requests fails at
+	// random.
+	minFailures = 3
+	// minConfirmingFailures is the least number of failures of its own with
+	// which an observer confirms a finding from pooled evidence.
+	minConfirmingFailures = 2
+	// minConfirmingRequests is the least number of successful requests of its
+	// own with which an observer confirms a pooled finding of slowness.
+	minConfirmingRequests = 2
+	// shortestSpanDivisor divides the window into the shortest span of pooled
+	// evidence.
+	shortestSpanDivisor = 4
+	// minSuspectFailures is the number of failures at one observer from which a
+	// target is a suspect, which is probed and reported on more often.
+	minSuspectFailures = 2
+	// minDataCentres is the number of data centres whose observers have to
+	// agree if the carriers are in at least as many.
 	minDataCentres = 2
 )
 
-// view is what one observer has against one target.
-type view struct {
-	o       *observer
-	basis   tally
-	enough  bool
-	failing bool
-	slow    bool
+// finding is the evidence of one observer about one target, and what it shows.
+type finding struct {
+	observer   *observer
+	evidence   totals
+	sufficient bool
+	failing    bool
+	slow       bool
 }
 
-func (v *view) sick() bool { return v.failing || v.slow }
+func (v *finding) isUnhealthy() bool { return v.failing || v.slow }
 
-// Assess judges all targets by the evidence up to now, the worst first.
+// Assess evaluates all targets by the evidence up to now. It returns the
+// verdicts, the most severe first, or none if the service as a whole fails.
 func (s *Service) Assess(now time.Time) []Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	x := s.newEvaluation(now)
-	s.suspect = map[fleet.TargetID]bool{}
-	s.typical = 0
-	if code, ok := x.codes.median(); ok {
-		s.typical = latencyOf(code)
+	s.suspects = map[fleet.TargetID]bool{}
+	s.medianLatency = 0
+	if code, ok := x.latencyCodes.median(); ok {
+		s.medianLatency = latencyOf(code)
 	}
 	var verdicts []Verdict
 	for t, id := range x.targets {
-		if v, ok := x.judge(t); ok {
+		if v, ok := x.assessTarget(t); ok {
 			verdicts = append(verdicts, v)
-			s.suspect[id] = true
+			s.suspects[id] = true
 		}
 	}
-	if x.mostFail() {
+	if x.isServiceFailing() {
 		verdicts = nil
 	}
-	s.unconfirmed = x.unconfirmed()
-	s.stamp(verdicts, now)
+	s.undersampled = x.undersampledSuspects()
+	s.setSince(verdicts, now)
 	slices.SortFunc(verdicts, func(a, b Verdict) int {
 		return cmp.Or(cmp.Compare(b.Action, a.Action), cmp.Compare(b.Severity, a.Severity), cmp.Compare(a.Target, b.Target))
 	})
 	return verdicts
 }
 
-// unconfirmed returns the suspects that this daemon has not used enough to judge.
-func (x *evaluation) unconfirmed() map[fleet.TargetID]bool {
+// undersampledSuspects returns the suspects for which this daemon has too few
+// requests of its own.
+func (x *evaluation) undersampledSuspects() map[fleet.TargetID]bool {
 	out := map[fleet.TargetID]bool{}
-	for id := range x.s.suspect {
+	for id := range x.detector.suspects {
 		if x.own == nil {
 			out[id] = true
 			continue
 		}
-		basis := x.own.o.series[id].newest(x.p.MinRequests, x.wide)
-		if basis.requests() < x.p.MinRequests {
+		basis := x.own.observer.series[id].newest(x.detection.MinRequests, x.longWindowStart)
+		if basis.requests() < x.detection.MinRequests {
 			out[id] = true
 		}
 	}
 	return out
 }
 
-// stamp fills Since, which survives as long as a target has a verdict.
-func (s *Service) stamp(verdicts []Verdict, now time.Time) {
+// setSince fills Since of the verdicts. A target keeps its time for as long as
+// each Assess returns a verdict on it.
+func (s *Service) setSince(verdicts []Verdict, now time.Time) {
 	next := make(map[fleet.TargetID]time.Time, len(verdicts))
-	s.slow = map[fleet.TargetID]bool{}
+	s.slowTargets = map[fleet.TargetID]bool{}
 	for i := range verdicts {
 		v := &verdicts[i]
 		v.Since = now
-		if t, ok := s.since[v.Target]; ok {
+		if t, ok := s.verdictSince[v.Target]; ok {
 			v.Since = t
 		}
 		next[v.Target] = v.Since
 		if v.Cause == CauseSlow {
-			s.slow[v.Target] = true
+			s.slowTargets[v.Target] = true
 		}
 	}
-	s.since = next
+	s.verdictSince = next
 }
 
-// measure is what a target is compared with.
-type measure struct {
-	limit    float64 // failure ratio
-	base     float64 // median latency code of the other targets
-	haveBase bool
-	steady   bool          // slowness lasts
-	slowSpan time.Duration // in which it shows
+// criteria holds the limits and reference values by which a target is assessed.
+type criteria struct {
+	failureLimit float64 // failure ratio from which the target fails
+	medianCode   float64 // median latency code of the other targets
+	hasMedian    bool
+	steadilySlow bool          // slow in both halves of slowSpan
+	slowSpan     time.Duration // span of the evidence of slowness
 }
 
-// judge gives the verdict on one target, if there is one.
-func (x *evaluation) judge(t int) (Verdict, bool) {
+// assessTarget returns the verdict on one target, and whether there is one.
+func (x *evaluation) assessTarget(t int) (Verdict, bool) {
 	id := x.targets[t]
-	typical, _ := x.ratios.without(t)
-	m := measure{limit: typical + (1-typical)*x.p.FailureRatio}
-	m.base, m.haveBase = x.codes.without(t)
-	m.slowSpan, m.steady = x.steadySlowness(t, m)
-	joinWith, pool := x.poolFails(t, m.limit)
+	medianRatio, _ := x.failureRatios.medianWithout(t)
+	c := criteria{failureLimit: medianRatio + (1-medianRatio)*x.detection.FailureRatio}
+	c.medianCode, c.hasMedian = x.latencyCodes.medianWithout(t)
+	c.slowSpan, c.steadilySlow = x.steadySlowness(t, c)
+	confirmWith, pooled := x.assessPooled(t, c.failureLimit)
 	probesFail := x.probesFail(t)
 
-	agree, against := []*view{}, 0
-	for i := range x.counted {
-		v := x.view(&x.counted[i], t, m)
+	agree, against := []*finding{}, 0
+	for i := range x.included {
+		v := x.observerFinding(&x.included[i], t, c)
 		switch {
-		case v.sick(), joinWith > 0 && v.joins(joinWith, m.limit), m.steady && x.joinsSlow(v, t, m), probesFail && x.confirmsProbes(v.o, id):
+		case v.isUnhealthy(), confirmWith > 0 && v.confirmsFailures(confirmWith, c.failureLimit), c.steadilySlow && x.confirmsSlowness(v, t, c), probesFail && x.confirmsProbeFailures(v.observer, id):
 			agree = append(agree, v)
-		case v.enough && (!m.steady || x.counted[i].recent[t].requests() >= x.p.MinRequests):
-			// Evidence from before a target became slow does not speak against slowness.
+		case v.sufficient && (!c.steadilySlow || x.included[i].totals[t].requests() >= x.detection.MinRequests):
+			// Older evidence may date from before the target became slow, so
+			// only evidence within the window contradicts slowness.
 			against++
 		}
-		if v.basis.failures() >= suspectFailures && v.basis.ratio() >= m.limit/2 {
-			x.s.suspect[id] = true
+		if v.evidence.failures() >= minSuspectFailures && v.evidence.failureRatio() >= c.failureLimit/2 {
+			x.detector.suspects[id] = true
 		}
 	}
-	if x.agreed(agree, against) {
-		return x.condemn(id, agree, pool, m), true
+	if x.hasQuorum(agree, against) {
+		return x.condemnVerdict(id, agree, pooled, c), true
 	}
-	return x.avoid(t, m, probesFail)
+	return x.avoidVerdict(t, c, probesFail)
 }
 
-// view judges one target by the evidence of one observer. The window decides
-// if it holds enough requests; else the newest requests of the wide window do.
-// A burst of failures in the newest requests decides before the window is
-// full, at a limit halfway to certainty.
-func (x *evaluation) view(w *observation, t int, m measure) *view {
-	se := w.o.series[x.targets[t]]
-	v := &view{o: w.o, basis: w.recent[t]}
-	if v.basis.requests() < x.p.MinRequests {
-		v.basis = se.newest(x.p.MinRequests, x.wide)
+// observerFinding assesses one target by the evidence of one observer. It uses
+// the window if that holds enough requests, and otherwise the newest requests
+// of the long window. A burst of failures among the newest requests decides
+// before the rest of the window does, at a stricter limit: halfway between the
+// failure limit and 1.
+func (x *evaluation) observerFinding(w *observerWindow, t int, c criteria) *finding {
+	se := w.observer.series[x.targets[t]]
+	v := &finding{observer: w.observer, evidence: w.totals[t]}
+	if v.evidence.requests() < x.detection.MinRequests {
+		v.evidence = se.newest(x.detection.MinRequests, x.longWindowStart)
 	}
-	v.enough = v.basis.requests() >= x.p.MinRequests
-	if !v.enough {
+	v.sufficient = v.evidence.requests() >= x.detection.MinRequests
+	if !v.sufficient {
 		return v
 	}
-	v.failing = v.basis.failures() >= min(sickFailures, x.p.MinRequests) && v.basis.ratio() >= m.limit
-	if !v.failing && w.recent[t].failures() > 0 {
-		if burst := se.newest(x.p.MinRequests, x.recent); burst.requests() >= x.p.MinRequests && burst.ratio() >= (1+m.limit)/2 {
-			v.failing, v.basis = true, burst
+	v.failing = v.evidence.failures() >= min(minFailures, x.detection.MinRequests) && v.evidence.failureRatio() >= c.failureLimit
+	if !v.failing && w.totals[t].failures() > 0 {
+		if burst := se.newest(x.detection.MinRequests, x.windowStart); burst.requests() >= x.detection.MinRequests && burst.failureRatio() >= (1+c.failureLimit)/2 {
+			v.failing, v.evidence = true, burst
 		}
 	}
-	v.slow = m.steady && int(v.basis.counts[OK]) >= x.p.MinRequests && x.isSlow(x.targets[t], v.basis.code(), m.base)
+	v.slow = c.steadilySlow && int(v.evidence.counts[OK]) >= x.detection.MinRequests && x.isSlow(x.targets[t], v.evidence.meanLatencyCode(), c.medianCode)
 	return v
 }
 
-func (v *view) joins(failures int, limit float64) bool {
-	return v.basis.failures() >= failures && v.basis.ratio() >= limit
+func (v *finding) confirmsFailures(failures int, limit float64) bool {
+	return v.evidence.failures() >= failures && v.evidence.failureRatio() >= limit
 }
 
 func (x *evaluation) isSlow(id fleet.TargetID, code, base float64) bool {
-	factor := x.p.SlowFactor
-	if at, ok := x.s.started[id]; ok && x.now.Sub(at) < x.s.svc.Policy.SlowStart+x.p.Window {
-		factor *= coldFactor
+	factor := x.detection.SlowFactor
+	if at, ok := x.detector.started[id]; ok && x.now.Sub(at) < x.detector.svc.Policy.SlowStart+x.detection.Window {
+		factor *= slowStartFactor
 	}
 	return code-base > codesPerOctave*math.Log2(factor) && latencyOf(code)-latencyOf(base) > slowMargin
 }
 
-// steadySlowness reports whether the target is slow in both halves of the
-// window, or of a longer span if the window holds too few requests, by the
-// evidence of all counted observers. A burst of requests that queue at one
-// target, which takes a second or two to pass, is not slowness of the target.
-// Once there is a verdict of slowness, little or no work follows, so the check is not
-// repeated.
-func (x *evaluation) steadySlowness(t int, m measure) (time.Duration, bool) {
+// steadySlowness reports whether the target is slow in both halves of a span,
+// by the evidence of all included observers, and returns the span. The span
+// starts as the window and doubles, up to the long window, while it holds too
+// few requests. A queue that builds up at one target and clears within a second
+// or two is not slowness of the target. A target with a verdict of slowness
+// gets little or no traffic, so the check is not repeated for it.
+func (x *evaluation) steadySlowness(t int, c criteria) (time.Duration, bool) {
 	id := x.targets[t]
-	if !m.haveBase {
+	if !c.hasMedian {
 		return 0, false
 	}
-	if x.s.slow[id] {
-		return wideWindows * x.p.Window, true
+	if x.detector.slowTargets[id] {
+		return longWindowFactor * x.detection.Window, true
 	}
-	for span := x.p.Window; span <= wideWindows*x.p.Window; span *= 2 {
-		early, late := x.poolSince(t, span), x.poolSince(t, span/2)
-		if int(early.counts[OK]) < 2*x.p.MinRequests {
+	for span := x.detection.Window; span <= longWindowFactor*x.detection.Window; span *= 2 {
+		early, late := x.pooledOver(t, span), x.pooledOver(t, span/2)
+		if int(early.counts[OK]) < 2*x.detection.MinRequests {
 			continue
 		}
 		early.subtract(late)
-		return span, x.halfSlow(id, early, m.base) && x.halfSlow(id, late, m.base)
+		return span, x.isHalfSlow(id, early, c.medianCode) && x.isHalfSlow(id, late, c.medianCode)
 	}
 	return 0, false
 }
 
-// joinsSlow reports whether an observer that has too few requests of its own
-// shares the pooled finding that the target is slow.
-func (x *evaluation) joinsSlow(v *view, t int, m measure) bool {
-	own := v.o.series[x.targets[t]].since(x.now.Add(-m.slowSpan))
-	if own.counts[OK] < pooledRequests || !x.isSlow(x.targets[t], own.code(), m.base) {
+// confirmsSlowness reports whether an observer with too few requests for a
+// finding of its own confirms the pooled finding that the target is slow. If it
+// does, the finding of the observer is changed to slow.
+func (x *evaluation) confirmsSlowness(v *finding, t int, c criteria) bool {
+	own := v.observer.series[x.targets[t]].since(x.now.Add(-c.slowSpan))
+	if own.counts[OK] < minConfirmingRequests || !x.isSlow(x.targets[t], own.meanLatencyCode(), c.medianCode) {
 		return false
 	}
-	v.basis, v.slow = own, true
+	v.evidence, v.slow = own, true
 	return true
 }
 
-func (x *evaluation) halfSlow(id fleet.TargetID, half tally, base float64) bool {
-	return half.counts[OK] > 0 && x.isSlow(id, half.code(), base)
+func (x *evaluation) isHalfSlow(id fleet.TargetID, half totals, base float64) bool {
+	return half.counts[OK] > 0 && x.isSlow(id, half.meanLatencyCode(), base)
 }
 
-// poolFails judges the newest evidence of all counted observers together,
+// assessPooled assesses the newest evidence of all included observers together,
 // which suffices long before each observer has enough of its own. The span
 // grows from a quarter of the window until it holds enough requests, up to the
-// wide window for a target with little traffic. It returns the number of own
-// failures with which an observer joins, 0 if the pool does not fail: one is
-// enough if the pool holds a whole minimum of failures and little else.
-func (x *evaluation) poolFails(t int, limit float64) (int, tally) {
-	if x.pooled[t].failures() < pooledFailures {
-		return 0, tally{}
+// long window for a target with little traffic. It returns the number of
+// failures of its own with which an observer confirms that the target fails, or
+// 0 if the pooled evidence does not show it. One failure suffices if the pooled
+// evidence holds at least the minimum number of requests as failures, and its
+// failure ratio is at least halfway between the limit and 1.
+func (x *evaluation) assessPooled(t int, limit float64) (int, totals) {
+	if x.pooled[t].failures() < minConfirmingFailures {
+		return 0, totals{}
 	}
-	need := x.p.MinRequests * max(1, x.p.MinObservers)
-	for span := x.p.Window / poolSteps; span <= wideWindows*x.p.Window; span *= 2 {
-		pool := x.poolSince(t, span)
-		if pool.failures() >= max(x.p.MinRequests, sickFailures) && pool.ratio() >= (1+limit)/2 {
-			return 1, pool
+	need := x.detection.MinRequests * max(1, x.detection.MinObservers)
+	for span := x.detection.Window / shortestSpanDivisor; span <= longWindowFactor*x.detection.Window; span *= 2 {
+		pooled := x.pooledOver(t, span)
+		if pooled.failures() >= max(x.detection.MinRequests, minFailures) && pooled.failureRatio() >= (1+limit)/2 {
+			return 1, pooled
 		}
-		if pool.requests() < need {
+		if pooled.requests() < need {
 			continue
 		}
-		if pool.ratio() >= limit {
-			return pooledFailures, pool
+		if pooled.failureRatio() >= limit {
+			return minConfirmingFailures, pooled
 		}
-		return 0, pool
+		return 0, pooled
 	}
-	return 0, tally{}
+	return 0, totals{}
 }
 
-// probesFail reports whether probes fail in a row and nothing better is known:
-// probes are evidence of second rank, so one good request outweighs them.
+// probesFail reports whether probes failed in a row, with no successful request
+// or probe since. Probes are weaker evidence than requests, so one successful
+// request outweighs them. A recent failed probe alone makes the target a
+// suspect.
 func (x *evaluation) probesFail(t int) bool {
 	id := x.targets[t]
-	from := x.now.Add(-max(x.p.Window, probeFailures*x.s.svc.Policy.Probe.Interval))
+	from := x.now.Add(-max(x.detection.Window, minProbeFailures*x.detector.svc.Policy.Probe.Interval))
 	failed := false
-	for i := range x.counted {
-		se := x.counted[i].o.series[id]
+	for i := range x.included {
+		se := x.included[i].observer.series[id]
 		if se == nil {
 			continue
 		}
-		failed = failed || se.probeFailed.After(from)
-		if se.good.After(from) {
-			from = se.good
+		failed = failed || se.lastProbeFailure.After(from)
+		if se.lastGood.After(from) {
+			from = se.lastGood
 		}
 	}
 	if !failed {
 		return false
 	}
-	x.s.suspect[id] = true
-	all := x.poolSince(t, x.now.Sub(from))
-	return all.probesFailed >= probeFailures
+	x.detector.suspects[id] = true
+	all := x.pooledOver(t, x.now.Sub(from))
+	return all.probesFailed >= minProbeFailures
 }
 
-func (x *evaluation) confirmsProbes(o *observer, id fleet.TargetID) bool {
-	t := o.series[id].since(x.wide)
-	return t.failures() > 0 || t.probesFailed >= probeFailures
+// confirmsProbeFailures reports whether the observer itself saw the target
+// fail, in requests or in enough probes.
+func (x *evaluation) confirmsProbeFailures(o *observer, id fleet.TargetID) bool {
+	t := o.series[id].since(x.longWindowStart)
+	return t.failures() > 0 || t.probesFailed >= minProbeFailures
 }
 
-// agreed applies the rule of agreement: enough observers, in two data centres
-// where carriers stand in two, and not fewer than those with enough evidence
-// to the contrary.
-func (x *evaluation) agreed(agree []*view, against int) bool {
-	if len(agree) < max(1, x.p.MinObservers) || len(agree) < against {
+// hasQuorum reports whether the observers that agree suffice to condemn a
+// target. There have to be at least the configured minimum of them, in two data
+// centres if the carriers are in two or more, and no fewer than the observers
+// with enough evidence to the contrary.
+func (x *evaluation) hasQuorum(agree []*finding, against int) bool {
+	if len(agree) < max(1, x.detection.MinObservers) || len(agree) < against {
 		return false
 	}
 	return len(dataCentres(agree)) >= min(minDataCentres, x.carrierDataCentres())
 }
 
+// carrierDataCentres counts the data centres of the carriers, or those of the
+// observers while the carriers are not known.
 func (x *evaluation) carrierDataCentres() int {
 	all := map[fleet.DataCentre]bool{}
-	for _, dc := range x.s.carriers {
+	for _, dc := range x.detector.carriers {
 		all[dc] = true
 	}
 	if len(all) > 0 {
 		return len(all)
 	}
-	for _, o := range x.s.observers {
+	for _, o := range x.detector.observers {
 		all[o.dc] = true
 	}
 	return len(all)
 }
 
-func dataCentres(views []*view) map[fleet.DataCentre]bool {
+func dataCentres(views []*finding) map[fleet.DataCentre]bool {
 	dcs := map[fleet.DataCentre]bool{}
 	for _, v := range views {
-		dcs[v.o.dc] = true
+		dcs[v.observer.dc] = true
 	}
 	return dcs
 }
 
-func (x *evaluation) condemn(id fleet.TargetID, agree []*view, pool tally, m measure) Verdict {
-	var all tally
+// condemnVerdict returns the verdict on which the given observers agree.
+func (x *evaluation) condemnVerdict(id fleet.TargetID, agree []*finding, pooled totals, c criteria) Verdict {
+	var all totals
 	failing := false
 	for _, v := range agree {
-		all.merge(v.basis)
+		all.merge(v.evidence)
 		failing = failing || v.failing
 	}
 	if all.requests() == 0 {
-		all = pool
+		all = pooled
 	}
-	v := x.verdict(id, Condemn, all, m, failing || all.failures() > 0 && all.ratio() >= m.limit)
+	v := x.newVerdict(id, Condemn, all, c, failing || all.failures() > 0 && all.failureRatio() >= c.failureLimit)
 	v.Observers, v.DataCentres = len(agree), len(dataCentres(agree))
 	v.Reason += fmt.Sprintf("; %d observers in %d data centres agree", v.Observers, v.DataCentres)
 	return v
 }
 
-// avoid gives this daemon's own view. It needs another target in good order,
-// since avoiding all of them gains nothing.
-func (x *evaluation) avoid(t int, m measure, probesFail bool) (Verdict, bool) {
+// avoidVerdict returns the verdict of this daemon alone, if there is one.
+// Unless probes fail, it requires another healthy target, since avoiding all
+// targets gains nothing.
+func (x *evaluation) avoidVerdict(t int, c criteria, probesFail bool) (Verdict, bool) {
 	id := x.targets[t]
 	if probesFail {
 		return Verdict{
@@ -344,33 +365,33 @@
 	if x.own == nil {
 		return Verdict{}, false
 	}
-	own := x.view(x.own, t, m)
-	if !own.sick() || !x.ownAlternative(t) {
+	own := x.observerFinding(x.own, t, c)
+	if !own.isUnhealthy() || !x.hasHealthyAlternative(t) {
 		return Verdict{}, false
 	}
-	v := x.verdict(id, Avoid, own.basis, m, own.failing)
+	v := x.newVerdict(id, Avoid, own.evidence, c, own.failing)
 	v.Observers, v.DataCentres = 1, 1
 	v.Reason += "; not confirmed by other observers"
 	return v, true
 }
 
-func (x *evaluation) ownAlternative(but int) bool {
+func (x *evaluation) hasHealthyAlternative(except int) bool {
 	for t := range x.targets {
-		seen := &x.own.recent[t]
-		if t != but && seen.requests() > 0 && seen.ratio() < x.p.FailureRatio {
+		seen := &x.own.totals[t]
+		if t != except && seen.requests() > 0 && seen.failureRatio() < x.detection.FailureRatio {
 			return true
 		}
 	}
 	return false
 }
 
-func (x *evaluation) verdict(id fleet.TargetID, a Action, t tally, m measure, failing bool) Verdict {
+func (x *evaluation) newVerdict(id fleet.TargetID, a Action, t totals, c criteria, failing bool) Verdict {
 	v := Verdict{Target: id, Action: a}
 	if failing {
-		v.Cause, v.Severity, v.Reason = causeOf(t), 1+t.ratio(), failingReason(t, m.limit)
+		v.Cause, v.Severity, v.Reason = mainCause(t), 1+t.failureRatio(), failingReason(t, c.failureLimit)
 		return v
 	}
-	v.Cause, v.Reason = CauseSlow, slowReason(t.code(), m.base)
-	v.Severity = min(1, (t.code()-m.base)/math.MaxUint8)
+	v.Cause, v.Reason = CauseSlow, slowReason(t.meanLatencyCode(), c.medianCode)
+	v.Severity = min(1, (t.meanLatencyCode()-c.medianCode)/math.MaxUint8)
 	return v
 }
--- a/core/detect/assess_test.go
+++ b/core/detect/assess_test.go
@@ -299,7 +299,7 @@
 	})
 
 	It("weighs slowness less while a target starts", func() {
-		b.s.Follow(Ejections{}, Signs{"c": {}}, b.now)
+		b.s.Follow(Ejections{}, LeavingSignals{"c": {}}, b.now)
 		b.s.Follow(Ejections{}, nil, b.now)
 		slow := func(_, i int, r *Row) {
 			if i == 2 {
--- a/core/detect/cost_test.go
+++ b/core/detect/benchmark_test.go
@@ -20,7 +20,7 @@
 		b.Run(p.name, func(b *testing.B) {
 			e := newBench(costTargets)
 			e.svc.Policy.Detection = p.preset
-			for range int(wideWindows * p.preset.Window / time.Second) {
+			for range int(longWindowFactor * p.preset.Window / time.Second) {
 				e.each(func(_, i int, r *Row) {
 					if i == 2 {
 						r.Counts[Failed] = 1
@@ -50,7 +50,7 @@
 func BenchmarkRowBytes(b *testing.B) {
 	svc := testService(costTargets)
 	r := NewRecorder(svc)
-	roster := NewRoster(svc)
+	index := NewRoster(svc)
 	var size int
 	for b.Loop() {
 		for i := range svc.Targets {
@@ -59,7 +59,7 @@
 			}
 		}
 		r.RecordProbe("c", OK, 25*time.Millisecond)
-		size = len(EncodeRows(roster, r.Drain()))
+		size = len(EncodeRows(index, r.Drain()))
 	}
 	b.ReportMetric(float64(size)/costTargets, "bytes/target")
 }
--- a/core/detect/ejections_test.go
+++ b/core/detect/ejections_test.go
@@ -47,8 +47,8 @@
 
 	It("counts leaving and drained targets against the floor", func() {
 		j := eject(NewEjections(svc.ID), "a", epoch)
-		signs := Signs{"e": {}, "f": {}}
-		_, err := j.Eject(svc, signs, condemned("b"), "vm1", epoch)
+		signals := LeavingSignals{"e": {}, "f": {}}
+		_, err := j.Eject(svc, signals, condemned("b"), "vm1", epoch)
 		Expect(fault.Is(err, fault.FloorReached)).To(BeTrue())
 	})
 
@@ -60,7 +60,7 @@
 			Expect(e.PeriodMS).To(Equal(want * 1000))
 			now = e.Until
 			j, _ = j.BeginTrial(svc, "a", now)
-			j, _ = j.TrialResult(svc, "a", true, "vm1", now)
+			j, _ = j.EndTrial(svc, "a", true, "vm1", now)
 			Expect(j.Entries).To(BeEmpty())
 			now = now.Add(flapFactor * e.Period())
 		}
@@ -73,7 +73,7 @@
 		j = eject(j, "b", epoch.Add(time.Second))
 		raised := *svc
 		raised.Policy.Floor = fleet.Floor{Count: 5}
-		n := j.Fit(&raised, epoch.Add(2*time.Second))
+		n := j.ApplySettings(&raised, epoch.Add(2*time.Second))
 		Expect(n.Validate()).To(Succeed())
 		Expect(n.Entries).To(HaveLen(1))
 		Expect(n.Entries[0].Target).To(Equal(fleet.TargetID("a")))
@@ -83,7 +83,7 @@
 	})
 
 	It("keeps every statement through the row value", func() {
-		j := eject(NewEjections(svc.ID), "a", epoch).Stamp("vm1.7")
+		j := eject(NewEjections(svc.ID), "a", epoch).WithWriteID("vm1.7")
 		j, err := j.EjectByHand(svc, nil, "b", "alma", "disk swap", epoch)
 		Expect(err).NotTo(HaveOccurred())
 		data, err := j.Encode()
@@ -117,7 +117,7 @@
 func FuzzDecodeEjections(f *testing.F) {
 	svc := testService(6)
 	j, _ := NewEjections(svc.ID).Eject(svc, nil, condemned("a"), "vm1", epoch)
-	whole, _ := j.Stamp("vm1.1").Encode()
+	whole, _ := j.WithWriteID("vm1.1").Encode()
 	f.Add(whole)
 	f.Add(whole[:len(whole)/2])
 	f.Add(bytes.Replace(whole, []byte(`"floor":3`), []byte(`"floor":6`), 1))
@@ -137,7 +137,7 @@
 		if _, err := DecodeEjections(svc.ID, again); err != nil {
 			t.Fatal(err)
 		}
-		if n := j.Fit(svc, epoch); n.Validate() != nil {
+		if n := j.ApplySettings(svc, epoch); n.Validate() != nil {
 			t.Fatalf("fitted row is not valid: %v", n.Validate())
 		}
 	})
--- a/core/detect/ejector.go
+++ b/core/detect/ejector.go
@@ -15,121 +15,126 @@
 )
 
 const (
-	// ejectorTick is how often due changes are looked for.
-	ejectorTick = 250 * time.Millisecond
-	// dutyDelay is the wait for each rank before a daemon changes the row. It
-	// exceeds a conditional write by far, so that as a rule only the first
-	// carrier writes.
-	dutyDelay = 300 * time.Millisecond
-	// rereadInterval bounds the age of the row in use; 690 daemons with 3.13
-	// services each make 72 reads/s of it.
-	rereadInterval = 30 * time.Second
-	// storeTimeout bounds each call of the table service.
+	// reconcileInterval is how often the row is reconciled with the assessment.
+	reconcileInterval = 250 * time.Millisecond
+	// delayPerRank is how long a daemon waits, for each rank before its own,
+	// until it changes the row. It is far longer than a conditional write
+	// takes, so that usually only the first carrier writes.
+	delayPerRank = 300 * time.Millisecond
+	// refreshInterval bounds the age of the copy of the row. With it, 690
+	// daemons with 3.13 services each make 72 reads/s.
+	refreshInterval = 30 * time.Second
+	// storeTimeout bounds each call to the table service.
 	storeTimeout = 2 * time.Second
-	// writeAttempts bounds the attempts of one change before it waits for the
-	// next tick; each lost attempt means that another daemon's write took effect.
+	// writeAttempts bounds the attempts at one change before it waits for the
+	// next tick; each attempt that fails with a conflict means that another
+	// daemon's write took effect.
 	writeAttempts = 6
-	// assessmentHold is the age up to which verdicts are acted on, so that a
-	// daemon that was paused does not carry out what it thought before.
-	assessmentHold = 5 * time.Second
-	firstBackoff   = 250 * time.Millisecond
-	longBackoff    = 10 * time.Second
-	// jitterShare is the part of a wait that is random.
-	jitterShare = 0.2
+	// maxAssessmentAge is the age up to which verdicts are acted on, so that a
+	// daemon that was paused does not act on verdicts from before the pause.
+	maxAssessmentAge = 5 * time.Second
+	initialBackoff   = 250 * time.Millisecond
+	maxBackoff       = 10 * time.Second
+	// jitterFraction is the width of the random part of a wait, as a fraction
+	// of the wait.
+	jitterFraction = 0.2
 )
 
-// Listing is the row as a daemon holds it.
+// Listing is a daemon's copy of the row.
 type Listing struct {
 	Ejections
-	// Version is that of the table row; 0 means that the row does not exist.
+	// Version is the version of the table row; 0 means that the row does not
+	// exist.
 	Version uint64
-	// Value is the row value as read, for reports to peers.
+	// Value is the row value as read, which is passed on to peers.
 	Value []byte
-	// Read is when the row was read or taken over from a peer; a zero time
-	// means that it has not been read yet.
+	// Read is when the row was read or received from a peer; it is zero until
+	// then.
 	Read time.Time
 }
 
-// Assessment is what a daemon submits to its Ejector after each Assess.
+// Assessment is what a daemon submits to its Ejector after each call of Assess.
 type Assessment struct {
 	Service  *fleet.Service
 	Verdicts []Verdict
-	Signs    Signs
-	// Typical is the median latency over the targets, against which trials are
-	// measured.
+	Signs    LeavingSignals
+	// Typical is the median latency over the targets, against which the latency
+	// of targets in trial is compared.
 	Typical time.Duration
 }
 
-// Ejector carries verdicts into the row of one service and keeps a copy of the
-// row for use. All writes of this daemon to the row go through its run.
+// Ejector writes the ejections that follow from verdicts to the row of one
+// service, and keeps a copy of the row. Its run goroutine makes all writes of
+// this daemon to the row.
 type Ejector struct {
-	service fleet.ServiceID
-	writer  fleet.Incarnation
-	table   store.Table
-	rank    func(fleet.TargetID) int
-	changed func(Listing)
-	spread  func(time.Duration) time.Duration
-
-	listing atomic.Pointer[Listing]
-	latest  atomic.Pointer[submission]
-	heard   atomic.Uint64
-	writes  atomic.Uint64
-	trials  trials
-	orders  chan order
-	wake    chan struct{}
-	done    chan struct{}
-
-	// The fields below belong to run.
-	condemned map[fleet.TargetID]time.Time
-	nextRead  time.Time
-	stale     bool
-	retry     *backoff.ExponentialBackOff
-	retryAt   time.Time
+	service  fleet.ServiceID
+	writer   fleet.Incarnation
+	table    store.Table
+	rank     func(fleet.TargetID) int
+	onChange func(Listing)
+	jitter   func(time.Duration) time.Duration
+
+	cached          atomic.Pointer[Listing]
+	latest          atomic.Pointer[timedAssessment]
+	peerVersion     atomic.Uint64
+	writeCount      atomic.Uint64
+	trials          trialTracker
+	operatorChanges chan operatorChange
+	wake            chan struct{}
+	done            chan struct{}
+
+	// The fields below are used by run only.
+	condemnedSince map[fleet.TargetID]time.Time
+	nextRead       time.Time
+	stale          bool
+	retry          *backoff.ExponentialBackOff
+	retryAt        time.Time
 }
 
-// order is a change that an operator waits for.
-type order struct {
+// operatorChange is a change of the list that an operator waits for.
+type operatorChange struct {
 	ctx    context.Context
 	change transition
 	reply  chan error
 }
 
-// transition builds the next list; an unchanged sequence means nothing to write.
+// transition returns the next list; with an unchanged sequence there is nothing
+// to write.
 type transition func(Ejections) (Ejections, error)
 
-// EjectorOption changes an Ejector.
+// EjectorOption configures an Ejector.
 type EjectorOption func(*Ejector)
 
-// WithRank sets this daemon's place among the carriers in the duty for a
-// target; 0, the target's prober, writes first.
+// WithRank sets the function that returns this daemon's rank among the carriers
+// for a target. The carrier of rank 0, the target's prober, writes first.
 func WithRank(rank func(fleet.TargetID) int) EjectorOption {
 	return func(e *Ejector) { e.rank = rank }
 }
 
-// WithChanged sets a function that run calls after each change of the row in
-// use; it must not block.
+// WithChanged sets a function that is called after each change of the copy of
+// the row; it must not block.
 func WithChanged(f func(Listing)) EjectorOption {
-	return func(e *Ejector) { e.changed = f }
+	return func(e *Ejector) { e.onChange = f }
 }
 
 // NewEjector returns an Ejector for the service; writer is this daemon's incarnation.
 func NewEjector(service fleet.ServiceID, writer fleet.Incarnation, table store.Table, opts ...EjectorOption) *Ejector {
 	e := &Ejector{
 		service: service, writer: writer, table: table,
-		rank:      func(fleet.TargetID) int { return 0 },
-		changed:   func(Listing) {},
-		spread:    jitter,
-		orders:    make(chan order),
-		wake:      make(chan struct{}, 1),
-		done:      make(chan struct{}),
-		condemned: map[fleet.TargetID]time.Time{},
-		retry:     backoff.NewExponentialBackOff(),
+		rank:            func(fleet.TargetID) int { return 0 },
+		onChange:        func(Listing) {},
+		jitter:          jitter,
+		operatorChanges: make(chan operatorChange),
+		wake:            make(chan struct{}, 1),
+		done:            make(chan struct{}),
+		condemnedSince:  map[fleet.TargetID]time.Time{},
+		retry:           backoff.NewExponentialBackOff(),
 	}
-	e.retry.InitialInterval, e.retry.MaxInterval = firstBackoff, longBackoff
+	e.retry.InitialInterval, e.retry.MaxInterval = initialBackoff, maxBackoff
 	for _, o := range opts {
 		o(e)
 	}
-	e.listing.Store(&Listing{Ejections: NewEjections(service)})
+	e.cached.Store(&Listing{Ejections: NewEjections(service)})
 	return e
 }
 
@@ -143,13 +148,13 @@
 	<-e.done
 }
 
-// Current returns the row in use.
+// Current returns the copy of the row.
 func (e *Ejector) Current() Listing {
-	return *e.listing.Load()
+	return *e.cached.Load()
 }
 
-// submission is an assessment with the time at which it came in.
-type submission struct {
+// timedAssessment is an assessment with the time at which it was submitted.
+type timedAssessment struct {
 	Assessment
 	at time.Time
 }
@@ -160,49 +165,50 @@
 }
 
 func (e *Ejector) submit(a Assessment, now time.Time) {
-	e.latest.Store(&submission{Assessment: a, at: now})
+	e.latest.Store(&timedAssessment{Assessment: a, at: now})
 }
 
-// Hear takes the version of the row that a peer reports; a higher one is read at once.
+// Hear records the version of the row that a peer reports. A version higher
+// than any before makes run read the row at once.
 func (e *Ejector) Hear(version uint64) {
 	for {
-		old := e.heard.Load()
+		old := e.peerVersion.Load()
 		if version <= old {
 			return
 		}
-		if e.heard.CompareAndSwap(old, version) {
-			e.poke()
+		if e.peerVersion.CompareAndSwap(old, version) {
+			e.signalWake()
 			return
 		}
 	}
 }
 
-// Offer takes the row itself from a peer's report; rows that are not newer are
-// ignored and malformed ones refused with fault.MessageInvalid.
+// Offer takes the row itself from a peer's report. A row that is not newer is
+// ignored, and a malformed one is rejected with fault.MessageInvalid.
 func (e *Ejector) Offer(version uint64, value []byte) error {
 	j, err := DecodeEjections(e.service, value)
 	if err != nil {
 		return err
 	}
-	e.adopt(Listing{Ejections: j, Version: version, Value: value, Read: time.Now()})
+	e.useIfNewer(Listing{Ejections: j, Version: version, Value: value, Read: time.Now()})
 	return nil
 }
 
-// Trial takes the result of a request to a target in trial.
+// Trial records the result of a request to a target in trial.
 func (e *Ejector) Trial(id fleet.TargetID, res Result, latency time.Duration) {
-	e.trials.request(id, res, latency)
+	e.trials.recordRequest(id, res, latency)
 }
 
-// TrialProbe takes the result of a probe of a target in trial.
+// TrialProbe records the result of a probe of a target in trial.
 func (e *Ejector) TrialProbe(id fleet.TargetID, res Result) {
-	e.trials.probe(id, res)
+	e.trials.recordProbe(id, res)
 }
 
 // EjectByHand ejects a target for an operator. It returns fault.FloorReached if
-// the floor does not allow it, and fault.StoreAmbiguous if it is not yet known
-// whether the change was made.
+// the floor does not allow it, and fault.StoreAmbiguous if it is unknown
+// whether the change took effect.
 func (e *Ejector) EjectByHand(ctx context.Context, id fleet.TargetID, operator, reason string) error {
-	return e.byHand(ctx, func(j Ejections) (Ejections, error) {
+	return e.submitOperatorChange(ctx, func(j Ejections) (Ejections, error) {
 		a := e.latest.Load()
 		if a == nil {
 			return j, fault.New(fault.NotReady, "service %s is not assessed yet", e.service)
@@ -213,64 +219,68 @@
 
 // ReturnByHand returns a target to service for an operator.
 func (e *Ejector) ReturnByHand(ctx context.Context, id fleet.TargetID, operator, reason string) error {
-	return e.byHand(ctx, func(j Ejections) (Ejections, error) {
+	return e.submitOperatorChange(ctx, func(j Ejections) (Ejections, error) {
 		a := e.latest.Load()
 		if a == nil {
 			return j, fault.New(fault.NotReady, "service %s is not assessed yet", e.service)
 		}
-		return j.Return(a.Service, id, operator, reason, time.Now())
+		return j.ReturnByHand(a.Service, id, operator, reason, time.Now())
 	})
 }
 
-func (e *Ejector) byHand(ctx context.Context, change transition) error {
-	o := order{ctx: ctx, change: change, reply: make(chan error, 1)}
+// submitOperatorChange hands the change to run and waits for its result.
+func (e *Ejector) submitOperatorChange(ctx context.Context, change transition) error {
+	c := operatorChange{ctx: ctx, change: change, reply: make(chan error, 1)}
 	select {
-	case e.orders <- o:
+	case e.operatorChanges <- c:
 	case <-ctx.Done():
 		return fault.Wrap(ctx.Err(), fault.StoreUnavailable, "ejection list of %s", e.service)
 	case <-e.done:
 		return fault.New(fault.NotReady, "ejector of %s has stopped", e.service)
 	}
 	select {
-	case err := <-o.reply:
+	case err := <-c.reply:
 		return err
 	case <-ctx.Done():
 		return fault.Wrap(ctx.Err(), fault.StoreAmbiguous, "ejection list of %s", e.service)
 	}
 }
 
-func (e *Ejector) poke() {
+// signalWake makes run reconcile at once.
+func (e *Ejector) signalWake() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-// adopt takes a newer row into use and reports whether it was newer.
-func (e *Ejector) adopt(l Listing) bool {
+// useIfNewer replaces the copy of the row if l is newer, and reports whether it
+// was.
+func (e *Ejector) useIfNewer(l Listing) bool {
 	for {
-		old := e.listing.Load()
+		old := e.cached.Load()
 		if !old.Read.IsZero() && l.Version <= old.Version {
 			return false
 		}
-		if e.listing.CompareAndSwap(old, &l) {
-			e.trials.follow(l.Ejections, l.Read)
-			e.changed(l)
+		if e.cached.CompareAndSwap(old, &l) {
+			e.trials.sync(l.Ejections, l.Read)
+			e.onChange(l)
 			return true
 		}
 	}
 }
 
-func (e *Ejector) changeID() string {
-	return fmt.Sprintf("%s.%d", e.writer, e.writes.Add(1))
+func (e *Ejector) newWriteID() string {
+	return fmt.Sprintf("%s.%d", e.writer, e.writeCount.Add(1))
 }
 
-// jitter spreads d by jitterShare around its value.
+// jitter returns a random duration around d; jitterFraction is its total
+// spread.
 func jitter(d time.Duration) time.Duration {
-	return d + time.Duration((rand.Float64()-0.5)*jitterShare*float64(d))
+	return d + time.Duration((rand.Float64()-0.5)*jitterFraction*float64(d))
 }
 
-// jitterAll returns a random part of d.
-func jitterAll(d time.Duration) time.Duration {
+// fullJitter returns a random duration between 0 and d.
+func fullJitter(d time.Duration) time.Duration {
 	return time.Duration(rand.Float64() * float64(d))
 }
--- a/core/detect/ejector_test.go
+++ b/core/detect/ejector_test.go
@@ -203,9 +203,9 @@
 	ejectorTest(t, 1, func(g *gomega.WithT, f *fakeTable, es []*Ejector) {
 		f.behave(nil, down)
 		submitAll(es, testService(6), condemned("a"))
-		time.Sleep(2 * assessmentHold)
+		time.Sleep(2 * maxAssessmentAge)
 		f.behave(nil, nil)
-		time.Sleep(longBackoff * 2)
+		time.Sleep(maxBackoff * 2)
 		g.Expect(f.list(t, "reservas").Entries).To(gomega.BeEmpty())
 	})
 }
@@ -223,7 +223,7 @@
 		g.Expect(es[1].Current().Version).To(gomega.Equal(own.Version))
 		before, _ := f.counts()
 		es[1].Hear(own.Version + 7)
-		time.Sleep(rereadInterval / 2)
+		time.Sleep(refreshInterval / 2)
 		after, _ := f.counts()
 		g.Expect(after-before).To(gomega.BeNumerically("<=", 2), "a version that the table does not have is forgotten")
 		g.Expect(es[1].Offer(9, []byte(`{"service":"x"}`))).NotTo(gomega.Succeed())
--- a/core/detect/evaluation.go
+++ b/core/detect/evaluation.go
@@ -8,179 +8,185 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// observation is one observer with its evidence of the window, by target.
-type observation struct {
-	o      *observer
-	recent []tally
+// observerWindow holds one observer's evidence within the window, by target
+// index.
+type observerWindow struct {
+	observer *observer
+	totals   []totals
 }
 
-// evaluation is the work of one Assess. Targets are numbered as in targets, which
-// leaves out those that are not judged.
+// evaluation is the state of one call of Assess. A target is identified by its
+// index in targets, which leaves out the targets that are not assessed.
 type evaluation struct {
-	s       *Service
-	p       fleet.Detection
-	now     time.Time
-	recent  time.Time
-	wide    time.Time
-	targets []fleet.TargetID
-	// counted observers do not fail against most targets.
-	counted  []observation
-	excluded int
-	own      *observation
-	// pooled is the evidence of all counted observers, of the window or, with
-	// too few requests, of the wide window.
-	pooled []tally
-	codes  column
-	ratios column
-}
-
+	detector        *Service
+	detection       fleet.Detection
+	now             time.Time
+	windowStart     time.Time
+	longWindowStart time.Time
+	targets         []fleet.TargetID
+	// included holds the observers that do not see most targets fail;
+	// excludedCount is the number of the others.
+	included      []observerWindow
+	excludedCount int
+	own           *observerWindow
+	// pooled is the evidence of all included observers within the window or, if
+	// that holds too few requests, within the long window.
+	pooled        []totals
+	latencyCodes  targetValues
+	failureRatios targetValues
+}
+
+// newEvaluation sums the evidence within the window, and drops observers that
+// have not reported within the long window.
 func (s *Service) newEvaluation(now time.Time) *evaluation {
 	p := s.svc.Policy.Detection
-	x := &evaluation{s: s, p: p, now: now, recent: now.Add(-p.Window), wide: now.Add(-wideWindows * p.Window)}
+	x := &evaluation{detector: s, detection: p, now: now, windowStart: now.Add(-p.Window), longWindowStart: now.Add(-longWindowFactor * p.Window)}
 	for i := range s.svc.Targets {
 		t := &s.svc.Targets[i]
-		if !s.held[t.ID] && !t.Drained {
+		if !s.outOfService[t.ID] && !t.Drained {
 			x.targets = append(x.targets, t.ID)
 		}
 	}
 	for id, o := range s.observers {
-		if o.heard.Before(x.wide) {
+		if o.lastReport.Before(x.longWindowStart) {
 			delete(s.observers, id)
 			continue
 		}
-		w := observation{o: o, recent: make([]tally, len(x.targets))}
+		w := observerWindow{observer: o, totals: make([]totals, len(x.targets))}
 		for t, id := range x.targets {
-			w.recent[t] = o.series[id].since(x.recent)
+			w.totals[t] = o.series[id].since(x.windowStart)
 		}
 		if o.id == s.self {
 			x.own = &w
 		}
-		if x.failsEverywhere(&w) {
-			x.excluded++
+		if x.seesMostTargetsFail(&w) {
+			x.excludedCount++
 		} else {
-			x.counted = append(x.counted, w)
+			x.included = append(x.included, w)
 		}
 	}
-	slices.SortFunc(x.counted, func(a, b observation) int { return cmp.Compare(a.o.id, b.o.id) })
-	x.pool()
+	slices.SortFunc(x.included, func(a, b observerWindow) int { return cmp.Compare(a.observer.id, b.observer.id) })
+	x.poolEvidence()
 	return x
 }
 
-// failsEverywhere reports whether the observer fails against most targets it
-// used, which points at the observer or at the service rather than at a target.
-func (x *evaluation) failsEverywhere(w *observation) bool {
+// seesMostTargetsFail reports whether the observer sees failures at most
+// targets that it used, which points at the observer or the service rather than
+// a target.
+func (x *evaluation) seesMostTargetsFail(w *observerWindow) bool {
 	used, failing := 0, 0
-	for t := range w.recent {
-		seen := &w.recent[t]
+	for t := range w.totals {
+		seen := &w.totals[t]
 		if seen.requests() == 0 {
 			continue
 		}
 		used++
-		if seen.ratio() >= x.p.FailureRatio {
+		if seen.failureRatio() >= x.detection.FailureRatio {
 			failing++
 		}
 	}
 	return failing > 1 && 2*failing > used
 }
 
-func (x *evaluation) pool() {
+func (x *evaluation) poolEvidence() {
 	n := len(x.targets)
-	x.pooled, x.codes, x.ratios = make([]tally, n), newColumn(n), newColumn(n)
+	x.pooled, x.latencyCodes, x.failureRatios = make([]totals, n), newTargetValues(n), newTargetValues(n)
 	for t := range x.targets {
-		pool := x.pooledRecent(t)
-		if pool.requests() < x.p.MinRequests {
-			pool = x.poolSince(t, wideWindows*x.p.Window)
+		pooled := x.pooledInWindow(t)
+		if pooled.requests() < x.detection.MinRequests {
+			pooled = x.pooledOver(t, longWindowFactor*x.detection.Window)
 		}
-		x.pooled[t] = pool
-		if pool.requests() >= x.p.MinRequests {
-			x.ratios.set(t, pool.ratio())
+		x.pooled[t] = pooled
+		if pooled.requests() >= x.detection.MinRequests {
+			x.failureRatios.set(t, pooled.failureRatio())
 		}
-		if int(pool.counts[OK]) >= x.p.MinRequests {
-			x.codes.set(t, pool.code())
+		if int(pooled.counts[OK]) >= x.detection.MinRequests {
+			x.latencyCodes.set(t, pooled.meanLatencyCode())
 		}
 	}
-	x.codes.sort()
-	x.ratios.sort()
+	x.latencyCodes.sort()
+	x.failureRatios.sort()
 }
 
-func (x *evaluation) pooledRecent(t int) tally {
-	var all tally
-	for i := range x.counted {
-		all.merge(x.counted[i].recent[t])
+func (x *evaluation) pooledInWindow(t int) totals {
+	var all totals
+	for i := range x.included {
+		all.merge(x.included[i].totals[t])
 	}
 	return all
 }
 
-// poolSince sums the evidence of all counted observers over the span.
-func (x *evaluation) poolSince(t int, span time.Duration) tally {
-	var all tally
-	for i := range x.counted {
-		all.merge(x.counted[i].o.series[x.targets[t]].since(x.now.Add(-span)))
+// pooledOver sums the evidence of all included observers over the span.
+func (x *evaluation) pooledOver(t int, span time.Duration) totals {
+	var all totals
+	for i := range x.included {
+		all.merge(x.included[i].observer.series[x.targets[t]].since(x.now.Add(-span)))
 	}
 	return all
 }
 
-// mostFail reports whether more than half of the targets with evidence fail, or
-// more than half of the observers fail everywhere, so that the service as a
-// whole is at fault.
-func (x *evaluation) mostFail() bool {
-	if x.excluded > len(x.counted) {
+// isServiceFailing reports whether more than half of the targets with evidence
+// fail, or more than half of the observers see most targets fail. The cause is
+// then the service as a whole.
+func (x *evaluation) isServiceFailing() bool {
+	if x.excludedCount > len(x.included) {
 		return true
 	}
-	return x.mostFailing(x.ratios.sorted) || x.mostFailing(x.onset())
+	return x.majorityFails(x.failureRatios.sorted) || x.majorityFails(x.newestFailureRatios())
 }
 
-// onset returns the failure ratios over the shortest span that holds enough
-// requests, by the evidence of all observers. When a whole service begins to
-// fail, some targets pass the limit of the window before others; the newest
-// evidence shows earlier that most of them fail.
-func (x *evaluation) onset() []float64 {
+// newestFailureRatios returns the failure ratios over the shortest span, for
+// the targets with enough requests in it, by the evidence of all included
+// observers. When a whole service begins to fail, some targets pass the limit
+// of the window before others; the newest evidence shows earlier that most of
+// them fail.
+func (x *evaluation) newestFailureRatios() []float64 {
 	ratios := make([]float64, 0, len(x.targets))
 	for t := range x.targets {
-		if newest := x.poolSince(t, x.p.Window/poolSteps); newest.requests() >= x.p.MinRequests/2 {
-			ratios = append(ratios, newest.ratio())
+		if newest := x.pooledOver(t, x.detection.Window/shortestSpanDivisor); newest.requests() >= x.detection.MinRequests/2 {
+			ratios = append(ratios, newest.failureRatio())
 		}
 	}
 	return ratios
 }
 
-func (x *evaluation) mostFailing(ratios []float64) bool {
+func (x *evaluation) majorityFails(ratios []float64) bool {
 	failing := 0
 	for _, r := range ratios {
-		if r >= x.p.FailureRatio {
+		if r >= x.detection.FailureRatio {
 			failing++
 		}
 	}
 	return failing > 1 && 2*failing > len(ratios)
 }
 
-// column holds one figure for each target that has it.
-type column struct {
+// targetValues holds one value for each target that has one, by target index.
+type targetValues struct {
 	values []float64
 	known  []bool
 	sorted []float64
 }
 
-func newColumn(n int) column {
-	return column{values: make([]float64, n), known: make([]bool, n)}
+func newTargetValues(n int) targetValues {
+	return targetValues{values: make([]float64, n), known: make([]bool, n)}
 }
 
-func (c *column) set(t int, v float64) {
+func (c *targetValues) set(t int, v float64) {
 	c.values[t], c.known[t] = v, true
 	c.sorted = append(c.sorted, v)
 }
 
-func (c *column) sort() {
+func (c *targetValues) sort() {
 	slices.Sort(c.sorted)
 }
 
-// median returns the median over all targets.
-func (c *column) median() (float64, bool) {
+// median returns the median over all targets that have a value.
+func (c *targetValues) median() (float64, bool) {
 	return c.medianSkipping(len(c.sorted))
 }
 
-// without returns the median over all targets but one.
-func (c *column) without(t int) (float64, bool) {
+// medianWithout returns the median over all targets but one.
+func (c *targetValues) medianWithout(t int) (float64, bool) {
 	if !c.known[t] {
 		return c.median()
 	}
@@ -188,7 +194,9 @@
 	return c.medianSkipping(i)
 }
 
-func (c *column) medianSkipping(skip int) (float64, bool) {
+// medianSkipping returns the median without the sorted value at the index skip.
+// An index past the end skips nothing.
+func (c *targetValues) medianSkipping(skip int) (float64, bool) {
 	n := len(c.sorted)
 	if skip < n {
 		n--
--- a/core/detect/evidence.go
+++ b/core/detect/evidence.go
@@ -6,80 +6,81 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// tally sums the evidence about one target.
-type tally struct {
-	counts       [resultCount]uint32
-	codes        float64
-	probesOK     uint32
-	probesFailed uint32
+// totals sums the evidence about one target.
+type totals struct {
+	counts         [resultCount]uint32
+	latencyCodeSum float64
+	probesOK       uint32
+	probesFailed   uint32
 }
 
-func (t *tally) add(r Row) {
+func (t *totals) add(r Row) {
 	for i := range r.Counts {
 		t.counts[i] += r.Counts[i]
 	}
-	t.codes += float64(r.Latency) * float64(r.Counts[OK])
+	t.latencyCodeSum += float64(r.Latency) * float64(r.Counts[OK])
 	t.probesOK += r.ProbesOK
 	t.probesFailed += r.ProbesFailed
 }
 
-func (t *tally) merge(o tally) {
+func (t *totals) merge(o totals) {
 	for i := range o.counts {
 		t.counts[i] += o.counts[i]
 	}
-	t.codes += o.codes
+	t.latencyCodeSum += o.latencyCodeSum
 	t.probesOK += o.probesOK
 	t.probesFailed += o.probesFailed
 }
 
-func (t *tally) subtract(o tally) {
+func (t *totals) subtract(o totals) {
 	for i := range o.counts {
 		t.counts[i] -= o.counts[i]
 	}
-	t.codes -= o.codes
+	t.latencyCodeSum -= o.latencyCodeSum
 	t.probesOK -= o.probesOK
 	t.probesFailed -= o.probesFailed
 }
 
-func (t *tally) failures() int {
+func (t *totals) failures() int {
 	return int(t.counts[Failed] + t.counts[TimedOut] + t.counts[Short] + t.counts[BodyFailure] + t.counts[Unreachable])
 }
 
-// requests counts what says something about health: shed and cancelled
-// requests do not.
-func (t *tally) requests() int {
+// requests returns the number of requests that tell about the target's health;
+// shed and cancelled requests do not.
+func (t *totals) requests() int {
 	return int(t.counts[OK]) + t.failures()
 }
 
-func (t *tally) ratio() float64 {
+func (t *totals) failureRatio() float64 {
 	if n := t.requests(); n > 0 {
 		return float64(t.failures()) / float64(n)
 	}
 	return 0
 }
 
-// code is the mean latency code; it means nothing without an OK request.
-func (t *tally) code() float64 {
+// meanLatencyCode returns the mean latency code of the OK requests. Without an
+// OK request it is 0, which means nothing.
+func (t *totals) meanLatencyCode() float64 {
 	if t.counts[OK] == 0 {
 		return 0
 	}
-	return t.codes / float64(t.counts[OK])
+	return t.latencyCodeSum / float64(t.counts[OK])
 }
 
 type sample struct {
-	at  time.Time
-	row Row
+	at    time.Time
+	stats Row
 }
 
-// series is what one observer reported about one target, oldest first.
+// series holds what one observer reported about one target, oldest first.
 type series struct {
 	samples []sample
-	// probeFailed and good are when the last failed probe, and the last good
-	// probe or request, were reported.
-	probeFailed, good time.Time
+	// lastProbeFailure is the time of the last report with a failed probe,
+	// lastGood that of the last report with a successful probe or request.
+	lastProbeFailure, lastGood time.Time
 }
 
-// add keeps what is younger than keep.
+// add appends the statistics of one interval and drops samples older than keep.
 func (s *series) add(r Row, now time.Time, keep time.Duration) {
 	old := 0
 	for old < len(s.samples) && now.Sub(s.samples[old].at) > keep {
@@ -89,34 +90,34 @@
 		s.samples = append(s.samples[:0], s.samples[old:]...)
 	}
 	if r.ProbesFailed > 0 {
-		s.probeFailed = now
+		s.lastProbeFailure = now
 	}
 	if r.ProbesOK+r.Counts[OK] > 0 {
-		s.good = now
+		s.lastGood = now
 	}
-	s.samples = append(s.samples, sample{at: now, row: r})
+	s.samples = append(s.samples, sample{at: now, stats: r})
 }
 
-// since sums what arrived after the cutoff.
-func (s *series) since(cutoff time.Time) tally {
-	var t tally
+// since sums the samples that arrived after the cutoff.
+func (s *series) since(cutoff time.Time) totals {
+	var t totals
 	if s == nil {
 		return t
 	}
 	for i := len(s.samples) - 1; i >= 0 && s.samples[i].at.After(cutoff); i-- {
-		t.add(s.samples[i].row)
+		t.add(s.samples[i].stats)
 	}
 	return t
 }
 
 // newest sums the latest samples after the cutoff until they hold n requests.
-func (s *series) newest(n int, cutoff time.Time) tally {
-	var t tally
+func (s *series) newest(n int, cutoff time.Time) totals {
+	var t totals
 	if s == nil {
 		return t
 	}
 	for i := len(s.samples) - 1; i >= 0 && s.samples[i].at.After(cutoff); i-- {
-		t.add(s.samples[i].row)
+		t.add(s.samples[i].stats)
 		if t.requests() >= n {
 			break
 		}
@@ -124,10 +125,10 @@
 	return t
 }
 
-// observer is one carrier and what it reported.
+// observer holds what one carrier reported.
 type observer struct {
-	id     fleet.VMID
-	dc     fleet.DataCentre
-	heard  time.Time
-	series map[fleet.TargetID]*series
+	id         fleet.VMID
+	dc         fleet.DataCentre
+	lastReport time.Time
+	series     map[fleet.TargetID]*series
 }
--- a/core/detect/floor_test.go
+++ b/core/detect/floor_test.go
@@ -25,7 +25,7 @@
 type floorDaemon struct {
 	ejector  *Ejector
 	svc      *fleet.Service
-	signs    Signs
+	signs    LeavingSignals
 	verdicts []Verdict
 	started  map[fleet.TargetID]time.Time
 }
@@ -36,7 +36,7 @@
 	rng     *rand.Rand
 	now     time.Time
 	svc     *fleet.Service
-	signs   Signs
+	signs   LeavingSignals
 	table   *fakeTable
 	daemons []*floorDaemon
 	// acting is the daemon of the last operation.
@@ -46,7 +46,7 @@
 }
 
 func newFloorWorld(seed uint64) *floorWorld {
-	w := &floorWorld{rng: rand.New(rand.NewPCG(seed, 0)), now: epoch, svc: testService(9), signs: Signs{}, table: &fakeTable{}}
+	w := &floorWorld{rng: rand.New(rand.NewPCG(seed, 0)), now: epoch, svc: testService(9), signs: LeavingSignals{}, table: &fakeTable{}}
 	w.table.fate = w.applyFate
 	w.table.getFate = w.getFate
 	for i := range floorDaemons {
@@ -100,14 +100,14 @@
 		})
 	case n < 40:
 		return "return by hand", w.write(d, func(j Ejections) (Ejections, error) {
-			return j.Return(d.svc, w.target(), "alma", "test", w.now)
+			return j.ReturnByHand(d.svc, w.target(), "alma", "test", w.now)
 		})
 	case n < 45:
 		return "trial", w.write(d, func(j Ejections) (Ejections, error) { return j.BeginTrial(d.svc, w.target(), w.now) })
 	case n < 50:
 		passed := w.chance(50)
 		return "trial result", w.write(d, func(j Ejections) (Ejections, error) {
-			return j.TrialResult(d.svc, w.target(), passed, "daemon", w.now)
+			return j.EndTrial(d.svc, w.target(), passed, "daemon", w.now)
 		})
 	case n < 60:
 		w.judge(d)
@@ -166,11 +166,11 @@
 }
 
 // goneIn counts the listed, drained and leaving targets of the service.
-func goneIn(j Ejections, svc *fleet.Service, signs Signs) int {
+func goneIn(j Ejections, svc *fleet.Service, signals LeavingSignals) int {
 	gone := 0
 	for _, t := range svc.Targets {
 		_, listed := j.Find(t.ID)
-		_, leaving := signs[t.ID]
+		_, leaving := signals[t.ID]
 		if listed || leaving || t.Drained {
 			gone++
 		}
@@ -189,7 +189,7 @@
 }
 
 func (w *floorWorld) leave() {
-	next := Signs{}
+	next := LeavingSignals{}
 	for id, s := range w.signs {
 		next[id] = s
 	}
@@ -197,7 +197,7 @@
 	if _, ok := next[id]; ok {
 		delete(next, id)
 	} else {
-		next[id] = Sign{Source: FromPeer, Since: w.now}
+		next[id] = LeavingSignal{Source: FromPeer, Since: w.now}
 	}
 	w.signs = next
 }
@@ -226,9 +226,9 @@
 	return w.checkWith(d, w.svc, w.signs)
 }
 
-func (w *floorWorld) checkWith(d *floorDaemon, svc *fleet.Service, signs Signs) error {
+func (w *floorWorld) checkWith(d *floorDaemon, svc *fleet.Service, signals LeavingSignals) error {
 	j := d.ejector.Current().Ejections
-	states := States(svc, j, signs, d.verdicts, d.started, w.now)
+	states := States(svc, j, signals, d.verdicts, d.started, w.now)
 	available, inService, full, ownAvoided := 0, 0, 0, 0
 	for _, s := range states {
 		_, listed := j.Find(s.Target)
--- a/core/detect/leaving.go
+++ b/core/detect/leaving.go
@@ -8,13 +8,13 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Source says where a leaving sign came from.
-type Source uint8
+// SignalSource is where a leaving signal came from.
+type SignalSource uint8
 
-// The sources of leaving signs. A probe counts above a response, since the
-// prober learns when the target is back and others do not.
+// The sources of leaving signals. A probe overrides a response, since the
+// target's prober learns when the target is back and other daemons do not.
 const (
-	FromResponse Source = iota
+	FromResponse SignalSource = iota
 	FromProbe
 	FromPeer
 	FromDrain
@@ -24,74 +24,74 @@
 var sourceNames = [sourceCount]string{"response", "probe", "peer", "drain"}
 
 // String returns the kebab-case name of the source.
-func (s Source) String() string {
+func (s SignalSource) String() string {
 	if s >= sourceCount {
 		return "invalid"
 	}
 	return sourceNames[s]
 }
 
-// Sign says that a target is leaving.
-type Sign struct {
-	Source Source
+// LeavingSignal states that a target is leaving.
+type LeavingSignal struct {
+	Source SignalSource
 	Since  time.Time
 }
 
-// Signs holds the leaving targets; it is immutable.
-type Signs map[fleet.TargetID]Sign
+// LeavingSignals holds the leaving targets; it is immutable.
+type LeavingSignals map[fleet.TargetID]LeavingSignal
 
 const (
-	// responseHold is how long a sign in a response lasts. No more responses
-	// come from a target without new work, so the prober, which probes every
-	// few seconds, takes over within this time.
-	responseHold = 30 * time.Second
-	// peerHold is three report intervals.
-	peerHold = 6 * time.Second
+	// responseSignalTTL is how long a signal from a response lasts. A target
+	// that gets no new requests sends no more responses, so the prober, which
+	// probes every few seconds, takes over within this time.
+	responseSignalTTL = 30 * time.Second
+	// peerSignalTTL is three report intervals.
+	peerSignalTTL = 6 * time.Second
 )
 
-// LeavingTracker merges the leaving signs of one service.
+// LeavingTracker merges the leaving signals about the targets of one service.
 type LeavingTracker struct {
-	signs atomic.Pointer[Signs]
+	signals atomic.Pointer[LeavingSignals]
 
 	mu    sync.Mutex
-	marks map[fleet.TargetID]*[sourceCount]mark
-	// changed is closed and replaced when a first-hand sign comes or goes.
+	spans map[fleet.TargetID]*[sourceCount]signalSpan
+	// changed is closed and replaced when a first-hand signal begins or ends.
 	changed chan struct{}
 }
 
-// mark is one sign; a zero until means no end.
-type mark struct {
+// signalSpan is the time for which a signal lasts; a zero until means no end.
+type signalSpan struct {
 	since, until time.Time
 }
 
-// NewLeavingTracker returns a tracker without signs.
+// NewLeavingTracker returns a tracker without signals.
 func NewLeavingTracker() *LeavingTracker {
-	l := &LeavingTracker{marks: map[fleet.TargetID]*[sourceCount]mark{}, changed: make(chan struct{})}
-	l.signs.Store(&Signs{})
+	l := &LeavingTracker{spans: map[fleet.TargetID]*[sourceCount]signalSpan{}, changed: make(chan struct{})}
+	l.signals.Store(&LeavingSignals{})
 	return l
 }
 
 // Signs returns the leaving targets as of the last change or Expire.
-func (l *LeavingTracker) Signs() Signs {
-	return *l.signs.Load()
+func (l *LeavingTracker) Signs() LeavingSignals {
+	return *l.signals.Load()
 }
 
 // Is reports whether the target is leaving; it takes no lock.
 func (l *LeavingTracker) Is(id fleet.TargetID) bool {
-	_, ok := (*l.signs.Load())[id]
+	_, ok := (*l.signals.Load())[id]
 	return ok
 }
 
-// Response takes a target's own response. The request path calls it for every
-// response; only a changed sign takes the lock.
+// Response records a target's own response. The request path calls it for every
+// response; it takes the lock only if the target was not known to be leaving.
 func (l *LeavingTracker) Response(id fleet.TargetID, leaving bool, now time.Time) {
 	if leaving && !l.Is(id) {
-		l.set(FromResponse, id, now, now.Add(responseHold))
+		l.set(FromResponse, id, now, now.Add(responseSignalTTL))
 	}
 }
 
-// Probe takes the answer to a probe. A target without the sign is back, also
-// against earlier responses.
+// Probe records the answer to a probe. An answer without the signal means that
+// the target is back, and also ends the signal of earlier responses.
 func (l *LeavingTracker) Probe(id fleet.TargetID, leaving bool, now time.Time) {
 	if leaving {
 		l.set(FromProbe, id, now, time.Time{})
@@ -100,15 +100,15 @@
 	l.clear(now, id, FromProbe, FromResponse)
 }
 
-// Peers takes the signs that one or more peers report first-hand.
+// Peers records the signals that one or more peers report first-hand.
 func (l *LeavingTracker) Peers(ids []fleet.TargetID, now time.Time) {
 	for _, id := range ids {
-		l.set(FromPeer, id, now, now.Add(peerHold))
+		l.set(FromPeer, id, now, now.Add(peerSignalTTL))
 	}
 }
 
-// Drains replaces the set of targets that operators drain or the platform lists
-// as leaving.
+// Drains replaces the set of targets that operators drain or that the platform
+// lists as leaving.
 func (l *LeavingTracker) Drains(ids []fleet.TargetID, now time.Time) {
 	drained := map[fleet.TargetID]bool{}
 	for _, id := range ids {
@@ -122,14 +122,15 @@
 	}
 }
 
-// FirstHand returns the targets whose sign this daemon saw itself. Only these
-// go into reports: a sign heard from peers would otherwise circle for ever.
+// FirstHand returns the targets whose signal this daemon saw itself. Only these
+// go into reports: a signal received from peers and reported again would never
+// expire.
 func (l *LeavingTracker) FirstHand(now time.Time) []fleet.TargetID {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var ids []fleet.TargetID
-	for id, m := range l.marks {
-		if m[FromResponse].holds(now) || m[FromProbe].holds(now) {
+	for id, spans := range l.spans {
+		if spans[FromResponse].isActive(now) || spans[FromProbe].isActive(now) {
 			ids = append(ids, id)
 		}
 	}
@@ -137,80 +138,81 @@
 }
 
 // Changed returns a channel that is closed at the next change of a first-hand
-// sign, so that a report goes out at once.
+// signal, so that a report can be sent at once.
 func (l *LeavingTracker) Changed() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed
 }
 
-// Expire drops signs whose time is over; the daemon calls it each interval.
+// Expire removes signals whose time is over; the daemon calls it at a regular
+// interval.
 func (l *LeavingTracker) Expire(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.publish(now)
 }
 
-func (l *LeavingTracker) set(src Source, id fleet.TargetID, now, until time.Time) {
+func (l *LeavingTracker) set(src SignalSource, id fleet.TargetID, now, until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m := l.marks[id]
-	if m == nil {
-		m = &[sourceCount]mark{}
-		l.marks[id] = m
+	spans := l.spans[id]
+	if spans == nil {
+		spans = &[sourceCount]signalSpan{}
+		l.spans[id] = spans
 	}
-	if !m[src].holds(now) {
-		m[src].since = now
+	if !spans[src].isActive(now) {
+		spans[src].since = now
 		if src == FromResponse || src == FromProbe {
-			l.announce()
+			l.notifyChanged()
 		}
 	}
-	m[src].until = until
+	spans[src].until = until
 	l.publish(now)
 }
 
-func (l *LeavingTracker) clear(now time.Time, id fleet.TargetID, sources ...Source) {
+func (l *LeavingTracker) clear(now time.Time, id fleet.TargetID, sources ...SignalSource) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m := l.marks[id]
-	if m == nil {
+	spans := l.spans[id]
+	if spans == nil {
 		return
 	}
 	for _, src := range sources {
-		if m[src].holds(now) && src != FromDrain {
-			l.announce()
+		if spans[src].isActive(now) && src != FromDrain {
+			l.notifyChanged()
 		}
-		m[src] = mark{}
+		spans[src] = signalSpan{}
 	}
 	l.publish(now)
 }
 
-func (l *LeavingTracker) announce() {
+func (l *LeavingTracker) notifyChanged() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-func (m mark) holds(now time.Time) bool {
-	return !m.since.IsZero() && (m.until.IsZero() || now.Before(m.until))
+func (s signalSpan) isActive(now time.Time) bool {
+	return !s.since.IsZero() && (s.until.IsZero() || now.Before(s.until))
 }
 
 func (l *LeavingTracker) publish(now time.Time) {
-	next := Signs{}
-	for id, m := range l.marks {
+	next := LeavingSignals{}
+	for id, spans := range l.spans {
 		found := false
-		for src := range m {
-			if !m[src].holds(now) {
-				m[src] = mark{}
+		for src := range spans {
+			if !spans[src].isActive(now) {
+				spans[src] = signalSpan{}
 				continue
 			}
-			if s, ok := next[id]; !ok || m[src].since.Before(s.Since) {
-				next[id] = Sign{Source: Source(src), Since: m[src].since}
+			if s, ok := next[id]; !ok || spans[src].since.Before(s.Since) {
+				next[id] = LeavingSignal{Source: SignalSource(src), Since: spans[src].since}
 			}
 			found = true
 		}
 		if !found {
-			delete(l.marks, id)
+			delete(l.spans, id)
 		}
 	}
-	l.signs.Store(&next)
+	l.signals.Store(&next)
 }
--- a/core/detect/policy_sim_test.go
+++ b/core/detect/policy_sim_test.go
@@ -95,7 +95,7 @@
 	svc      *fleet.Service
 	targets  []*simTarget
 	carriers []*simCarrier
-	signs    Signs
+	signs    LeavingSignals
 	detected []time.Duration
 	retries  int
 	held     map[[2]int]State
@@ -103,7 +103,7 @@
 }
 
 func newSim(c simCase, p simPolicy, seed uint64) *sim {
-	s := &sim{c: c, policy: p, rng: rand.New(rand.NewPCG(seed, 1)), svc: testService(c.targets), signs: Signs{}, held: map[[2]int]State{}}
+	s := &sim{c: c, policy: p, rng: rand.New(rand.NewPCG(seed, 1)), svc: testService(c.targets), signs: LeavingSignals{}, held: map[[2]int]State{}}
 	s.svc.Policy.Detection = c.preset
 	if p == localPolicy {
 		s.svc.Policy.Detection.MinObservers = 1
@@ -126,7 +126,7 @@
 			k.service.SetCarriers(benchCarriers())
 		}
 		k.ejector = NewEjector(s.svc.ID, fleet.Incarnation(vmName(i)), table.table(), WithRank(rank))
-		k.ejector.spread = func(d time.Duration) time.Duration { return d }
+		k.ejector.jitter = func(d time.Duration) time.Duration { return d }
 		k.states = States(s.svc, NewEjections(s.svc.ID), nil, nil, nil, s.time())
 		s.carriers = append(s.carriers, k)
 	}
@@ -263,9 +263,9 @@
 func (s *sim) restartTarget() {
 	switch {
 	case s.c.restart && s.now < simWarm && s.now > simWarm/2:
-		s.signs = Signs{targetName(0): {Since: s.time()}}
+		s.signs = LeavingSignals{targetName(0): {Since: s.time()}}
 	case s.now >= simWarm:
-		s.signs = Signs{}
+		s.signs = LeavingSignals{}
 	}
 }
 
@@ -285,7 +285,7 @@
 	k.verdicts = k.service.Assess(now)
 	k.ejector.submit(Assessment{Service: s.svc, Verdicts: k.verdicts, Signs: s.signs, Typical: k.service.Typical()}, now)
 	s.after(simWrite, func() {
-		_ = k.ejector.attend(context.Background(), s.time())
+		_ = k.ejector.reconcile(context.Background(), s.time())
 		s.useStates(k)
 	})
 	s.useStates(k)
--- a/core/detect/prober.go
+++ b/core/detect/prober.go
@@ -11,25 +11,29 @@
 )
 
 const (
-	// suspectInterval is the probe interval of a target under suspicion.
+	// suspectInterval is the probe interval of a suspect.
 	suspectInterval = time.Second
-	// assignInterval is how often the assignment of targets is looked at.
+	// assignInterval is how often the prober checks which targets are assigned
+	// to it.
 	assignInterval = time.Second
-	// maxProbeBody is read so that the connection can be used again.
+	// maxProbeBody bounds how much of a response body is read. The body is read
+	// so that the connection can be reused.
 	maxProbeBody = 4 << 10
-	// LeavingHeader is the response header by which a target says that it leaves.
+	// LeavingHeader is the response header by which a target announces that it
+	// is leaving.
 	LeavingHeader = "Wisteria-Leaving"
 )
 
-// ProbeAnswer is what one probe found.
+// ProbeAnswer is the outcome of one probe.
 type ProbeAnswer struct {
 	Result Result
-	// Leaving is meant only if Answered is set: a target that does not answer
-	// says nothing about its leaving.
+	// Leaving is valid only if Answered is set: a target that does not answer
+	// gives no leaving signal.
 	Leaving, Answered bool
 }
 
-// ProbeReport is the result of one probe of one target.
+// ProbeReport is the outcome of one probe of one target, with its time and
+// latency.
 type ProbeReport struct {
 	ProbeAnswer
 	Target  fleet.TargetID
@@ -37,8 +41,9 @@
 	At      time.Time
 }
 
-// Prober probes the targets that are assigned to this daemon, each one by one
-// goroutine, so that no target gets a second probe while one is on its way.
+// Prober probes the targets that are assigned to this daemon. Each target has
+// its own goroutine, so a target never gets a second probe while one is in
+// flight.
 type Prober struct {
 	service  atomic.Pointer[fleet.Service]
 	assigned func(fleet.TargetID) bool
@@ -48,26 +53,28 @@
 	done     chan struct{}
 }
 
-// ProberOption changes a Prober.
+// ProberOption configures a Prober.
 type ProberOption func(*Prober)
 
-// WithAssigned sets which targets this daemon probes; none by default.
+// WithAssigned sets the function that reports whether this daemon probes a
+// target; by default it probes none.
 func WithAssigned(f func(fleet.TargetID) bool) ProberOption {
 	return func(p *Prober) { p.assigned = f }
 }
 
-// WithSuspect sets which targets are probed each second, such as those under
-// suspicion and in trial.
+// WithSuspect sets the function that reports whether a target is probed each
+// second, such as a suspect or a target in trial.
 func WithSuspect(f func(fleet.TargetID) bool) ProberOption {
 	return func(p *Prober) { p.suspect = f }
 }
 
-// WithReport sets the function that takes each result; Observe makes one.
+// WithReport sets the function that receives each result; Observe returns one.
 func WithReport(f func(ProbeReport)) ProberOption {
 	return func(p *Prober) { p.report = f }
 }
 
-// NewProber returns a prober that asks with probe, such as one of HTTPProbe.
+// NewProber returns a prober that sends probes with the given function, such as
+// one that HTTPProbe returns.
 func NewProber(svc *fleet.Service, probe func(context.Context, fleet.Target, fleet.Probe) ProbeAnswer, opts ...ProberOption) *Prober {
 	p := &Prober{
 		assigned: func(fleet.TargetID) bool { return false },
@@ -83,8 +90,8 @@
 	return p
 }
 
-// Observe returns a report function that feeds the recorder, the leaving signs
-// and the trials; ejector may be nil.
+// Observe returns a report function that passes results to the recorder, the
+// leaving tracker and the trials; ejector may be nil.
 func Observe(rec *Recorder, leaving *LeavingTracker, ejector *Ejector) func(ProbeReport) {
 	return func(r ProbeReport) {
 		if r.Answered {
@@ -100,12 +107,12 @@
 	}
 }
 
-// Update takes over new settings.
+// Update replaces the settings.
 func (p *Prober) Update(svc *fleet.Service) {
 	p.service.Store(svc)
 }
 
-// Start probes until ctx ends.
+// Start starts probing, which lasts until ctx ends.
 func (p *Prober) Start(ctx context.Context) {
 	go p.run(ctx)
 }
@@ -115,31 +122,32 @@
 	<-p.done
 }
 
-// probing is one target's loop.
-type probing struct {
+// probeLoop is the handle of the goroutine that probes one target.
+type probeLoop struct {
 	cancel context.CancelFunc
 	done   chan struct{}
 }
 
-func (g probing) isDone() bool {
+func (l probeLoop) isDone() bool {
 	select {
-	case <-g.done:
+	case <-l.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// run keeps one loop for each assigned target. A target that is taken away and
-// comes back gets a new loop only after the old one has ended.
+// run keeps one probe loop for each assigned target. A target that is
+// unassigned and assigned again gets a new loop only after the old one has
+// ended.
 func (p *Prober) run(ctx context.Context) {
 	defer close(p.done)
-	loops := map[fleet.TargetID]probing{}
-	defer p.stop(loops)
+	loops := map[fleet.TargetID]probeLoop{}
+	defer p.stopLoops(loops)
 	ticker := time.NewTicker(assignInterval)
 	defer ticker.Stop()
 	for {
-		p.assign(ctx, loops)
+		p.syncLoops(ctx, loops)
 		select {
 		case <-ctx.Done():
 			return
@@ -148,13 +156,15 @@
 	}
 }
 
-func (p *Prober) assign(ctx context.Context, loops map[fleet.TargetID]probing) {
+// syncLoops cancels the loops of targets that are no longer assigned and starts
+// those that are missing.
+func (p *Prober) syncLoops(ctx context.Context, loops map[fleet.TargetID]probeLoop) {
 	svc := p.service.Load()
-	for id, g := range loops {
-		if !p.assigned(id) || !lists(svc, id) {
-			g.cancel()
+	for id, l := range loops {
+		if !p.assigned(id) || !hasTarget(svc, id) {
+			l.cancel()
 		}
-		if g.isDone() {
+		if l.isDone() {
 			delete(loops, id)
 		}
 	}
@@ -164,26 +174,27 @@
 			continue
 		}
 		loopCtx, cancel := context.WithCancel(ctx)
-		g := probing{cancel: cancel, done: make(chan struct{})}
-		loops[id] = g
-		go p.loop(loopCtx, id, g.done)
+		l := probeLoop{cancel: cancel, done: make(chan struct{})}
+		loops[id] = l
+		go p.loop(loopCtx, id, l.done)
 	}
 }
 
-func (p *Prober) stop(loops map[fleet.TargetID]probing) {
-	for _, g := range loops {
-		g.cancel()
+// stopLoops cancels all loops and waits for them.
+func (p *Prober) stopLoops(loops map[fleet.TargetID]probeLoop) {
+	for _, l := range loops {
+		l.cancel()
 	}
-	for _, g := range loops {
-		<-g.done
+	for _, l := range loops {
+		<-l.done
 	}
 }
 
-// loop probes one target. The first probe comes after a random part of the
-// interval, so that daemons that start together do not probe in step.
+// loop probes one target. The first probe is sent after a random part of the
+// interval, so that daemons that start together do not probe at the same times.
 func (p *Prober) loop(ctx context.Context, id fleet.TargetID, done chan struct{}) {
 	defer close(done)
-	last := time.Now().Add(-jitterAll(p.service.Load().Policy.Probe.Interval))
+	last := time.Now().Add(-fullJitter(p.service.Load().Policy.Probe.Interval))
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -192,15 +203,15 @@
 			return
 		case <-timer.C:
 		}
-		if t, policy, ok := p.target(id); ok && p.isDue(id, policy, last) {
+		if t, policy, ok := p.findTarget(id); ok && p.isDue(id, policy, last) {
 			last = time.Now()
-			p.once(ctx, t, policy)
+			p.probeOnce(ctx, t, policy)
 		}
 		timer.Reset(jitter(suspectInterval))
 	}
 }
 
-func (p *Prober) target(id fleet.TargetID) (fleet.Target, fleet.Probe, bool) {
+func (p *Prober) findTarget(id fleet.TargetID) (fleet.Target, fleet.Probe, bool) {
 	svc := p.service.Load()
 	for i := range svc.Targets {
 		if svc.Targets[i].ID == id {
@@ -214,7 +225,7 @@
 	return p.suspect(id) || time.Since(last) >= jitter(policy.Interval)
 }
 
-func (p *Prober) once(ctx context.Context, t fleet.Target, policy fleet.Probe) {
+func (p *Prober) probeOnce(ctx context.Context, t fleet.Target, policy fleet.Probe) {
 	probeCtx, cancel := context.WithTimeout(ctx, policy.Timeout)
 	defer cancel()
 	start := time.Now()
@@ -226,10 +237,10 @@
 	p.report(ProbeReport{ProbeAnswer: answer, Target: t.ID, Latency: now.Sub(start), At: now})
 }
 
-// HTTPProbe returns a probe that asks for the probe path over HTTP. A 2xx
-// status is good, 429 is a shed load, and anything else is a failure; the
-// header Wisteria-Leaving says that the target leaves, whatever the status.
-// A redirect is not followed, since it would probe something else.
+// HTTPProbe returns a probe that requests the probe path over HTTP. A 2xx
+// status is OK, 429 is Shed, and anything else is a failure; the header
+// Wisteria-Leaving states that the target is leaving, whatever the status.
+// Redirects are not followed, since they would probe something else.
 func HTTPProbe(client *http.Client) func(context.Context, fleet.Target, fleet.Probe) ProbeAnswer {
 	direct := *client
 	direct.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
@@ -240,7 +251,7 @@
 		}
 		resp, err := direct.Do(req)
 		if err != nil {
-			return ProbeAnswer{Result: probeError(ctx)}
+			return ProbeAnswer{Result: transportErrorResult(ctx)}
 		}
 		defer resp.Body.Close()
 		_, _ = io.CopyN(io.Discard, resp.Body, maxProbeBody)
@@ -255,7 +266,7 @@
 	}
 }
 
-func probeError(ctx context.Context) Result {
+func transportErrorResult(ctx context.Context) Result {
 	if ctx.Err() != nil {
 		return TimedOut
 	}
--- a/core/detect/prober_test.go
+++ b/core/detect/prober_test.go
@@ -102,7 +102,7 @@
 		l.Peers([]fleet.TargetID{"a"}, epoch)
 		gomega.Expect(l.Is("a")).To(gomega.BeTrue())
 		gomega.Expect(l.FirstHand(epoch)).To(gomega.BeEmpty())
-		l.Expire(epoch.Add(peerHold))
+		l.Expire(epoch.Add(peerSignalTTL))
 		gomega.Expect(l.Is("a")).To(gomega.BeFalse())
 	})
 
--- a/core/detect/recorder.go
+++ b/core/detect/recorder.go
@@ -7,25 +7,26 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Recorder counts results and latency by target of one service. Any number of
-// goroutines may record at once; it takes no lock.
+// Recorder counts results and sums latencies by target of one service. Any
+// number of goroutines may record at the same time; recording takes no lock.
 type Recorder struct {
-	sheet atomic.Pointer[sheet]
+	counters atomic.Pointer[counterSet]
 }
 
-// sheet is immutable but for the counters in its cells; cells of targets that
-// stay are carried over to the next sheet, so an update loses no counts.
-type sheet struct {
-	ids   []fleet.TargetID
-	cells map[fleet.TargetID]*cell
+// counterSet holds the counters of all targets. It is immutable but for the
+// counters themselves; an update carries over the counters of targets that
+// stay, so it loses no counts.
+type counterSet struct {
+	ids      []fleet.TargetID
+	byTarget map[fleet.TargetID]*targetCounters
 }
 
-type cell struct {
+type targetCounters struct {
 	counts [resultCount]atomic.Uint32
-	// ok and probeOK hold a count and the sum of its latency codes in one
-	// word, so that a drain never sees one without the other.
-	ok, probeOK  atomic.Uint64
-	probesFailed atomic.Uint32
+	// packedOK and packedProbeOK each hold a count and the sum of its latency
+	// codes in one word, so that a reader never sees one without the other.
+	packedOK, packedProbeOK atomic.Uint64
+	probesFailed            atomic.Uint32
 }
 
 const (
@@ -40,31 +41,32 @@
 	return r
 }
 
-// Update replaces the target list; one goroutine at a time may call it.
+// Update replaces the target list. It must not be called concurrently with
+// itself.
 func (r *Recorder) Update(svc *fleet.Service) {
-	next := &sheet{cells: make(map[fleet.TargetID]*cell, len(svc.Targets))}
-	old := r.sheet.Load()
+	next := &counterSet{byTarget: make(map[fleet.TargetID]*targetCounters, len(svc.Targets))}
+	old := r.counters.Load()
 	for i := range svc.Targets {
 		id := svc.Targets[i].ID
-		c := &cell{}
-		if old != nil && old.cells[id] != nil {
-			c = old.cells[id]
+		c := &targetCounters{}
+		if old != nil && old.byTarget[id] != nil {
+			c = old.byTarget[id]
 		}
 		next.ids = append(next.ids, id)
-		next.cells[id] = c
+		next.byTarget[id] = c
 	}
-	r.sheet.Store(next)
+	r.counters.Store(next)
 }
 
-// Record counts one request; the latency counts for OK only. Results of
+// Record counts one request; the latency is used for OK only. Results of
 // targets that are no longer listed are dropped.
 func (r *Recorder) Record(target fleet.TargetID, res Result, latency time.Duration) {
-	c := r.sheet.Load().cells[target]
+	c := r.counters.Load().byTarget[target]
 	if c == nil || res >= resultCount {
 		return
 	}
 	if res == OK {
-		c.ok.Add(1<<codeSumBits | uint64(CodeOf(latency)))
+		c.packedOK.Add(1<<codeSumBits | uint64(CodeOf(latency)))
 		return
 	}
 	c.counts[res].Add(1)
@@ -73,43 +75,44 @@
 // RecordProbe counts one health probe; any result but OK, Shed and Cancelled
 // counts as a failed probe.
 func (r *Recorder) RecordProbe(target fleet.TargetID, res Result, latency time.Duration) {
-	c := r.sheet.Load().cells[target]
+	c := r.counters.Load().byTarget[target]
 	if c == nil {
 		return
 	}
 	switch {
 	case res == OK:
-		c.probeOK.Add(1<<codeSumBits | uint64(CodeOf(latency)))
+		c.packedProbeOK.Add(1<<codeSumBits | uint64(CodeOf(latency)))
 	case res.IsFailure():
 		c.probesFailed.Add(1)
 	}
 }
 
-// Drain returns the rows since the last drain, in the order of the target
-// list, and starts the next interval. Rows with nothing to say are left out.
+// Drain returns the statistics since the previous call, in the order of the
+// target list, and resets them. It leaves out targets with nothing to report.
 func (r *Recorder) Drain() []Row {
-	s := r.sheet.Load()
-	var rows []Row
+	s := r.counters.Load()
+	var all []Row
 	for _, id := range s.ids {
-		if row := s.cells[id].drain(id); !row.IsEmpty() {
-			rows = append(rows, row)
+		if stats := s.byTarget[id].collect(id); !stats.IsEmpty() {
+			all = append(all, stats)
 		}
 	}
-	return rows
+	return all
 }
 
-func (c *cell) drain(id fleet.TargetID) Row {
-	row := Row{Target: id}
+func (c *targetCounters) collect(id fleet.TargetID) Row {
+	stats := Row{Target: id}
 	for res := range c.counts {
-		row.Counts[res] = c.counts[res].Swap(0)
+		stats.Counts[res] = c.counts[res].Swap(0)
 	}
-	row.Counts[OK], row.Latency = split(c.ok.Swap(0))
-	row.ProbesOK, row.ProbeLatency = split(c.probeOK.Swap(0))
-	row.ProbesFailed = c.probesFailed.Swap(0)
-	return row
+	stats.Counts[OK], stats.Latency = unpackMean(c.packedOK.Swap(0))
+	stats.ProbesOK, stats.ProbeLatency = unpackMean(c.packedProbeOK.Swap(0))
+	stats.ProbesFailed = c.probesFailed.Swap(0)
+	return stats
 }
 
-func split(packed uint64) (uint32, Code) {
+// unpackMean returns the count and the mean latency code of a packed word.
+func unpackMean(packed uint64) (uint32, Code) {
 	n := packed >> codeSumBits
 	if n == 0 {
 		return 0, 0
--- a/core/detect/result.go
+++ b/core/detect/result.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Result is how one request to a target ended.
+// Result is the outcome of one request to a target, or of one probe.
 type Result uint8
 
-// The results of a request. Shed, Cancelled and a target that leaves are no
-// sign of sickness. BodyFailure is a failure inside a success status, which a
+// The results of a request. Shed, Cancelled and a target's leaving do not count
+// against its health. BodyFailure is a failure inside a success status, which a
 // route's body-failure rule recognises: a server may answer 200 first and fail
 // in the body, and layers that decide from the status line miss it (described
 // in the change note "fix: retry CompleteMultipartUpload on transient backend
@@ -37,7 +37,7 @@
 	return resultNames[r]
 }
 
-// IsFailure reports whether the result speaks against the target.
+// IsFailure reports whether the result counts against the target.
 func (r Result) IsFailure() bool {
 	switch r {
 	case Failed, TimedOut, Short, BodyFailure, Unreachable:
@@ -47,8 +47,8 @@
 	}
 }
 
-// Code is a latency on a log scale with 8 steps for each doubling, that is 9%
-// a step, from 16 µs.
+// Code is a latency on a log scale from 16 µs with 8 steps for each doubling,
+// that is 9% a step.
 type Code uint8
 
 const (
@@ -56,7 +56,7 @@
 	codesPerOctave = 8
 )
 
-// CodeOf returns the code next to the latency.
+// CodeOf returns the code nearest to the latency.
 func CodeOf(d time.Duration) Code {
 	if d <= codeUnit {
 		return 0
--- a/core/detect/state.go
+++ b/core/detect/state.go
@@ -12,8 +12,9 @@
 type State uint8
 
 // The states of a target. Avoided targets are used only when no other has a
-// free slot and so still count as capacity; Trial takes idempotent requests
-// from the target's prober, one at a time; Ejected and Leaving take no work.
+// free slot, and so still count as capacity; Trial takes idempotent requests
+// from the target's prober, one at a time; Ejected and Leaving targets get no
+// requests.
 const (
 	Ready State = iota
 	SlowStart
@@ -34,30 +35,32 @@
 	return stateNames[s]
 }
 
-// TargetState is the state of one target; Index is its place in the service's
+// TargetState is the state of one target; Index is its index in the service's
 // target list.
 type TargetState struct {
 	Target fleet.TargetID
 	Index  int
 	State  State
-	// Weight is the share of a full target's work, from 0.1 to 1.
+	// Weight is the share of a fully used target's load, from 0.1 to 1.
 	Weight float64
 	Reason string
 	Since  time.Time
 }
 
-// startWeight is the weight at the beginning of slow start.
-const startWeight = 0.1
+// initialWeight is the weight at the beginning of slow start.
+const initialWeight = 0.1
 
 // States returns the state of each target in the order of the service's target
-// list. Started says when targets came up. The floor is applied last: entries
-// of the list apply, by hand, oldest and worst first, only while the floor
-// remains after drained and leaving targets are counted as gone. The other
-// entries fall back to Avoided. Verdicts make targets Avoided only while the
-// floor remains beside all targets that are gone, ejected or avoided.
-func States(svc *fleet.Service, ej Ejections, signs Signs, verdicts []Verdict, started map[fleet.TargetID]time.Time, now time.Time) []TargetState {
-	b := newBoard(svc, ej, signs, started, now)
-	entries := ej.ranked()
+// list. The argument started holds the times at which targets came up.
+//
+// The floor is applied last. Drained and leaving targets count as gone. Entries
+// of the ejection list then apply in order of priority (by hand, then the
+// oldest, then the most severe) while the floor is kept; the remaining entries
+// make their targets Avoided. Verdicts make targets Avoided only while the
+// targets that are not gone, ejected or avoided suffice for the floor.
+func States(svc *fleet.Service, ej Ejections, signals LeavingSignals, verdicts []Verdict, started map[fleet.TargetID]time.Time, now time.Time) []TargetState {
+	b := newStateBuilder(svc, ej, signals, started, now)
+	entries := ej.byPriority()
 	for i := range entries {
 		b.applyEntry(&entries[i])
 	}
@@ -71,39 +74,40 @@
 	return b.states
 }
 
-// board holds the states while the floor is applied; room is the number of
-// targets that may still be held back.
-type board struct {
-	states []TargetState
-	index  map[fleet.TargetID]int
-	room   int
+// stateBuilder holds the states while the floor is applied; removable is the
+// number of targets that may still be taken out of full service.
+type stateBuilder struct {
+	states    []TargetState
+	index     map[fleet.TargetID]int
+	removable int
 }
 
-func newBoard(svc *fleet.Service, ej Ejections, signs Signs, started map[fleet.TargetID]time.Time, now time.Time) *board {
+func newStateBuilder(svc *fleet.Service, ej Ejections, signals LeavingSignals, started map[fleet.TargetID]time.Time, now time.Time) *stateBuilder {
 	n := len(svc.Targets)
-	b := &board{states: make([]TargetState, n), index: make(map[fleet.TargetID]int, n), room: n - svc.Policy.Floor.Of(n)}
+	b := &stateBuilder{states: make([]TargetState, n), index: make(map[fleet.TargetID]int, n), removable: n - svc.Policy.Floor.Of(n)}
 	for i := range svc.Targets {
 		t := &svc.Targets[i]
 		s := &b.states[i]
 		*s = TargetState{Target: t.ID, Index: i, Weight: 1}
 		b.index[t.ID] = i
-		sign, leaving := signs[t.ID]
+		signal, leaving := signals[t.ID]
 		switch {
 		case leaving:
-			s.State, s.Reason, s.Since = Leaving, "leaving, by "+sign.Source.String(), sign.Since
-			b.room--
+			s.State, s.Reason, s.Since = Leaving, "leaving, by "+signal.Source.String(), signal.Since
+			b.removable--
 		case t.Drained:
 			s.State, s.Reason = Leaving, "drained"
-			b.room--
+			b.removable--
 		default:
-			s.startSlowly(svc.Policy.SlowStart, cameUp(ej, started, t.ID), now)
+			s.applySlowStart(svc.Policy.SlowStart, lastStart(ej, started, t.ID), now)
 		}
 	}
 	return b
 }
 
-// cameUp returns the latest time at which the target came up or returned.
-func cameUp(ej Ejections, started map[fleet.TargetID]time.Time, id fleet.TargetID) time.Time {
+// lastStart returns the latest time at which the target came up or returned to
+// service.
+func lastStart(ej Ejections, started map[fleet.TargetID]time.Time, id fleet.TargetID) time.Time {
 	at := started[id]
 	if p, ok := ej.FindPast(id); ok && p.Returned.After(at) {
 		at = p.Returned
@@ -111,16 +115,18 @@
 	return at
 }
 
-func (s *TargetState) startSlowly(span time.Duration, from, now time.Time) {
+// applySlowStart sets the state and weight of a target that came up less than
+// span ago. The weight grows linearly.
+func (s *TargetState) applySlowStart(span time.Duration, from, now time.Time) {
 	age := max(0, now.Sub(from))
 	if from.IsZero() || age >= span {
 		return
 	}
 	s.State, s.Since, s.Reason = SlowStart, from, "slow start"
-	s.Weight = startWeight + (1-startWeight)*float64(age)/float64(span)
+	s.Weight = initialWeight + (1-initialWeight)*float64(age)/float64(span)
 }
 
-func (b *board) applyEntry(e *Ejection) {
+func (b *stateBuilder) applyEntry(e *Ejection) {
 	i, ok := b.index[e.Target]
 	if !ok || b.states[i].State == Leaving {
 		return
@@ -128,25 +134,25 @@
 	s := &b.states[i]
 	s.Weight, s.Reason, s.Since = 1, e.Reason, e.Since
 	switch {
-	case b.room <= 0:
+	case b.removable <= 0:
 		s.State, s.Reason = Avoided, "ejected, but the floor needs it: "+e.Reason
 	case e.Phase == PhaseTrial:
 		s.State = Trial
 	default:
 		s.State = Ejected
 	}
-	b.room--
+	b.removable--
 }
 
-func (b *board) applyVerdict(v *Verdict) {
+func (b *stateBuilder) applyVerdict(v *Verdict) {
 	i, ok := b.index[v.Target]
-	if !ok || b.room <= 0 {
+	if !ok || b.removable <= 0 {
 		return
 	}
 	s := &b.states[i]
 	if s.State != Ready && s.State != SlowStart {
 		return
 	}
-	b.room--
+	b.removable--
 	s.State, s.Weight, s.Reason, s.Since = Avoided, 1, v.Reason, v.Since
 }
--- a/core/detect/row.go
+++ b/core/detect/stats.go
@@ -10,40 +10,42 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Row is the evidence of one target over one interval.
+// Row holds the statistics of one target over one interval, as one observer
+// counted them.
 type Row struct {
 	Target fleet.TargetID
-	// Counts holds the number of requests by result. Cancelled requests stay
-	// local; the wire form leaves them out.
+	// Counts holds the number of requests by result. Cancelled requests are not
+	// sent to peers.
 	Counts [resultCount]uint32
 	// Latency is the geometric mean of the latencies of the OK requests.
 	Latency Code
 	// ProbesOK and ProbesFailed count health probes.
 	ProbesOK, ProbesFailed uint32
-	// ProbeLatency is the geometric mean of the latencies of the good probes.
+	// ProbeLatency is the geometric mean of the latencies of the successful
+	// probes.
 	ProbeLatency Code
 }
 
-// IsEmpty reports whether the row has nothing to tell a peer.
+// IsEmpty reports whether there is nothing to report to peers.
 func (r Row) IsEmpty() bool {
 	return r.flags() == 0
 }
 
-// Failures returns the number of requests that speak against the target.
+// Failures returns the number of requests that count against the target.
 func (r Row) Failures() uint32 {
 	return r.Counts[Failed] + r.Counts[TimedOut] + r.Counts[Short] + r.Counts[BodyFailure] + r.Counts[Unreachable]
 }
 
-// Roster is the ordered list of a service's target ids, by which the wire form
-// numbers targets.
-type Roster struct {
+// TargetIndex is the sorted list of a service's target ids. The wire form
+// refers to a target by its position in it.
+type TargetIndex struct {
 	ids    []fleet.TargetID
 	digest uint32
 }
 
-// NewRoster returns the roster of the service's targets.
-func NewRoster(svc *fleet.Service) Roster {
-	r := Roster{ids: make([]fleet.TargetID, 0, len(svc.Targets))}
+// NewRoster returns the index of the service's targets.
+func NewRoster(svc *fleet.Service) TargetIndex {
+	r := TargetIndex{ids: make([]fleet.TargetID, 0, len(svc.Targets))}
 	for i := range svc.Targets {
 		r.ids = append(r.ids, svc.Targets[i].ID)
 	}
@@ -57,8 +59,8 @@
 	return r
 }
 
-// Limits of the wire form. The header is the format byte, the roster's digest
-// and the number of rows.
+// Constants of the wire form. Its header is the format byte, the digest of the
+// target index and the number of targets that follow.
 const (
 	wireFormat    = 1
 	digestBytes   = 4
@@ -67,7 +69,7 @@
 	probeShift    = 4
 )
 
-// Bits of the flags byte of a row; a set bit says that the field follows.
+// Bits of the flags byte of a target; a set bit means that the field follows.
 const (
 	flagOK = 1 << iota
 	flagFailed
@@ -95,33 +97,33 @@
 	return f
 }
 
-// EncodeRows returns the wire form of the rows. It leaves out rows with nothing
-// to say and rows of targets outside the roster. A row of a target with
+// EncodeRows returns the wire form of the statistics. It leaves out targets
+// with nothing to report and targets that are not in the index. A target with
 // ordinary traffic takes 4 to 6 bytes.
-func EncodeRows(ro Roster, rows []Row) []byte {
-	byIndex := make(map[int]Row, len(rows))
-	for _, r := range rows {
-		if i, ok := slices.BinarySearch(ro.ids, r.Target); ok && !r.IsEmpty() {
+func EncodeRows(index TargetIndex, stats []Row) []byte {
+	byIndex := make(map[int]Row, len(stats))
+	for _, r := range stats {
+		if i, ok := slices.BinarySearch(index.ids, r.Target); ok && !r.IsEmpty() {
 			byIndex[i] = r
 		}
 	}
 	b := []byte{wireFormat}
-	b = binary.BigEndian.AppendUint32(b, ro.digest)
+	b = binary.BigEndian.AppendUint32(b, index.digest)
 	b = binary.AppendUvarint(b, uint64(len(byIndex)))
 	next := 0
-	for i := range ro.ids {
+	for i := range index.ids {
 		r, ok := byIndex[i]
 		if !ok {
 			continue
 		}
 		b = binary.AppendUvarint(b, uint64(i-next))
-		b = appendRow(b, r)
+		b = appendStats(b, r)
 		next = i + 1
 	}
 	return b
 }
 
-func appendRow(b []byte, r Row) []byte {
+func appendStats(b []byte, r Row) []byte {
 	b = append(b, r.flags())
 	for _, res := range wireResults {
 		if n := r.Counts[res]; n > 0 {
@@ -138,53 +140,53 @@
 	return b
 }
 
-// DecodeRows returns the rows of a wire form that was written with the same
-// roster. Bytes of another roster or format, out of bounds or left over are
-// refused as a whole with fault.MessageInvalid.
-func DecodeRows(ro Roster, data []byte) ([]Row, error) {
-	d := rowDecoder{rest: data}
-	if f := d.byte(); d.bad == "" && f != wireFormat {
+// DecodeRows decodes a wire form that was encoded with the same target index.
+// Data with another index or format, with a value out of bounds or with bytes
+// left over is rejected as a whole with fault.MessageInvalid.
+func DecodeRows(index TargetIndex, data []byte) ([]Row, error) {
+	d := statsDecoder{rest: data}
+	if f := d.byte(); d.problem == "" && f != wireFormat {
 		d.fail("unknown format")
 	}
-	if digest := d.uint32(); d.bad == "" && digest != ro.digest {
+	if digest := d.uint32(); d.problem == "" && digest != index.digest {
 		d.fail("another target list")
 	}
-	n := d.uvarint(uint64(len(ro.ids)))
-	rows := make([]Row, 0, n)
+	n := d.uvarint(uint64(len(index.ids)))
+	stats := make([]Row, 0, n)
 	next := uint64(0)
 	for range n {
-		i := next + d.uvarint(uint64(len(ro.ids)))
-		if d.bad == "" && i >= uint64(len(ro.ids)) {
+		i := next + d.uvarint(uint64(len(index.ids)))
+		if d.problem == "" && i >= uint64(len(index.ids)) {
 			d.fail("target out of bounds")
 		}
-		if d.bad != "" {
+		if d.problem != "" {
 			break
 		}
-		rows = append(rows, d.row(ro.ids[i]))
+		stats = append(stats, d.stats(index.ids[i]))
 		next = i + 1
 	}
-	if d.bad == "" && len(d.rest) > 0 {
+	if d.problem == "" && len(d.rest) > 0 {
 		d.fail("bytes left over")
 	}
-	if d.bad != "" {
-		return nil, fault.New(fault.MessageInvalid, "evidence rows: %s", d.bad)
+	if d.problem != "" {
+		return nil, fault.New(fault.MessageInvalid, "evidence rows: %s", d.problem)
 	}
-	return rows, nil
+	return stats, nil
 }
 
-type rowDecoder struct {
-	rest []byte
-	bad  string
+type statsDecoder struct {
+	rest    []byte
+	problem string
 }
 
-func (d *rowDecoder) fail(why string) {
-	if d.bad == "" {
-		d.bad = why
+func (d *statsDecoder) fail(why string) {
+	if d.problem == "" {
+		d.problem = why
 	}
 	d.rest = nil
 }
 
-func (d *rowDecoder) byte() byte {
+func (d *statsDecoder) byte() byte {
 	if len(d.rest) == 0 {
 		d.fail("too short")
 		return 0
@@ -194,7 +196,7 @@
 	return b
 }
 
-func (d *rowDecoder) uint32() uint32 {
+func (d *statsDecoder) uint32() uint32 {
 	if len(d.rest) < digestBytes {
 		d.fail("too short")
 		return 0
@@ -204,13 +206,13 @@
 	return v
 }
 
-func (d *rowDecoder) uvarint(most uint64) uint64 {
+func (d *statsDecoder) uvarint(limit uint64) uint64 {
 	v, n := binary.Uvarint(d.rest)
 	if n <= 0 {
 		d.fail("bad number")
 		return 0
 	}
-	if v > most {
+	if v > limit {
 		d.fail("number out of bounds")
 		return 0
 	}
@@ -218,7 +220,7 @@
 	return v
 }
 
-func (d *rowDecoder) row(id fleet.TargetID) Row {
+func (d *statsDecoder) stats(id fleet.TargetID) Row {
 	r := Row{Target: id}
 	flags := d.byte()
 	for bit, res := range wireResults {
@@ -247,12 +249,12 @@
 	return r
 }
 
-// MergeRows returns one row a target with the sums of all rows, so that a
-// daemon can drain its recorder more often than it reports.
-func MergeRows(rows ...[]Row) []Row {
+// MergeRows returns the sums by target, so that a daemon can collect from its
+// recorder more often than it reports.
+func MergeRows(sets ...[]Row) []Row {
 	var out []Row
 	at := map[fleet.TargetID]int{}
-	for _, set := range rows {
+	for _, set := range sets {
 		for _, r := range set {
 			i, ok := at[r.Target]
 			if !ok {
@@ -260,15 +262,15 @@
 				out = append(out, r)
 				continue
 			}
-			out[i] = out[i].plus(r)
+			out[i] = out[i].mergedWith(r)
 		}
 	}
 	return out
 }
 
-func (r Row) plus(o Row) Row {
-	r.Latency = meanCode(r.Latency, r.Counts[OK], o.Latency, o.Counts[OK])
-	r.ProbeLatency = meanCode(r.ProbeLatency, r.ProbesOK, o.ProbeLatency, o.ProbesOK)
+func (r Row) mergedWith(o Row) Row {
+	r.Latency = weightedMeanCode(r.Latency, r.Counts[OK], o.Latency, o.Counts[OK])
+	r.ProbeLatency = weightedMeanCode(r.ProbeLatency, r.ProbesOK, o.ProbeLatency, o.ProbesOK)
 	for i := range r.Counts {
 		r.Counts[i] += o.Counts[i]
 	}
@@ -277,7 +279,7 @@
 	return r
 }
 
-func meanCode(a Code, n uint32, b Code, m uint32) Code {
+func weightedMeanCode(a Code, n uint32, b Code, m uint32) Code {
 	if n+m == 0 {
 		return 0
 	}
--- a/core/detect/row_test.go
+++ b/core/detect/stats_test.go
@@ -13,7 +13,7 @@
 
 var _ = Describe("Rows on the wire", func() {
 	svc := testService(27)
-	roster := NewRoster(svc)
+	index := NewRoster(svc)
 	rec := func(fill func(r *Recorder)) []Row {
 		r := NewRecorder(svc)
 		fill(r)
@@ -29,9 +29,9 @@
 				r.Record(svc.Targets[i].ID, Cancelled, 0)
 			}
 		})
-		data := EncodeRows(roster, rows)
+		data := EncodeRows(index, rows)
 		Expect(len(data)).To(BeNumerically("<=", 6*len(svc.Targets)))
-		Expect(EncodeRows(roster, nil)).To(HaveLen(6), "nothing to say costs the header only")
+		Expect(EncodeRows(index, nil)).To(HaveLen(6), "nothing to say costs the header only")
 	})
 
 	It("carries all counts, latency and probes", func() {
@@ -42,7 +42,7 @@
 			r.RecordProbe("z", OK, 25*time.Millisecond)
 			r.RecordProbe("z", TimedOut, 0)
 		})
-		back, err := DecodeRows(roster, EncodeRows(roster, rows))
+		back, err := DecodeRows(index, EncodeRows(index, rows))
 		Expect(err).NotTo(HaveOccurred())
 		rows[0].Counts[Cancelled] = 0
 		Expect(back).To(Equal(rows))
@@ -77,7 +77,7 @@
 	})
 
 	It("refuses rows of another target list", func() {
-		data := EncodeRows(roster, rec(func(r *Recorder) { r.Record("a", Failed, 0) }))
+		data := EncodeRows(index, rec(func(r *Recorder) { r.Record("a", Failed, 0) }))
 		_, err := DecodeRows(NewRoster(testService(26)), data)
 		Expect(fault.Is(err, fault.MessageInvalid)).To(BeTrue())
 	})
@@ -85,22 +85,22 @@
 
 func FuzzDecodeRows(f *testing.F) {
 	svc := testService(27)
-	roster := NewRoster(svc)
+	index := NewRoster(svc)
 	r := NewRecorder(svc)
 	r.Record("a", OK, time.Millisecond)
 	r.Record("f", Short, 0)
 	r.RecordProbe("h", OK, time.Millisecond)
-	whole := EncodeRows(roster, r.Drain())
+	whole := EncodeRows(index, r.Drain())
 	f.Add(whole)
 	f.Add(whole[:len(whole)-1])
 	f.Add(append(append([]byte{}, whole...), 0))
-	f.Add(EncodeRows(roster, nil))
+	f.Add(EncodeRows(index, nil))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		rows, err := DecodeRows(roster, data)
+		rows, err := DecodeRows(index, data)
 		if err != nil {
 			return
 		}
-		again, err := DecodeRows(roster, EncodeRows(roster, rows))
+		again, err := DecodeRows(index, EncodeRows(index, rows))
 		if err != nil || len(again) != len(rows) {
 			t.Fatalf("rows %v do not survive encoding: %v", rows, err)
 		}
--- a/core/detect/trials.go
+++ b/core/detect/trials.go
@@ -9,96 +9,99 @@
 )
 
 const (
-	// trialSuccesses is the number of good requests that end a trial well.
+	// trialSuccesses is the number of successful requests, or of successful
+	// probes where no request may be tried, after which a trial is decided.
 	trialSuccesses = 3
-	// trialProbeGrace is how long a trial waits for requests before good
-	// probes count instead. A service whose requests are all orders has no
-	// request that may be tried.
+	// trialProbeGrace is how long a trial waits for requests before successful
+	// probes decide it instead. Only idempotent requests are sent to a target
+	// in trial, and a service may have none.
 	trialProbeGrace = 10 * time.Second
 )
 
-// trials counts the results of trials at the prober.
-type trials struct {
-	mu    sync.Mutex
-	tries map[fleet.TargetID]*try
+// trialTracker counts the results of requests to and probes of targets in trial
+// at their prober.
+type trialTracker struct {
+	mu     sync.Mutex
+	active map[fleet.TargetID]*trialProgress
 }
 
-type try struct {
-	begun    time.Time
-	oks      int
-	codes    float64
-	probeOKs int
-	failed   bool
+// trialProgress holds the results of one trial.
+type trialProgress struct {
+	startedAt      time.Time
+	successes      int
+	latencyCodeSum float64
+	probeSuccesses int
+	failed         bool
 }
 
-// follow begins and forgets tries as the list says.
-func (t *trials) follow(j Ejections, now time.Time) {
+// sync starts the trials that the list names and drops all others.
+func (t *trialTracker) sync(j Ejections, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	next := map[fleet.TargetID]*try{}
+	next := map[fleet.TargetID]*trialProgress{}
 	for _, e := range j.Entries {
 		if e.Phase != PhaseTrial {
 			continue
 		}
-		next[e.Target] = t.tries[e.Target]
+		next[e.Target] = t.active[e.Target]
 		if next[e.Target] == nil {
-			next[e.Target] = &try{begun: now}
+			next[e.Target] = &trialProgress{startedAt: now}
 		}
 	}
-	t.tries = next
+	t.active = next
 }
 
-func (t *trials) request(id fleet.TargetID, res Result, latency time.Duration) {
+func (t *trialTracker) recordRequest(id fleet.TargetID, res Result, latency time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	y := t.tries[id]
+	p := t.active[id]
 	switch {
-	case y == nil:
+	case p == nil:
 	case res == OK:
-		y.oks++
-		y.codes += float64(CodeOf(latency))
+		p.successes++
+		p.latencyCodeSum += float64(CodeOf(latency))
 	case res.IsFailure():
-		y.failed = true
+		p.failed = true
 	}
 }
 
-func (t *trials) probe(id fleet.TargetID, res Result) {
+func (t *trialTracker) recordProbe(id fleet.TargetID, res Result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	y := t.tries[id]
+	p := t.active[id]
 	switch {
-	case y == nil:
+	case p == nil:
 	case res == OK:
-		y.probeOKs++
-	case res.IsFailure() && y.oks == 0:
-		y.failed = true
+		p.probeSuccesses++
+	case res.IsFailure() && p.successes == 0:
+		p.failed = true
 	}
 }
 
-// outcome says whether a trial is decided, and how. A target that is as slow
-// as one that gets condemned fails.
-func (t *trials) outcome(id fleet.TargetID, slowFactor float64, typical time.Duration, now time.Time) (passed, decided bool) {
+// outcome reports whether a trial is decided, and whether the target passed. A
+// target that is slow enough to be condemned fails.
+func (t *trialTracker) outcome(id fleet.TargetID, slowFactor float64, typical time.Duration, now time.Time) (passed, decided bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	y := t.tries[id]
+	p := t.active[id]
 	switch {
-	case y == nil:
+	case p == nil:
 		return false, false
-	case y.failed:
+	case p.failed:
 		return false, true
-	case y.oks >= trialSuccesses:
-		return !y.isSlow(slowFactor, typical), true
-	case y.oks == 0 && y.probeOKs >= trialSuccesses && now.Sub(y.begun) >= trialProbeGrace:
+	case p.successes >= trialSuccesses:
+		return !p.isSlow(slowFactor, typical), true
+	case p.successes == 0 && p.probeSuccesses >= trialSuccesses && now.Sub(p.startedAt) >= trialProbeGrace:
 		return true, true
 	default:
 		return false, false
 	}
 }
 
-func (y *try) isSlow(factor float64, typical time.Duration) bool {
+func (p *trialProgress) isSlow(factor float64, typical time.Duration) bool {
 	if typical == 0 {
 		return false
 	}
-	mean := latencyOf(y.codes / float64(y.oks))
+	mean := latencyOf(p.latencyCodeSum / float64(p.successes))
 	return float64(mean) > math.Max(factor, 1)*float64(typical) && mean-typical > slowMargin
 }
--- a/core/detect/verdict.go
+++ b/core/detect/verdict.go
@@ -7,11 +7,11 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Action is what a verdict asks for.
+// Action is the action that a verdict asks for.
 type Action uint8
 
-// The actions. Avoid is this daemon's own view and local; Condemn is agreed by
-// enough observers and asks for an ejection.
+// The actions. Avoid is decided by this daemon alone and takes effect only
+// there; Condemn is agreed by enough observers and asks for an ejection.
 const (
 	Avoid Action = iota
 	Condemn
@@ -25,7 +25,7 @@
 	return "avoid"
 }
 
-// Cause is the kind of evidence that weighs most in a verdict.
+// Cause is the main kind of evidence behind a verdict.
 type Cause uint8
 
 // The causes of a verdict.
@@ -49,23 +49,26 @@
 	return causeNames[c]
 }
 
-// Verdict is the judgement on one target.
+// Verdict is the result of the assessment of one target.
 type Verdict struct {
 	Target fleet.TargetID
 	Action Action
 	Cause  Cause
-	// Since is when this daemon first gave a verdict on the target without a break.
+	// Since is the time of this daemon's first verdict on the target in an
+	// unbroken series.
 	Since time.Time
-	// Observers and DataCentres count those that agree.
+	// Observers and DataCentres count the observers that agree, and their data
+	// centres.
 	Observers, DataCentres int
-	// Severity orders verdicts, the worst first; failures weigh more than slowness.
+	// Severity orders verdicts; failures rate higher than slowness.
 	Severity float64
 	// Reason explains the verdict to operators.
 	Reason string
 }
 
-// causeOf returns the most frequent failure of the tally.
-func causeOf(t tally) Cause {
+// mainCause returns the cause that stands for the most frequent kind of
+// failure.
+func mainCause(t totals) Cause {
 	cause, most := CauseFailing, t.counts[Failed]
 	for _, c := range [...]struct {
 		r Result
@@ -78,8 +81,8 @@
 	return cause
 }
 
-func failingReason(t tally, limit float64) string {
-	return fmt.Sprintf("%d of %d requests failed, most as %s (limit %.0f%%)", t.failures(), t.requests(), causeOf(t), limit*percentWhole)
+func failingReason(t totals, limit float64) string {
+	return fmt.Sprintf("%d of %d requests failed, most as %s (limit %.0f%%)", t.failures(), t.requests(), mainCause(t), limit*percent)
 }
 
 func slowReason(code, base float64) string {
@@ -87,4 +90,4 @@
 		latencyOf(code).Round(time.Millisecond/10), latencyOf(base).Round(time.Millisecond/10))
 }
 
-const percentWhole = 100
+const percent = 100
