--- a/core/detect/assess.go
+++ b/core/detect/assess.go
@@ -92,8 +92,8 @@
 			out[id] = true
 			continue
 		}
-		basis := x.own.observer.series[id].newest(x.detection.MinRequests, x.longWindowStart)
-		if basis.requests() < x.detection.MinRequests {
+		own := x.own.observer.series[id].newest(x.detection.MinRequests, x.longWindowStart)
+		if own.requests() < x.detection.MinRequests {
 			out[id] = true
 		}
 	}
@@ -184,16 +184,21 @@
 	return v
 }
 
+// confirmsFailures reports whether the observer saw at least this many
+// failures, at a ratio of at least the limit.
 func (v *finding) confirmsFailures(failures int, limit float64) bool {
 	return v.evidence.failures() >= failures && v.evidence.failureRatio() >= limit
 }
 
-func (x *evaluation) isSlow(id fleet.TargetID, code, base float64) bool {
+// isSlow reports whether the latency code exceeds the median by the slow
+// factor, and the latency by more than slowMargin. The factor is larger during
+// slow start.
+func (x *evaluation) isSlow(id fleet.TargetID, code, medianCode float64) bool {
 	factor := x.detection.SlowFactor
 	if at, ok := x.detector.started[id]; ok && x.now.Sub(at) < x.detector.svc.Policy.SlowStart+x.detection.Window {
 		factor *= slowStartFactor
 	}
-	return code-base > codesPerOctave*math.Log2(factor) && latencyOf(code)-latencyOf(base) > slowMargin
+	return code-medianCode > codesPerOctave*math.Log2(factor) && latencyOf(code)-latencyOf(medianCode) > slowMargin
 }
 
 // steadySlowness reports whether the target is slow in both halves of a span,
@@ -216,7 +221,7 @@
 			continue
 		}
 		early.subtract(late)
-		return span, x.isHalfSlow(id, early, c.medianCode) && x.isHalfSlow(id, late, c.medianCode)
+		return span, x.isSpanSlow(id, early, c.medianCode) && x.isSpanSlow(id, late, c.medianCode)
 	}
 	return 0, false
 }
@@ -233,8 +238,8 @@
 	return true
 }
 
-func (x *evaluation) isHalfSlow(id fleet.TargetID, half totals, base float64) bool {
-	return half.counts[OK] > 0 && x.isSlow(id, half.meanLatencyCode(), base)
+func (x *evaluation) isSpanSlow(id fleet.TargetID, span totals, medianCode float64) bool {
+	return span.counts[OK] > 0 && x.isSlow(id, span.meanLatencyCode(), medianCode)
 }
 
 // assessPooled assesses the newest evidence of all included observers together,
@@ -326,9 +331,9 @@
 	return len(all)
 }
 
-func dataCentres(views []*finding) map[fleet.DataCentre]bool {
+func dataCentres(findings []*finding) map[fleet.DataCentre]bool {
 	dcs := map[fleet.DataCentre]bool{}
-	for _, v := range views {
+	for _, v := range findings {
 		dcs[v.observer.dc] = true
 	}
 	return dcs
--- a/core/detect/assess_test.go
+++ b/core/detect/assess_test.go
@@ -10,8 +10,8 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// bench holds a service with six carriers in three data centres.
-type bench struct {
+// assessFixture holds a service with six carriers in three data centres.
+type assessFixture struct {
 	svc *fleet.Service
 	s   *Service
 	now time.Time
@@ -19,14 +19,14 @@
 
 var carrierDCs = []fleet.DataCentre{"mdp", "mdp", "pinamar", "pinamar", "necochea", "necochea"}
 
-func newBench(targets int) *bench {
-	b := &bench{svc: testService(targets), now: epoch}
+func newAssessFixture(targets int) *assessFixture {
+	b := &assessFixture{svc: testService(targets), now: epoch}
 	b.s = NewService(b.svc, "vm0")
-	b.s.SetCarriers(benchCarriers())
+	b.s.SetCarriers(testCarriers())
 	return b
 }
 
-func benchCarriers() map[fleet.VMID]fleet.DataCentre {
+func testCarriers() map[fleet.VMID]fleet.DataCentre {
 	all := map[fleet.VMID]fleet.DataCentre{}
 	for i, dc := range carrierDCs {
 		all[vmName(i)] = dc
@@ -36,9 +36,9 @@
 
 func vmName(i int) fleet.VMID { return fleet.VMID(fmt.Sprintf("vm%d", i)) }
 
-// each adds, for all carriers and targets, the row that fill sets; a row starts
-// with 5 good requests of 10 ms.
-func (b *bench) each(fill func(carrier, target int, r *Row)) {
+// addRound adds the statistics of one second for all carriers and targets: 5 OK
+// requests of 10 ms each, as changed by fill.
+func (b *assessFixture) addRound(fill func(carrier, target int, r *Row)) {
 	b.now = b.now.Add(time.Second)
 	for c, dc := range carrierDCs {
 		var rows []Row
@@ -52,11 +52,11 @@
 	}
 }
 
-func fail(r *Row, res Result) {
+func setFailing(r *Row, res Result) {
 	r.Counts[OK], r.Counts[res] = 1, 4
 }
 
-func summary(vs []Verdict) []string {
+func summarize(vs []Verdict) []string {
 	out := []string{}
 	for _, v := range vs {
 		out = append(out, fmt.Sprintf("%s %s %s", v.Action, v.Target, v.Cause))
@@ -65,15 +65,15 @@
 }
 
 var _ = Describe("Assess", func() {
-	var b *bench
-	BeforeEach(func() { b = newBench(9) })
-	verdicts := func() []string { return summary(b.s.Assess(b.now)) }
+	var b *assessFixture
+	BeforeEach(func() { b = newAssessFixture(9) })
+	verdicts := func() []string { return summarize(b.s.Assess(b.now)) }
 
-	DescribeTable("condemns a target that all observers see sick",
+	DescribeTable("condemns a target that all observers find unhealthy",
 		func(res Result, cause string) {
-			b.each(func(_, i int, r *Row) {
+			b.addRound(func(_, i int, r *Row) {
 				if i == 2 {
-					fail(r, res)
+					setFailing(r, res)
 				}
 			})
 			Expect(verdicts()).To(Equal([]string{"condemn c " + cause}))
@@ -85,34 +85,34 @@
 		Entry("unreachable", Unreachable, "unreachable"),
 	)
 
-	// Guards against ejecting a target at which requests queue for a moment,
-	// because all carriers send to the one that they last heard to be idle.
+	// Guards against ejecting a target at which requests queue up for a moment
+	// because all carriers send to the target that was last reported idle.
 	It("condemns a slow target once it is slow for most of the window, and says why", func() {
 		slow := func(_, i int, r *Row) {
 			if i == 2 {
 				r.Latency = CodeOf(50 * time.Millisecond)
 			}
 		}
-		b.each(func(_, _ int, r *Row) {})
-		b.each(slow)
+		b.addRound(func(_, _ int, r *Row) {})
+		b.addRound(slow)
 		Expect(verdicts()).To(BeEmpty())
-		b.each(slow)
-		b.each(slow)
-		b.each(slow)
+		b.addRound(slow)
+		b.addRound(slow)
+		b.addRound(slow)
 		vs := b.s.Assess(b.now)
-		Expect(summary(vs)).To(Equal([]string{"condemn c slow"}))
+		Expect(summarize(vs)).To(Equal([]string{"condemn c slow"}))
 		Expect(vs[0].Reason).To(ContainSubstring("6 observers in 3 data centres agree"))
 	})
 
-	It("gives no verdict on shedding and cancellations", func() {
-		b.each(func(_, i int, r *Row) {
+	It("gives no verdict for shed and cancelled requests", func() {
+		b.addRound(func(_, i int, r *Row) {
 			r.Counts[Shed], r.Counts[Cancelled] = 50, 50
 		})
 		Expect(verdicts()).To(BeEmpty())
 	})
 
 	It("only avoids a target that one observer cannot reach", func() {
-		b.each(func(c, i int, r *Row) {
+		b.addRound(func(c, i int, r *Row) {
 			if c == 0 && i == 2 {
 				r.Counts[OK], r.Counts[Unreachable] = 0, 5
 			}
@@ -120,8 +120,8 @@
 		Expect(verdicts()).To(Equal([]string{"avoid c unreachable"}))
 	})
 
-	It("does not avoid a target for two stray failures among few requests", func() {
-		b.each(func(c, i int, r *Row) {
+	It("does not avoid a target for two isolated failures among few requests", func() {
+		b.addRound(func(c, i int, r *Row) {
 			if c == 0 && i == 2 {
 				r.Counts[OK], r.Counts[Failed] = 2, 2
 			}
@@ -129,19 +129,19 @@
 		Expect(verdicts()).To(BeEmpty())
 	})
 
-	It("does not condemn on the word of one data centre", func() {
-		b.each(func(c, i int, r *Row) {
+	It("does not condemn when only observers in one data centre agree", func() {
+		b.addRound(func(c, i int, r *Row) {
 			if carrierDCs[c] == "pinamar" && i == 2 {
-				fail(r, Failed)
+				setFailing(r, Failed)
 			}
 		})
 		Expect(verdicts()).To(BeEmpty())
 	})
 
 	It("does not count observers that fail against most targets", func() {
-		b.each(func(c, i int, r *Row) {
+		b.addRound(func(c, i int, r *Row) {
 			if c < 3 && i < 6 {
-				fail(r, Unreachable)
+				setFailing(r, Unreachable)
 			}
 		})
 		vs := b.s.Assess(b.now)
@@ -153,18 +153,18 @@
 
 	DescribeTable("gives no verdicts when the service as a whole is",
 		func(sick func(r *Row)) {
-			b.each(func(_, _ int, r *Row) { sick(r) })
+			b.addRound(func(_, _ int, r *Row) { sick(r) })
 			Expect(verdicts()).To(BeEmpty())
 		},
-		Entry("failing", func(r *Row) { fail(r, Failed) }),
+		Entry("failing", func(r *Row) { setFailing(r, Failed) }),
 		Entry("slow", func(r *Row) { r.Latency = CodeOf(time.Second) }),
 	)
 
 	It("gives no verdicts when all targets begin to fail and some pass the limit first", func() {
-		b.each(func(_, _ int, _ *Row) {})
-		b.each(func(_, _ int, _ *Row) {})
+		b.addRound(func(_, _ int, _ *Row) {})
+		b.addRound(func(_, _ int, _ *Row) {})
 		b.now = b.now.Add(time.Second)
-		b.each(func(_, i int, r *Row) {
+		b.addRound(func(_, i int, r *Row) {
 			r.Counts[OK], r.Counts[Failed] = 2, 3
 			if i < 3 {
 				r.Counts[OK], r.Counts[Failed] = 0, 12
@@ -174,18 +174,18 @@
 	})
 
 	It("gives no verdicts when most observers fail everywhere", func() {
-		b.each(func(c, i int, r *Row) {
+		b.addRound(func(c, i int, r *Row) {
 			if c < 4 && i < 6 {
-				fail(r, Failed)
+				setFailing(r, Failed)
 			}
 		})
 		Expect(verdicts()).To(BeEmpty())
 	})
 
-	It("condemns a sick third of the service, the worst first", func() {
-		b.each(func(_, i int, r *Row) {
+	It("condemns an unhealthy third of the service, the most severe first", func() {
+		b.addRound(func(_, i int, r *Row) {
 			if i < 3 {
-				fail(r, Failed)
+				setFailing(r, Failed)
 			}
 			if i == 1 {
 				r.Counts[OK], r.Counts[Failed] = 0, 5
@@ -194,9 +194,9 @@
 		Expect(verdicts()).To(Equal([]string{"condemn b failing", "condemn a failing", "condemn c failing"}))
 	})
 
-	It("judges a target with little traffic by the wide window", func() {
+	It("assesses a target with little traffic by the long window", func() {
 		for step := range 8 {
-			b.each(func(c, i int, r *Row) {
+			b.addRound(func(c, i int, r *Row) {
 				r.Counts[OK] = 0
 				if i == 2 && step%4 == c%4 {
 					r.Counts[Failed] = 1
@@ -211,7 +211,7 @@
 
 	It("condemns a target of which four observers saw one failure each and nothing else", func() {
 		for round := range 4 {
-			b.each(func(c, i int, r *Row) {
+			b.addRound(func(c, i int, r *Row) {
 				r.Counts[OK] = 0
 				if i == 2 && c == round {
 					r.Counts[Failed] = 1
@@ -237,16 +237,16 @@
 		Expect(verdicts()).To(BeEmpty())
 	})
 
-	It("holds good requests above failed probes", func() {
-		b.each(func(_, _ int, r *Row) {})
+	It("gives successful requests precedence over failed probes", func() {
+		b.addRound(func(_, _ int, r *Row) {})
 		b.s.Add("vm3", "pinamar", []Row{{Target: "c", ProbesFailed: 9}}, b.now)
 		Expect(verdicts()).To(BeEmpty())
 	})
 
-	It("forgets what was held against a target before it came back", func() {
-		b.each(func(_, i int, r *Row) {
+	It("drops the evidence against a target from before it came back", func() {
+		b.addRound(func(_, i int, r *Row) {
 			if i == 2 {
-				fail(r, Failed)
+				setFailing(r, Failed)
 			}
 		})
 		listed := Ejections{Entries: []Ejection{{Target: "c"}}}
@@ -259,10 +259,10 @@
 
 	It("condemns a slow target that gets too few requests for one observer to judge", func() {
 		for range 3 {
-			b.each(func(_, _ int, _ *Row) {})
+			b.addRound(func(_, _ int, _ *Row) {})
 		}
 		for range 6 {
-			b.each(func(c, i int, r *Row) {
+			b.addRound(func(c, i int, r *Row) {
 				if i == 2 {
 					r.Counts[OK], r.Latency = 0, CodeOf(80*time.Millisecond)
 					if c%2 == int(b.now.Unix()%2) {
@@ -275,9 +275,10 @@
 		Expect(verdicts()).To(Equal([]string{"condemn c slow"}))
 	})
 
-	// Guards against a fault of one path that turns into an ejection, because an
-	// earlier verdict of one observer silenced the others.
-	It("keeps hearing observers that see an avoided target in good order", func() {
+	// Guards against an ejection for a fault of a single network path. It would
+	// come about if the verdict of one observer kept the others from using the
+	// target and contradicting it.
+	It("keeps counting observers that find an avoided target healthy", func() {
 		round := 0
 		oneWay := func(c, i int, r *Row) {
 			if i != 2 {
@@ -292,7 +293,7 @@
 			}
 		}
 		for round = range 12 {
-			b.each(oneWay)
+			b.addRound(oneWay)
 			Expect(verdicts()).NotTo(ContainElement(ContainSubstring("condemn")))
 		}
 		Expect(verdicts()).To(Equal([]string{"avoid c unreachable"}))
@@ -306,16 +307,16 @@
 				r.Latency = CodeOf(60 * time.Millisecond)
 			}
 		}
-		b.each(slow)
+		b.addRound(slow)
 		Expect(verdicts()).To(BeEmpty())
 		b.now = b.now.Add(20 * time.Second)
 		for range 4 {
-			b.each(slow)
+			b.addRound(slow)
 		}
 		Expect(verdicts()).To(Equal([]string{"condemn c slow"}))
 	})
 
-	// Guards against evidence that is held against another target because two
+	// Guards against evidence that counts against the wrong target, because two
 	// daemons number the targets differently while settings change.
 	It("reads rows of the present and the previous target list only", func() {
 		old := EncodeRows(NewRoster(b.svc), []Row{{Target: "c", ProbesFailed: 3}})
--- a/core/detect/benchmark_test.go
+++ b/core/detect/benchmark_test.go
@@ -7,21 +7,22 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// costTargets is the number of targets of an average service in two years.
-const costTargets = 27
+// benchmarkTargets is the number of targets that an average service is expected
+// to have in two years.
+const benchmarkTargets = 27
 
-// BenchmarkAssess is the cost of one Assess of a service with 27 targets and
-// six carriers whose windows are full.
+// BenchmarkAssess measures one Assess of a service with 27 targets and six
+// carriers whose long windows are full.
 func BenchmarkAssess(b *testing.B) {
 	for _, p := range []struct {
 		name   string
 		preset fleet.Detection
 	}{{"fast", fastPreset}, {"careful", carefulPreset}} {
 		b.Run(p.name, func(b *testing.B) {
-			e := newBench(costTargets)
+			e := newAssessFixture(benchmarkTargets)
 			e.svc.Policy.Detection = p.preset
 			for range int(longWindowFactor * p.preset.Window / time.Second) {
-				e.each(func(_, i int, r *Row) {
+				e.addRound(func(_, i int, r *Row) {
 					if i == 2 {
 						r.Counts[Failed] = 1
 					}
@@ -35,10 +36,10 @@
 	}
 }
 
-// BenchmarkRecord is the cost on the request path, with all cores recording
-// at one target.
+// BenchmarkRecord measures recording on the request path, with all cores
+// recording results of the same target.
 func BenchmarkRecord(b *testing.B) {
-	r := NewRecorder(testService(costTargets))
+	r := NewRecorder(testService(benchmarkTargets))
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			r.Record("c", OK, 7*time.Millisecond)
@@ -46,9 +47,10 @@
 	})
 }
 
-// BenchmarkRowBytes reports the size of a row with ordinary traffic and probes.
+// BenchmarkRowBytes reports the encoded size of one target's statistics with
+// ordinary traffic and probes.
 func BenchmarkRowBytes(b *testing.B) {
-	svc := testService(costTargets)
+	svc := testService(benchmarkTargets)
 	r := NewRecorder(svc)
 	index := NewRoster(svc)
 	var size int
@@ -61,5 +63,5 @@
 		r.RecordProbe("c", OK, 25*time.Millisecond)
 		size = len(EncodeRows(index, r.Drain()))
 	}
-	b.ReportMetric(float64(size)/costTargets, "bytes/target")
+	b.ReportMetric(float64(size)/benchmarkTargets, "bytes/target")
 }
--- a/core/detect/detect_suite_test.go
+++ b/core/detect/detect_suite_test.go
@@ -17,7 +17,7 @@
 
 var epoch = time.Date(2026, 12, 4, 6, 0, 0, 0, time.UTC)
 
-// fastPreset is the preset fast of section 6 of the design page.
+// fastPreset is the preset fast from section 6 of the design page.
 var fastPreset = fleet.Detection{Window: 4 * time.Second, MinRequests: 4, FailureRatio: 0.4, SlowFactor: 3, MinObservers: 2}
 
 func testPolicy(d fleet.Detection) fleet.Policy {
@@ -29,7 +29,7 @@
 	}
 }
 
-// testService has n targets a, b, c and so on.
+// testService returns a service with n targets named a, b, c and so on.
 func testService(n int) *fleet.Service {
 	svc := &fleet.Service{ID: "reservas", Policy: testPolicy(fastPreset)}
 	for i := range n {
--- a/core/detect/ejections_test.go
+++ b/core/detect/ejections_test.go
@@ -13,7 +13,7 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-func condemned(id fleet.TargetID) Verdict {
+func condemnedVerdict(id fleet.TargetID) Verdict {
 	return Verdict{Target: id, Action: Condemn, Severity: 2, Reason: "5 of 6 requests failed"}
 }
 
@@ -29,7 +29,7 @@
 var _ = Describe("Ejections", func() {
 	svc := testService(6)
 	eject := func(j Ejections, id fleet.TargetID, now time.Time) Ejections {
-		n, err := j.Eject(svc, nil, condemned(id), "vm1", now)
+		n, err := j.Eject(svc, nil, condemnedVerdict(id), "vm1", now)
 		Expect(err).NotTo(HaveOccurred())
 		return n
 	}
@@ -39,7 +39,7 @@
 		for _, id := range []fleet.TargetID{"a", "b", "c"} {
 			j = eject(j, id, epoch)
 		}
-		_, err := j.Eject(svc, nil, condemned("d"), "vm1", epoch)
+		_, err := j.Eject(svc, nil, condemnedVerdict("d"), "vm1", epoch)
 		Expect(fault.Is(err, fault.FloorReached)).To(BeTrue())
 		_, err = j.EjectByHand(svc, nil, "d", "alma", "bad disk", epoch)
 		Expect(fault.Is(err, fault.FloorReached)).To(BeTrue())
@@ -48,11 +48,11 @@
 	It("counts leaving and drained targets against the floor", func() {
 		j := eject(NewEjections(svc.ID), "a", epoch)
 		signals := LeavingSignals{"e": {}, "f": {}}
-		_, err := j.Eject(svc, signals, condemned("b"), "vm1", epoch)
+		_, err := j.Eject(svc, signals, condemnedVerdict("b"), "vm1", epoch)
 		Expect(fault.Is(err, fault.FloorReached)).To(BeTrue())
 	})
 
-	It("doubles the period of a target that flaps, up to the longest", func() {
+	It("doubles the period of a target that flaps, up to the maximum", func() {
 		j, now := NewEjections(svc.ID), epoch
 		for _, want := range []int64{10, 20, 40, 80, 160, 300, 300} {
 			j = eject(j, "a", now)
@@ -82,7 +82,7 @@
 		Expect(stateOf(states, "b")).To(Equal(Avoided))
 	})
 
-	It("keeps every statement through the row value", func() {
+	It("survives encoding and decoding unchanged", func() {
 		j := eject(NewEjections(svc.ID), "a", epoch).WithWriteID("vm1.7")
 		j, err := j.EjectByHand(svc, nil, "b", "alma", "disk swap", epoch)
 		Expect(err).NotTo(HaveOccurred())
@@ -106,7 +106,7 @@
 		}
 	})
 
-	It("rejects a row that lists more than its own bound", func() {
+	It("rejects a row with more entries than its own floor allows", func() {
 		j := eject(NewEjections(svc.ID), "a", epoch)
 		j.Floor = 6
 		_, err := j.Encode()
@@ -116,7 +116,7 @@
 
 func FuzzDecodeEjections(f *testing.F) {
 	svc := testService(6)
-	j, _ := NewEjections(svc.ID).Eject(svc, nil, condemned("a"), "vm1", epoch)
+	j, _ := NewEjections(svc.ID).Eject(svc, nil, condemnedVerdict("a"), "vm1", epoch)
 	whole, _ := j.WithWriteID("vm1.1").Encode()
 	f.Add(whole)
 	f.Add(whole[:len(whole)/2])
--- a/core/detect/ejector.go
+++ b/core/detect/ejector.go
@@ -263,7 +263,7 @@
 			return false
 		}
 		if e.cached.CompareAndSwap(old, &l) {
-			e.trials.sync(l.Ejections, l.Read)
+			e.trials.update(l.Ejections, l.Read)
 			e.onChange(l)
 			return true
 		}
--- a/core/detect/ejector_test.go
+++ b/core/detect/ejector_test.go
@@ -14,15 +14,16 @@
 	"wisteriarelay.example/core/store"
 )
 
-// fakeTable is a table service with one row; fate, if set, decides for each
-// Apply whether it takes effect and what the caller is told.
+// fakeTable is a table service with one row. If set, applyFault decides for
+// each Apply whether it takes effect and which error is returned; getFault does
+// the latter for each Get.
 type fakeTable struct {
 	delay         time.Duration
 	mu            sync.Mutex
 	row           store.Row
 	gets, applies int
-	getFate       func() error
-	fate          func() (effect bool, err error)
+	getFault      func() error
+	applyFault    func() (effect bool, err error)
 }
 
 func (f *fakeTable) table() store.Table {
@@ -34,8 +35,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.gets++
-	if f.getFate != nil {
-		if err := f.getFate(); err != nil {
+	if f.getFault != nil {
+		if err := f.getFault(); err != nil {
 			return store.Row{}, err
 		}
 	}
@@ -50,14 +51,14 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.applies++
-	effect, err := true, error(nil)
-	if f.fate != nil {
-		effect, err = f.fate()
+	applied, err := true, error(nil)
+	if f.applyFault != nil {
+		applied, err = f.applyFault()
 	}
-	if effect && tx.Conds[0].Version != f.row.Version {
+	if applied && tx.Conds[0].Version != f.row.Version {
 		return fault.New(fault.StoreConflict, "version %d", f.row.Version)
 	}
-	if effect {
+	if applied {
 		f.row = store.Row{Key: tx.Puts[0].Key, Version: f.row.Version + 1, Value: tx.Puts[0].Value}
 	}
 	return err
@@ -77,11 +78,11 @@
 	return j
 }
 
-// behave changes the fates.
-func (f *fakeTable) behave(fate func() (bool, error), getFate func() error) {
+// setFaults replaces the faults of Apply and Get.
+func (f *fakeTable) setFaults(applyFault func() (bool, error), getFault func() error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.fate, f.getFate = fate, getFate
+	f.applyFault, f.getFault = applyFault, getFault
 }
 
 func (f *fakeTable) counts() (gets, applies int) {
@@ -90,11 +91,12 @@
 	return f.gets, f.applies
 }
 
-func ambiguous() error { return fault.New(fault.StoreAmbiguous, "reply lost") }
-func down() error      { return fault.New(fault.StoreUnavailable, "down") }
+func ambiguousError() error   { return fault.New(fault.StoreAmbiguous, "reply lost") }
+func unavailableError() error { return fault.New(fault.StoreUnavailable, "down") }
 
-// ejectorTest runs body in a bubble with n ejectors on one table, ranked by number.
-func ejectorTest(t *testing.T, n int, body func(g *gomega.WithT, f *fakeTable, es []*Ejector)) {
+// runEjectors runs body in a synctest bubble with n ejectors on one table; the
+// rank of each is its index.
+func runEjectors(t *testing.T, n int, body func(g *gomega.WithT, f *fakeTable, es []*Ejector)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		f := &fakeTable{delay: 10 * time.Millisecond}
@@ -118,10 +120,10 @@
 	}
 }
 
-// Guards against six carriers that all write the same ejection.
-func TestEjectorsShareTheDuty(t *testing.T) {
-	ejectorTest(t, 6, func(g *gomega.WithT, f *fakeTable, es []*Ejector) {
-		submitAll(es, testService(6), condemned("a"), condemned("b"))
+// Guards against redundant writes of the same ejection by all six carriers.
+func TestEjectorsWriteAnEjectionOnce(t *testing.T) {
+	runEjectors(t, 6, func(g *gomega.WithT, f *fakeTable, es []*Ejector) {
+		submitAll(es, testService(6), condemnedVerdict("a"), condemnedVerdict("b"))
 		time.Sleep(3 * time.Second)
 		j := f.list(t, "reservas")
 		g.Expect(j.Entries).To(gomega.HaveLen(2))
@@ -131,26 +133,27 @@
 	})
 }
 
-// Guards against a dead first carrier that keeps a target in service.
-func TestEjectorNextInRankWrites(t *testing.T) {
-	ejectorTest(t, 3, func(g *gomega.WithT, f *fakeTable, es []*Ejector) {
-		submitAll(es[1:], testService(6), condemned("a"))
+// Guards against a target that stays in service because the first carrier in
+// rank has failed.
+func TestEjectorOfNextRankWrites(t *testing.T) {
+	runEjectors(t, 3, func(g *gomega.WithT, f *fakeTable, es []*Ejector) {
+		submitAll(es[1:], testService(6), condemnedVerdict("a"))
 		time.Sleep(time.Second)
 		g.Expect(f.list(t, "reservas").Entries).To(gomega.HaveLen(1))
 	})
 }
 
-// Guards against a second ejection, or a false report to the operator, after
-// the reply to a write was lost.
+// Guards against a duplicate ejection, and a wrong answer to the operator,
+// after the reply to a write was lost.
 func TestEjectorResolvesLostReplies(t *testing.T) {
-	for _, effect := range []bool{true, false} {
-		ejectorTest(t, 1, func(g *gomega.WithT, f *fakeTable, es []*Ejector) {
+	for _, applied := range []bool{true, false} {
+		runEjectors(t, 1, func(g *gomega.WithT, f *fakeTable, es []*Ejector) {
 			submitAll(es, testService(6))
 			first := true
-			f.behave(func() (bool, error) {
+			f.setFaults(func() (bool, error) {
 				if first {
 					first = false
-					return effect, ambiguous()
+					return applied, ambiguousError()
 				}
 				return true, nil
 			}, nil)
@@ -164,57 +167,59 @@
 	}
 }
 
-// Guards against a change that is reported as made or not made while nobody can know.
+// Guards against reporting a definite result for a write whose effect cannot be
+// known.
 func TestEjectorReportsUnresolvedWrite(t *testing.T) {
-	ejectorTest(t, 1, func(g *gomega.WithT, f *fakeTable, es []*Ejector) {
+	runEjectors(t, 1, func(g *gomega.WithT, f *fakeTable, es []*Ejector) {
 		submitAll(es, testService(6))
 		time.Sleep(time.Second)
-		f.behave(func() (bool, error) { return true, ambiguous() }, down)
+		f.setFaults(func() (bool, error) { return true, ambiguousError() }, unavailableError)
 		err := es[0].EjectByHand(context.Background(), "a", "alma", "disk swap")
 		g.Expect(fault.Is(err, fault.StoreAmbiguous)).To(gomega.BeTrue())
-		f.behave(nil, nil)
+		f.setFaults(nil, nil)
 		time.Sleep(time.Second)
 		g.Expect(es[0].Current().Entries).To(gomega.HaveLen(1), "read back as soon as the store answers")
 	})
 }
 
-// Guards against a hot loop on a store that is down, and against verdicts that
-// are lost over the outage.
+// Guards against a busy loop of retries while the store is down, and against
+// ejections that are not made after the outage.
 func TestEjectorBacksOff(t *testing.T) {
-	ejectorTest(t, 1, func(g *gomega.WithT, f *fakeTable, es []*Ejector) {
-		f.behave(func() (bool, error) { return false, down() }, nil)
+	runEjectors(t, 1, func(g *gomega.WithT, f *fakeTable, es []*Ejector) {
+		f.setFaults(func() (bool, error) { return false, unavailableError() }, nil)
 		for range 60 {
-			submitAll(es, testService(6), condemned("a"))
+			submitAll(es, testService(6), condemnedVerdict("a"))
 			time.Sleep(time.Second)
 		}
 		_, applies := f.counts()
 		g.Expect(applies).To(gomega.BeNumerically("<", 20))
-		f.behave(nil, nil)
+		f.setFaults(nil, nil)
 		for range 16 {
-			submitAll(es, testService(6), condemned("a"))
+			submitAll(es, testService(6), condemnedVerdict("a"))
 			time.Sleep(time.Second)
 		}
 		g.Expect(f.list(t, "reservas").Entries).To(gomega.HaveLen(1))
 	})
 }
 
-// Guards against verdicts from before a pause that are carried out after it.
-func TestEjectorIgnoresOldVerdicts(t *testing.T) {
-	ejectorTest(t, 1, func(g *gomega.WithT, f *fakeTable, es []*Ejector) {
-		f.behave(nil, down)
-		submitAll(es, testService(6), condemned("a"))
+// Guards against acting after a pause on verdicts from before it.
+func TestEjectorIgnoresOutdatedVerdicts(t *testing.T) {
+	runEjectors(t, 1, func(g *gomega.WithT, f *fakeTable, es []*Ejector) {
+		f.setFaults(nil, unavailableError)
+		submitAll(es, testService(6), condemnedVerdict("a"))
 		time.Sleep(2 * maxAssessmentAge)
-		f.behave(nil, nil)
+		f.setFaults(nil, nil)
 		time.Sleep(maxBackoff * 2)
 		g.Expect(f.list(t, "reservas").Entries).To(gomega.BeEmpty())
 	})
 }
 
-// Guards against a daemon that uses an old row although a peer knows a newer one.
-func TestEjectorFollowsTheRow(t *testing.T) {
-	ejectorTest(t, 2, func(g *gomega.WithT, f *fakeTable, es []*Ejector) {
+// Guards against a daemon that keeps using an old row although a peer reports a
+// newer version.
+func TestEjectorReadsNewerRow(t *testing.T) {
+	runEjectors(t, 2, func(g *gomega.WithT, f *fakeTable, es []*Ejector) {
 		time.Sleep(time.Second)
-		submitAll(es[:1], testService(6), condemned("a"))
+		submitAll(es[:1], testService(6), condemnedVerdict("a"))
 		time.Sleep(time.Second)
 		own := es[0].Current()
 		g.Expect(es[1].Current().Version).To(gomega.BeZero())
@@ -232,11 +237,12 @@
 	})
 }
 
-// Guards against targets that stay out for good, or come back although they fail.
+// Guards against targets that stay ejected for good, and targets that return
+// although they still fail.
 func TestEjectorRunsTrials(t *testing.T) {
-	ejectorTest(t, 1, func(g *gomega.WithT, f *fakeTable, es []*Ejector) {
+	runEjectors(t, 1, func(g *gomega.WithT, f *fakeTable, es []*Ejector) {
 		e, svc := es[0], testService(6)
-		submitAll(es, svc, condemned("a"), condemned("b"), condemned("c"))
+		submitAll(es, svc, condemnedVerdict("a"), condemnedVerdict("b"), condemnedVerdict("c"))
 		time.Sleep(time.Second)
 		submitAll(es, svc)
 		time.Sleep(11 * time.Second)
--- a/core/detect/floor_test.go
+++ b/core/detect/floor_test.go
@@ -21,119 +21,120 @@
 	maxTargets   = 16
 )
 
-// floorDaemon sees settings, signs and the row late.
+// floorDaemon learns of changes to settings, leaving signals and the row with a
+// delay.
 type floorDaemon struct {
 	ejector  *Ejector
 	svc      *fleet.Service
-	signs    LeavingSignals
+	signals  LeavingSignals
 	verdicts []Verdict
 	started  map[fleet.TargetID]time.Time
 }
 
-// floorWorld draws operations from one seed. The truth is what settings and
-// targets are; daemons learn it one by one.
-type floorWorld struct {
+// floorSim draws random operations from one seed. It holds the actual settings
+// and leaving signals, which the daemons learn one by one.
+type floorSim struct {
 	rng     *rand.Rand
 	now     time.Time
 	svc     *fleet.Service
-	signs   LeavingSignals
+	signals LeavingSignals
 	table   *fakeTable
 	daemons []*floorDaemon
-	// acting is the daemon of the last operation.
-	acting *floorDaemon
-	// refused, listed and fallback count how often these cases came up.
-	refused, listed, fallback int
+	// lastDaemon is the daemon of the latest operation.
+	lastDaemon *floorDaemon
+	// refused, listed and fallbacks count how often these cases occurred.
+	refused, listed, fallbacks int
 }
 
-func newFloorWorld(seed uint64) *floorWorld {
-	w := &floorWorld{rng: rand.New(rand.NewPCG(seed, 0)), now: epoch, svc: testService(9), signs: LeavingSignals{}, table: &fakeTable{}}
-	w.table.fate = w.applyFate
-	w.table.getFate = w.getFate
+func newFloorSim(seed uint64) *floorSim {
+	w := &floorSim{rng: rand.New(rand.NewPCG(seed, 0)), now: epoch, svc: testService(9), signals: LeavingSignals{}, table: &fakeTable{}}
+	w.table.applyFault = w.applyFault
+	w.table.getFault = w.getFault
 	for i := range floorDaemons {
 		e := NewEjector(w.svc.ID, fleet.Incarnation(vmName(i)), w.table.table())
-		w.daemons = append(w.daemons, &floorDaemon{ejector: e, svc: w.svc, signs: w.signs})
+		w.daemons = append(w.daemons, &floorDaemon{ejector: e, svc: w.svc, signals: w.signals})
 	}
 	return w
 }
 
-func (w *floorWorld) chance(percent int) bool { return w.rng.IntN(100) < percent }
+func (w *floorSim) chance(percent int) bool { return w.rng.IntN(100) < percent }
 
-func (w *floorWorld) applyFate() (bool, error) {
+func (w *floorSim) applyFault() (bool, error) {
 	switch {
 	case w.chance(5):
-		return true, ambiguous()
+		return true, ambiguousError()
 	case w.chance(5):
-		return false, ambiguous()
+		return false, ambiguousError()
 	case w.chance(5):
-		return false, down()
+		return false, unavailableError()
 	default:
 		return true, nil
 	}
 }
 
-func (w *floorWorld) getFate() error {
+func (w *floorSim) getFault() error {
 	if w.chance(10) {
-		return down()
+		return unavailableError()
 	}
 	return nil
 }
 
-func (w *floorWorld) daemon() *floorDaemon { return w.daemons[w.rng.IntN(len(w.daemons))] }
+func (w *floorSim) randomDaemon() *floorDaemon { return w.daemons[w.rng.IntN(len(w.daemons))] }
 
-func (w *floorWorld) target() fleet.TargetID { return targetName(w.rng.IntN(maxTargets)) }
+func (w *floorSim) randomTarget() fleet.TargetID { return targetName(w.rng.IntN(maxTargets)) }
 
-// step does one operation and returns its name.
-func (w *floorWorld) step() (string, error) {
+// step performs one operation and returns its name.
+func (w *floorSim) step() (string, error) {
 	w.now = w.now.Add(time.Duration(w.rng.IntN(2000)) * time.Millisecond)
-	d := w.daemon()
-	w.acting = d
+	d := w.randomDaemon()
+	w.lastDaemon = d
 	switch n := w.rng.IntN(100); {
 	case n < 30:
 		return "eject", w.write(d, func(j Ejections) (Ejections, error) {
-			v := condemned(w.target())
+			v := condemnedVerdict(w.randomTarget())
 			v.Severity = w.rng.Float64()
-			return j.Eject(d.svc, d.signs, v, "daemon", w.now)
+			return j.Eject(d.svc, d.signals, v, "daemon", w.now)
 		})
 	case n < 35:
 		return "eject by hand", w.write(d, func(j Ejections) (Ejections, error) {
-			return j.EjectByHand(d.svc, d.signs, w.target(), "alma", "test", w.now)
+			return j.EjectByHand(d.svc, d.signals, w.randomTarget(), "alma", "test", w.now)
 		})
 	case n < 40:
 		return "return by hand", w.write(d, func(j Ejections) (Ejections, error) {
-			return j.ReturnByHand(d.svc, w.target(), "alma", "test", w.now)
+			return j.ReturnByHand(d.svc, w.randomTarget(), "alma", "test", w.now)
 		})
 	case n < 45:
-		return "trial", w.write(d, func(j Ejections) (Ejections, error) { return j.BeginTrial(d.svc, w.target(), w.now) })
+		return "trial", w.write(d, func(j Ejections) (Ejections, error) { return j.BeginTrial(d.svc, w.randomTarget(), w.now) })
 	case n < 50:
 		passed := w.chance(50)
 		return "trial result", w.write(d, func(j Ejections) (Ejections, error) {
-			return j.EndTrial(d.svc, w.target(), passed, "daemon", w.now)
+			return j.EndTrial(d.svc, w.randomTarget(), passed, "daemon", w.now)
 		})
 	case n < 60:
-		w.judge(d)
+		w.drawVerdicts(d)
 		return "verdicts", nil
 	case n < 70:
 		_ = d.ejector.read(context.Background(), w.now)
 		return "read", nil
 	case n < 78:
-		w.leave()
+		w.toggleLeaving()
 		return "leave or come back", nil
 	case n < 84:
-		d.signs = w.signs
+		d.signals = w.signals
 		return "learn signs", nil
 	case n < 92:
 		d.svc = w.svc
 		return "learn settings", nil
 	default:
-		w.settings()
+		w.changeSettings()
 		return "settings", nil
 	}
 }
 
-// write sends a change through the ejector's own compare-and-swap and checks
-// what the row holds after it. Refusals and store faults are no failure; a
-// list that its own check rejects is one.
-func (w *floorWorld) write(d *floorDaemon, change transition) error {
+// write applies a change with the ejector's compare-and-swap and checks the row
+// after it. Refusals and store faults are expected; a list that fails its own
+// validation is an error.
+func (w *floorSim) write(d *floorDaemon, change transition) error {
 	before, listed := w.table.row.Version, 0
 	if j, err := DecodeEjections(w.svc.ID, w.table.row.Value); err == nil {
 		listed = len(j.Entries)
@@ -158,29 +159,30 @@
 	if len(j.Entries) > bound {
 		return fmt.Errorf("row lists %d targets, bound is %d", len(j.Entries), bound)
 	}
-	if gone := goneIn(j, d.svc, d.signs); len(j.Entries) > listed && gone > bound {
-		return fmt.Errorf("target ejected with %d ejected, drained or leaving, bound is %d", gone, bound)
+	if unavailable := countUnavailable(j, d.svc, d.signals); len(j.Entries) > listed && unavailable > bound {
+		return fmt.Errorf("target ejected with %d ejected, drained or leaving, bound is %d", unavailable, bound)
 	}
 	w.listed += len(j.Entries)
 	return nil
 }
 
-// goneIn counts the listed, drained and leaving targets of the service.
-func goneIn(j Ejections, svc *fleet.Service, signals LeavingSignals) int {
-	gone := 0
+// countUnavailable counts the listed, drained and leaving targets of the
+// service.
+func countUnavailable(j Ejections, svc *fleet.Service, signals LeavingSignals) int {
+	unavailable := 0
 	for _, t := range svc.Targets {
 		_, listed := j.Find(t.ID)
 		_, leaving := signals[t.ID]
 		if listed || leaving || t.Drained {
-			gone++
+			unavailable++
 		}
 	}
-	return gone
+	return unavailable
 }
 
-func (w *floorWorld) judge(d *floorDaemon) {
+func (w *floorSim) drawVerdicts(d *floorDaemon) {
 	d.verdicts = nil
-	d.started = map[fleet.TargetID]time.Time{w.target(): w.now}
+	d.started = map[fleet.TargetID]time.Time{w.randomTarget(): w.now}
 	for i := range maxTargets {
 		if w.chance(30) {
 			d.verdicts = append(d.verdicts, Verdict{Target: targetName(i), Action: Action(w.rng.IntN(2)), Severity: w.rng.Float64()})
@@ -188,21 +190,21 @@
 	}
 }
 
-func (w *floorWorld) leave() {
+func (w *floorSim) toggleLeaving() {
 	next := LeavingSignals{}
-	for id, s := range w.signs {
+	for id, s := range w.signals {
 		next[id] = s
 	}
-	id := w.target()
+	id := w.randomTarget()
 	if _, ok := next[id]; ok {
 		delete(next, id)
 	} else {
 		next[id] = LeavingSignal{Source: FromPeer, Since: w.now}
 	}
-	w.signs = next
+	w.signals = next
 }
 
-func (w *floorWorld) settings() {
+func (w *floorSim) changeSettings() {
 	next := *w.svc
 	next.Targets = nil
 	for i := range maxTargets {
@@ -217,19 +219,19 @@
 	w.svc = &next
 }
 
-// check compares a daemon's states with the floor, by what the daemon knows
-// and by what it is about to learn.
-func (w *floorWorld) check(d *floorDaemon) error {
-	if err := w.checkWith(d, d.svc, d.signs); err != nil {
+// check checks a daemon's states against the floor, both by the settings and
+// signals that it knows and by those that it has yet to learn.
+func (w *floorSim) check(d *floorDaemon) error {
+	if err := w.checkWith(d, d.svc, d.signals); err != nil {
 		return err
 	}
-	return w.checkWith(d, w.svc, w.signs)
+	return w.checkWith(d, w.svc, w.signals)
 }
 
-func (w *floorWorld) checkWith(d *floorDaemon, svc *fleet.Service, signals LeavingSignals) error {
+func (w *floorSim) checkWith(d *floorDaemon, svc *fleet.Service, signals LeavingSignals) error {
 	j := d.ejector.Current().Ejections
 	states := States(svc, j, signals, d.verdicts, d.started, w.now)
-	available, inService, full, ownAvoided := 0, 0, 0, 0
+	available, inService, fullService, ownAvoided := 0, 0, 0, 0
 	for _, s := range states {
 		_, listed := j.Find(s.Target)
 		switch s.State {
@@ -238,13 +240,13 @@
 		case Avoided:
 			inService++
 			if listed {
-				w.fallback++
+				w.fallbacks++
 			} else {
 				ownAvoided++
 			}
 		case Ready, SlowStart:
 			inService++
-			full++
+			fullService++
 		}
 		available++
 	}
@@ -252,15 +254,16 @@
 	if inService < min(floor, available) {
 		return fmt.Errorf("%d targets in service, floor %d, %d available: %v", inService, floor, available, states)
 	}
-	if ownAvoided > 0 && full < floor {
-		return fmt.Errorf("%d targets avoided with %d in full service, floor %d: %v", ownAvoided, full, floor, states)
+	if ownAvoided > 0 && fullService < floor {
+		return fmt.Errorf("%d targets avoided with %d in full service, floor %d: %v", ownAvoided, fullService, floor, states)
 	}
 	return nil
 }
 
-// Guards against any sequence of disagreeing daemons, lost replies, lagging
-// lists and changing settings by which ejection takes a service below its
-// floor. WISTERIA_FLOOR_OPS=1000000 sets the number of operations.
+// Guards against a service with fewer targets than its floor, because of
+// ejections under any sequence of disagreeing daemons, lost replies, outdated
+// lists and changing settings. WISTERIA_FLOOR_OPS=1000000 sets the number of
+// operations.
 func TestEjectionKeepsTheFloor(t *testing.T) {
 	ops := floorOps
 	if s := os.Getenv(floorOpsEnv); s != "" {
@@ -270,17 +273,17 @@
 		}
 		ops = n
 	}
-	w := newFloorWorld(floorSeed)
+	w := newFloorSim(floorSeed)
 	for i := range ops {
 		name, err := w.step()
 		if err == nil {
-			err = w.check(w.acting)
+			err = w.check(w.lastDaemon)
 		}
 		if err != nil {
 			t.Fatalf("seed %d, operation %d (%s): %v", floorSeed, i, name, err)
 		}
 	}
-	if w.refused == 0 || w.listed == 0 || w.fallback == 0 {
-		t.Fatalf("the sequence misses cases: %d refused, %d listed, %d fell back", w.refused, w.listed, w.fallback)
+	if w.refused == 0 || w.listed == 0 || w.fallbacks == 0 {
+		t.Fatalf("the operations did not cover all cases: %d refused, %d listed, %d fell back", w.refused, w.listed, w.fallbacks)
 	}
 }
--- a/core/detect/policy_sim_test.go
+++ b/core/detect/policy_sim_test.go
@@ -9,23 +9,27 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// The simulation runs one service with six carriers on a virtual clock.
+// Parameters of the simulation, which runs one service with six carriers on a
+// virtual clock.
 const (
-	simWork     = 100 * time.Millisecond
-	simSpread   = 0.4 // standard deviation of the logarithm of the work
-	simQueue    = 16
-	simDeadline = 2 * time.Second
-	simDial     = time.Second
-	simProbe    = 25 * time.Millisecond
-	simAssess   = 500 * time.Millisecond
-	simWrite    = 20 * time.Millisecond
-	simReport   = 3 * time.Second
-	simSuspect  = time.Second
-	simWarm     = 30 * time.Second
-	simErrors   = 0.01 // share of requests that fail at a healthy target
-	simCarriers = 6
+	simWorkTime        = 100 * time.Millisecond
+	simWorkSigma       = 0.4 // standard deviation of the logarithm of the work
+	simQueueLength     = 16
+	simDeadline        = 2 * time.Second
+	simDialTimeout     = time.Second
+	simProbeWork       = 25 * time.Millisecond
+	simAssessInterval  = 500 * time.Millisecond
+	simWriteDelay      = 20 * time.Millisecond
+	simReportInterval  = 3 * time.Second
+	simSuspectInterval = time.Second
+	simWarmup          = 30 * time.Second
+	simErrorRate       = 0.01 // share of requests that fail at a healthy target
+	simCarriers        = 6
 )
 
+// simPolicy is a policy of ejection. The product policy is that of this
+// package, consecutive ejects a target for 30 s after 5 failures in a row at
+// one carrier, and local is the product policy with each carrier by itself.
 type simPolicy string
 
 const (
@@ -34,48 +38,50 @@
 	localPolicy       simPolicy = "local"
 )
 
-// ill is how a target treats a request.
-type ill struct {
-	res    Result
-	share  float64 // of requests with that result
-	slow   float64 // factor on the work
-	dead   bool    // probes fail too
-	unruly bool    // failure inside a 200 without a body-failure rule
+// condition is how a target treats requests.
+type condition struct {
+	result       Result
+	probability  float64 // share of requests with that result
+	slowdown     float64 // factor on the processing time
+	failsProbes  bool    // probes fail too
+	unrecognised bool    // no body-failure rule matches the failure inside a 200
 }
 
-// simCase is one scenario; sick gives a target's condition, if it has one.
+// simCase is one scenario; conditionAt returns a target's fault condition, if
+// it has one.
 type simCase struct {
-	name    string
-	targets int
-	preset  fleet.Detection
-	load    float64 // share of capacity
-	span    time.Duration
-	sick    func(target, carrier int, since time.Duration) (ill, bool)
-	// faulty targets are those whose ejection is right; all carriers must
-	// stop using them unless only one is cut off.
-	faulty  int
-	oneWay  bool
-	trust   float64 // weight of the work in flight that peers report
-	restart bool    // target 0 is away before the fault time and comes back cold
+	name        string
+	targets     int
+	preset      fleet.Detection
+	load        float64 // as a share of capacity
+	span        time.Duration
+	conditionAt func(target, carrier int, since time.Duration) (condition, bool)
+	// faulty is the number of targets, counted from the first, that are ejected
+	// rightly. Each of them is detected once all carriers have stopped using
+	// it, or just carrier 0 if oneCarrierOnly is set.
+	faulty         int
+	oneCarrierOnly bool
+	peerWeight     float64 // weight of the requests in flight that peers report
+	restart        bool    // target 0 leaves before the fault time and restarts cold
 }
 
 type simCarrier struct {
-	n        int
-	rec      *Recorder
-	service  *Service
-	ejector  *Ejector
-	pending  [][]Row
-	verdicts []Verdict
-	states   []TargetState
-	inFlight []int
-	peers    [][]int // by carrier, as last reported
-	fails    []int   // in a row
-	out      []time.Duration
-	next     int
-	trying   map[int]bool
-	reported time.Duration
-	probed   []time.Duration
-	probing  []bool
+	number              int
+	recorder            *Recorder
+	service             *Service
+	ejector             *Ejector
+	pending             [][]Row
+	verdicts            []Verdict
+	states              []TargetState
+	inFlight            []int
+	peerInFlight        [][]int // by carrier, then target, as last reported
+	consecutiveFailures []int   // by target
+	ejectedUntil        []time.Duration
+	lastPicked          int
+	trialInFlight       map[int]bool
+	lastReport          time.Duration
+	lastProbe           []time.Duration
+	probeInFlight       []bool
 }
 
 type simResult struct {
@@ -86,24 +92,24 @@
 }
 
 type sim struct {
-	c        simCase
-	policy   simPolicy
-	rng      *rand.Rand
-	now      time.Duration
-	events   simEvents
-	count    int
-	svc      *fleet.Service
-	targets  []*simTarget
-	carriers []*simCarrier
-	signs    LeavingSignals
-	detected []time.Duration
-	retries  int
-	held     map[[2]int]State
+	c          simCase
+	policy     simPolicy
+	rng        *rand.Rand
+	now        time.Duration
+	events     simEvents
+	scheduled  int
+	svc        *fleet.Service
+	targets    []*simTarget
+	carriers   []*simCarrier
+	signals    LeavingSignals
+	detected   []time.Duration
+	retries    int
+	lastStates map[[2]int]State
 	simResult
 }
 
 func newSim(c simCase, p simPolicy, seed uint64) *sim {
-	s := &sim{c: c, policy: p, rng: rand.New(rand.NewPCG(seed, 1)), svc: testService(c.targets), signs: LeavingSignals{}, held: map[[2]int]State{}}
+	s := &sim{c: c, policy: p, rng: rand.New(rand.NewPCG(seed, 1)), svc: testService(c.targets), signals: LeavingSignals{}, lastStates: map[[2]int]State{}}
 	s.svc.Policy.Detection = c.preset
 	if p == localPolicy {
 		s.svc.Policy.Detection.MinObservers = 1
@@ -115,15 +121,15 @@
 	}
 	for i := range simCarriers {
 		k := &simCarrier{
-			n: i, rec: NewRecorder(s.svc), service: NewService(s.svc, vmName(i)), inFlight: make([]int, c.targets),
-			peers: make([][]int, simCarriers), fails: make([]int, c.targets), out: make([]time.Duration, c.targets),
-			trying: map[int]bool{}, probed: make([]time.Duration, c.targets), probing: make([]bool, c.targets), next: i,
+			number: i, recorder: NewRecorder(s.svc), service: NewService(s.svc, vmName(i)), inFlight: make([]int, c.targets),
+			peerInFlight: make([][]int, simCarriers), consecutiveFailures: make([]int, c.targets), ejectedUntil: make([]time.Duration, c.targets),
+			trialInFlight: map[int]bool{}, lastProbe: make([]time.Duration, c.targets), probeInFlight: make([]bool, c.targets), lastPicked: i,
 		}
 		table, rank := shared, func(id fleet.TargetID) int { return (i + simCarriers - int(id[0]-'a')%simCarriers) % simCarriers }
 		if p == localPolicy {
 			table, rank = &fakeTable{}, func(fleet.TargetID) int { return 0 }
 		} else {
-			k.service.SetCarriers(benchCarriers())
+			k.service.SetCarriers(testCarriers())
 		}
 		k.ejector = NewEjector(s.svc.ID, fleet.Incarnation(vmName(i)), table.table(), WithRank(rank))
 		k.ejector.jitter = func(d time.Duration) time.Duration { return d }
@@ -136,11 +142,11 @@
 func (s *sim) time() time.Time { return epoch.Add(s.now) }
 
 func (s *sim) run() simResult {
-	s.after(0, s.arrive)
+	s.schedule(0, s.arrive)
 	for _, k := range s.carriers {
-		s.after(time.Duration(s.rng.Int64N(int64(simAssess))), func() { s.tick(k) })
+		s.schedule(time.Duration(s.rng.Int64N(int64(simAssessInterval))), func() { s.runInterval(k) })
 	}
-	for len(s.events) > 0 && s.now < simWarm+s.c.span {
+	for len(s.events) > 0 && s.now < simWarmup+s.c.span {
 		e := s.events.next()
 		s.now = e.at
 		e.do()
@@ -154,23 +160,23 @@
 	return s.simResult
 }
 
-func (s *sim) condition(target, carrier int) (ill, bool) {
-	if s.now < simWarm || s.c.sick == nil {
-		return ill{}, false
+func (s *sim) conditionOf(target, carrier int) (condition, bool) {
+	if s.now < simWarmup || s.c.conditionAt == nil {
+		return condition{}, false
 	}
-	return s.c.sick(target, carrier, s.now-simWarm)
+	return s.c.conditionAt(target, carrier, s.now-simWarmup)
 }
 
-// arrive starts one request at a random carrier and plans the next.
+// arrive starts one request at a random carrier and schedules the next.
 func (s *sim) arrive() {
-	rate := s.c.load * float64(s.c.targets) * 2 / simWork.Seconds()
-	s.after(time.Duration(s.rng.ExpFloat64()/rate*float64(time.Second)), s.arrive)
+	rate := s.c.load * float64(s.c.targets) * 2 / simWorkTime.Seconds()
+	s.schedule(time.Duration(s.rng.ExpFloat64()/rate*float64(time.Second)), s.arrive)
 	s.requests++
-	s.try(s.carriers[s.rng.IntN(simCarriers)], 1, -1, s.now+simDeadline)
+	s.sendAttempt(s.carriers[s.rng.IntN(simCarriers)], 1, -1, s.now+simDeadline)
 }
 
-func (s *sim) try(k *simCarrier, attempt, exclude int, deadline time.Duration) {
-	i := s.pick(k, exclude)
+func (s *sim) sendAttempt(k *simCarrier, attempt, exclude int, deadline time.Duration) {
+	i := s.pickTarget(k, exclude)
 	if i < 0 {
 		s.failed++
 		return
@@ -184,7 +190,7 @@
 		case good:
 		case res != OK && attempt == 1 && s.now < deadline && 10*s.retries < s.requests+100:
 			s.retries++
-			s.try(k, 2, i, deadline)
+			s.sendAttempt(k, 2, i, deadline)
 		default:
 			s.failed++
 		}
@@ -193,32 +199,33 @@
 
 func (s *sim) observe(k *simCarrier, i int, res Result, latency time.Duration) {
 	id := targetName(i)
-	k.rec.Record(id, res, latency)
-	if k.trying[i] {
-		k.trying[i] = false
+	k.recorder.Record(id, res, latency)
+	if k.trialInFlight[i] {
+		k.trialInFlight[i] = false
 		k.ejector.Trial(id, res, latency)
 	}
 	switch {
 	case res == OK:
-		k.fails[i] = 0
+		k.consecutiveFailures[i] = 0
 	case res.IsFailure():
-		k.fails[i]++
+		k.consecutiveFailures[i]++
 	}
-	if s.policy == consecutivePolicy && k.fails[i] >= 5 && k.out[i] <= s.now {
-		k.out[i], k.fails[i] = s.now+30*time.Second, 0
-		s.note(k.n, i, Ejected)
+	if s.policy == consecutivePolicy && k.consecutiveFailures[i] >= 5 && k.ejectedUntil[i] <= s.now {
+		k.ejectedUntil[i], k.consecutiveFailures[i] = s.now+30*time.Second, 0
+		s.recordState(k.number, i, Ejected)
 	}
 }
 
-// pick is round robin for consecutive errors; else the least work in flight,
-// by weight, with avoided targets last.
-func (s *sim) pick(k *simCarrier, exclude int) int {
+// pickTarget uses round robin for the consecutive policy. Otherwise it takes
+// the target with the fewest requests in flight by weight, avoided targets
+// last.
+func (s *sim) pickTarget(k *simCarrier, exclude int) int {
 	n := s.c.targets
 	if s.policy == consecutivePolicy {
 		for range n {
-			k.next = (k.next + 1) % n
-			if k.out[k.next] <= s.now && k.next != exclude && !s.away(k.next) {
-				return k.next
+			k.lastPicked = (k.lastPicked + 1) % n
+			if k.ejectedUntil[k.lastPicked] <= s.now && k.lastPicked != exclude && !s.isLeaving(k.lastPicked) {
+				return k.lastPicked
 			}
 		}
 		return s.rng.IntN(n)
@@ -229,9 +236,9 @@
 			continue
 		}
 		cost := s.rng.Float64()/8 + float64(k.inFlight[i])
-		for _, p := range k.peers {
+		for _, p := range k.peerInFlight {
 			if p != nil {
-				cost += float64(p[i]) * s.c.trust
+				cost += float64(p[i]) * s.c.peerWeight
 			}
 		}
 		cost = (cost + 1) / st.Weight
@@ -239,11 +246,11 @@
 		case Ejected, Leaving:
 			continue
 		case Avoided:
-			cost += 2 * simQueue
+			cost += 2 * simQueueLength
 		case Trial:
-			prober := i%simCarriers == k.n || s.policy == localPolicy
-			if prober && !k.trying[i] && exclude < 0 {
-				k.trying[i] = true
+			prober := i%simCarriers == k.number || s.policy == localPolicy
+			if prober && !k.trialInFlight[i] && exclude < 0 {
+				k.trialInFlight[i] = true
 				return i
 			}
 			continue
@@ -255,69 +262,70 @@
 	return best
 }
 
-func (s *sim) away(i int) bool {
-	_, ok := s.signs[targetName(i)]
+func (s *sim) isLeaving(i int) bool {
+	_, ok := s.signals[targetName(i)]
 	return ok
 }
 
 func (s *sim) restartTarget() {
 	switch {
-	case s.c.restart && s.now < simWarm && s.now > simWarm/2:
-		s.signs = LeavingSignals{targetName(0): {Since: s.time()}}
-	case s.now >= simWarm:
-		s.signs = LeavingSignals{}
+	case s.c.restart && s.now < simWarmup && s.now > simWarmup/2:
+		s.signals = LeavingSignals{targetName(0): {Since: s.time()}}
+	case s.now >= simWarmup:
+		s.signals = LeavingSignals{}
 	}
 }
 
-// tick assesses, reports and probes for one carrier.
-func (s *sim) tick(k *simCarrier) {
-	s.after(simAssess, func() { s.tick(k) })
+// runInterval assesses, reports and probes for one carrier and schedules its
+// next interval.
+func (s *sim) runInterval(k *simCarrier) {
+	s.schedule(simAssessInterval, func() { s.runInterval(k) })
 	s.restartTarget()
-	rows := k.rec.Drain()
+	rows := k.recorder.Drain()
 	if s.policy == consecutivePolicy {
-		s.watch(k)
+		s.recordDetection(k)
 		return
 	}
 	now := s.time()
-	k.service.Follow(k.ejector.Current().Ejections, s.signs, now)
-	k.service.Add(vmName(k.n), carrierDCs[k.n], rows, now)
+	k.service.Follow(k.ejector.Current().Ejections, s.signals, now)
+	k.service.Add(vmName(k.number), carrierDCs[k.number], rows, now)
 	k.pending = append(k.pending, rows)
 	k.verdicts = k.service.Assess(now)
-	k.ejector.submit(Assessment{Service: s.svc, Verdicts: k.verdicts, Signs: s.signs, Typical: k.service.Typical()}, now)
-	s.after(simWrite, func() {
+	k.ejector.submit(Assessment{Service: s.svc, Verdicts: k.verdicts, Signs: s.signals, Typical: k.service.Typical()}, now)
+	s.schedule(simWriteDelay, func() {
 		_ = k.ejector.reconcile(context.Background(), s.time())
 		s.useStates(k)
 	})
 	s.useStates(k)
 	s.report(k)
 	s.probe(k)
-	s.watch(k)
+	s.recordDetection(k)
 }
 
 func (s *sim) useStates(k *simCarrier) {
-	k.states = States(s.svc, k.ejector.Current().Ejections, s.signs, k.verdicts, k.service.Started(), s.time())
+	k.states = States(s.svc, k.ejector.Current().Ejections, s.signals, k.verdicts, k.service.Started(), s.time())
 	for i, st := range k.states {
-		s.note(k.n, i, st.State)
+		s.recordState(k.number, i, st.State)
 	}
 }
 
 func (s *sim) report(k *simCarrier) {
-	interval := simReport
+	interval := simReportInterval
 	if len(k.service.Suspects()) > 0 {
-		interval = simSuspect
+		interval = simSuspectInterval
 	}
-	if s.policy == localPolicy || s.now-k.reported < interval-simAssess/2 {
+	if s.policy == localPolicy || s.now-k.lastReport < interval-simAssessInterval/2 {
 		return
 	}
-	k.reported = s.now
+	k.lastReport = s.now
 	data := EncodeRows(NewRoster(s.svc), MergeRows(k.pending...))
 	k.pending = nil
 	row, flight := k.ejector.Current(), append([]int(nil), k.inFlight...)
-	s.after(time.Millisecond, func() {
+	s.schedule(time.Millisecond, func() {
 		for _, p := range s.carriers {
 			if p != k {
-				_ = p.service.AddWire(vmName(k.n), carrierDCs[k.n], data, s.time())
-				p.peers[k.n] = flight
+				_ = p.service.AddWire(vmName(k.number), carrierDCs[k.number], data, s.time())
+				p.peerInFlight[k.number] = flight
 				p.ejector.Hear(row.Version)
 			}
 		}
@@ -329,40 +337,41 @@
 	for i, st := range k.states {
 		interval := s.svc.Policy.Probe.Interval
 		if suspects[st.Target] || st.State == Trial {
-			interval = simSuspect
+			interval = simSuspectInterval
 		}
-		if i%simCarriers != k.n && s.policy != localPolicy || k.probing[i] || s.now-k.probed[i] < interval-simAssess/2 || s.away(i) {
+		if i%simCarriers != k.number && s.policy != localPolicy || k.probeInFlight[i] || s.now-k.lastProbe[i] < interval-simAssessInterval/2 || s.isLeaving(i) {
 			continue
 		}
-		k.probed[i], k.probing[i] = s.now, true
+		k.lastProbe[i], k.probeInFlight[i] = s.now, true
 		s.probes++
-		c, sick := s.condition(i, k.n)
+		c, sick := s.conditionOf(i, k.number)
 		start := s.now
 		done := func(ok bool) {
-			k.probing[i] = false
+			k.probeInFlight[i] = false
 			res := OK
-			if !ok || sick && (c.dead || c.res == Unreachable) {
+			if !ok || sick && (c.failsProbes || c.result == Unreachable) {
 				res = Failed
 			}
-			k.rec.RecordProbe(st.Target, res, s.now-start)
+			k.recorder.RecordProbe(st.Target, res, s.now-start)
 			k.ejector.TrialProbe(st.Target, res)
 		}
-		j := &simJob{work: simProbe, done: done}
+		j := &simJob{work: simProbeWork, done: done}
 		if !s.enqueue(i, j) {
 			done(false)
 			continue
 		}
-		s.after(s.svc.Policy.Probe.Timeout, func() { s.end(i, j, false) })
+		s.schedule(s.svc.Policy.Probe.Timeout, func() { s.endJob(i, j, false) })
 	}
 }
 
-// note counts false ejections and avoids when a target's state changes. One
-// carrier's ejection counts as a sixth of one in the fleet.
-func (s *sim) note(carrier, i int, st State) {
+// recordState counts false ejections and false avoids when a target's state
+// changes. One carrier's ejection counts as a sixth of an ejection in the
+// fleet.
+func (s *sim) recordState(carrier, i int, st State) {
 	key := [2]int{carrier, i}
-	before := s.held[key]
-	s.held[key] = st
-	sick := i < s.c.faulty && s.now >= simWarm && (!s.c.oneWay || carrier == 0 && st == Avoided)
+	before := s.lastStates[key]
+	s.lastStates[key] = st
+	sick := i < s.c.faulty && s.now >= simWarmup && (!s.c.oneCarrierOnly || carrier == 0 && st == Avoided)
 	if sick || st == before {
 		return
 	}
@@ -374,41 +383,41 @@
 	}
 }
 
-// watch checks the floor at one carrier and notes when all carriers hold a
-// faulty target back.
-func (s *sim) watch(k *simCarrier) {
+// recordDetection checks the floor at one carrier, and records when all
+// carriers have stopped using a faulty target.
+func (s *sim) recordDetection(k *simCarrier) {
 	usable := 0
 	for i := range s.c.targets {
-		if st := s.state(k, i); st != Ejected && st != Trial && st != Leaving {
+		if st := s.carrierState(k, i); st != Ejected && st != Trial && st != Leaving {
 			usable++
 		}
 	}
-	if usable < s.svc.Policy.Floor.Of(s.c.targets)-len(s.signs) {
+	if usable < s.svc.Policy.Floor.Of(s.c.targets)-len(s.signals) {
 		s.floorViolations++
 	}
 	for i := range s.c.faulty {
-		if s.now < simWarm || s.detected[i] > 0 {
+		if s.now < simWarmup || s.detected[i] > 0 {
 			continue
 		}
 		held := true
 		for _, p := range s.carriers {
-			if st := s.state(p, i); (st == Ready || st == SlowStart) && (!s.c.oneWay || p.n == 0) {
+			if st := s.carrierState(p, i); (st == Ready || st == SlowStart) && (!s.c.oneCarrierOnly || p.number == 0) {
 				held = false
 			}
 		}
 		if held {
-			s.detected[i] = s.now - simWarm
+			s.detected[i] = s.now - simWarmup
 		}
 	}
 }
 
-func (s *sim) state(k *simCarrier, i int) State {
+func (s *sim) carrierState(k *simCarrier, i int) State {
 	switch {
 	case s.policy != consecutivePolicy:
 		return k.states[i].State
-	case s.away(i):
+	case s.isLeaving(i):
 		return Leaving
-	case k.out[i] > s.now:
+	case k.ejectedUntil[i] > s.now:
 		return Ejected
 	default:
 		return Ready
--- a/core/detect/policy_target_test.go
+++ b/core/detect/policy_target_test.go
@@ -7,9 +7,9 @@
 )
 
 type simEvent struct {
-	at time.Duration
-	n  int
-	do func()
+	at       time.Duration
+	sequence int
+	do       func()
 }
 
 type simEvents []simEvent
@@ -17,7 +17,7 @@
 func (q simEvents) Len() int      { return len(q) }
 func (q simEvents) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q simEvents) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].n < q[j].n
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 func (q *simEvents) Push(e any) { *q = append(*q, e.(simEvent)) }
 func (q *simEvents) Pop() any {
@@ -27,10 +27,10 @@
 	return e
 }
 
-// next takes the earliest event.
+// next removes and returns the earliest event.
 func (q *simEvents) next() simEvent { return heap.Pop(q).(simEvent) }
 
-// simTarget has slots and a queue of jobs.
+// simTarget has a number of busy slots and a queue of jobs.
 type simTarget struct {
 	busy  int
 	queue []*simJob
@@ -43,31 +43,31 @@
 	done    func(finished bool)
 }
 
-func (s *sim) after(d time.Duration, do func()) {
-	s.count++
-	heap.Push(&s.events, simEvent{at: s.now + d, n: s.count, do: do})
+func (s *sim) schedule(d time.Duration, do func()) {
+	s.scheduled++
+	heap.Push(&s.events, simEvent{at: s.now + d, sequence: s.scheduled, do: do})
 }
 
-// send gives the request to the target; done learns what the carrier sees and
-// whether the caller got what it asked for.
+// send sends a request to the target. The function done receives the result
+// that the carrier sees, and whether the request really succeeded.
 func (s *sim) send(k *simCarrier, i int, deadline time.Duration, done func(Result, bool)) {
-	c, sick := s.condition(i, k.n)
-	if sick && c.res == Unreachable {
-		s.after(min(simDial, deadline-s.now), func() { done(Unreachable, false) })
+	c, sick := s.conditionOf(i, k.number)
+	if sick && c.result == Unreachable {
+		s.schedule(min(simDialTimeout, deadline-s.now), func() { done(Unreachable, false) })
 		return
 	}
-	res, work := OK, time.Duration(float64(simWork)*math.Exp(simSpread*s.rng.NormFloat64()-simSpread*simSpread/2))
-	if sick && c.slow > 0 {
-		work = time.Duration(float64(work) * c.slow)
+	res, work := OK, time.Duration(float64(simWorkTime)*math.Exp(simWorkSigma*s.rng.NormFloat64()-simWorkSigma*simWorkSigma/2))
+	if sick && c.slowdown > 0 {
+		work = time.Duration(float64(work) * c.slowdown)
 	}
 	switch {
-	case sick && s.rng.Float64() < c.share:
-		res, work = c.res, work/10
-	case s.rng.Float64() < simErrors:
+	case sick && s.rng.Float64() < c.probability:
+		res, work = c.result, work/10
+	case s.rng.Float64() < simErrorRate:
 		res = Failed
 	}
 	good := res == OK
-	if sick && c.unruly && res == BodyFailure {
+	if sick && c.unrecognised && res == BodyFailure {
 		res = OK
 	}
 	j := &simJob{work: work}
@@ -82,12 +82,12 @@
 		done(Shed, false)
 		return
 	}
-	s.after(deadline-s.now, func() { s.end(i, j, false) })
+	s.schedule(deadline-s.now, func() { s.endJob(i, j, false) })
 }
 
 func (s *sim) enqueue(i int, j *simJob) bool {
 	t := s.targets[i]
-	if t.busy >= s.svc.Targets[i].Slots && len(t.queue) >= simQueue {
+	if t.busy >= s.svc.Targets[i].Slots && len(t.queue) >= simQueueLength {
 		return false
 	}
 	t.queue = append(t.queue, j)
@@ -105,11 +105,11 @@
 		}
 		t.busy++
 		j.started = true
-		s.after(j.work, func() { s.end(i, j, true) })
+		s.schedule(j.work, func() { s.endJob(i, j, true) })
 	}
 }
 
-func (s *sim) end(i int, j *simJob, finished bool) {
+func (s *sim) endJob(i int, j *simJob, finished bool) {
 	if j.ended {
 		return
 	}
--- a/core/detect/policy_test.go
+++ b/core/detect/policy_test.go
@@ -9,7 +9,7 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// carefulPreset is the preset careful of section 6 of the design page.
+// carefulPreset is the preset careful from section 6 of the design page.
 var carefulPreset = fleet.Detection{Window: 12 * time.Second, MinRequests: 10, FailureRatio: 0.6, SlowFactor: 5, MinObservers: 3}
 
 const (
@@ -17,68 +17,68 @@
 	minute      = time.Minute
 )
 
-// always gives the condition to the first n targets.
-func always(n int, c ill) func(int, int, time.Duration) (ill, bool) {
-	return func(target, _ int, _ time.Duration) (ill, bool) { return c, target < n }
+// firstTargets puts the first n targets in the condition for the whole run.
+func firstTargets(n int, c condition) func(int, int, time.Duration) (condition, bool) {
+	return func(target, _ int, _ time.Duration) (condition, bool) { return c, target < n }
 }
 
-func flapping(target, _ int, since time.Duration) (ill, bool) {
-	return ill{res: Failed, share: 0.8}, target == 0 && int(since/(5*time.Second))%2 == 0
+func flapping(target, _ int, since time.Duration) (condition, bool) {
+	return condition{result: Failed, probability: 0.8}, target == 0 && int(since/(5*time.Second))%2 == 0
 }
 
-func cutOff(target, carrier int, _ time.Duration) (ill, bool) {
-	return ill{res: Unreachable}, target == 0 && carrier == 0
+func cutOffCarrier(target, carrier int, _ time.Duration) (condition, bool) {
+	return condition{result: Unreachable}, target == 0 && carrier == 0
 }
 
-func cold(target, _ int, since time.Duration) (ill, bool) {
-	return ill{slow: 5}, target == 0 && since < 10*time.Second
+func coldStart(target, _ int, since time.Duration) (condition, bool) {
+	return condition{slowdown: 5}, target == 0 && since < 10*time.Second
 }
 
 func policyCases() []simCase {
-	gray := ill{res: Failed, share: 0.8}
+	gray := condition{result: Failed, probability: 0.8}
 	cases := []simCase{
 		{name: "healthy", span: 10 * minute},
-		{name: "herding", span: 10 * minute, trust: 1},
-		{name: "gray", sick: always(1, gray), faulty: 1},
-		{name: "gray-half", sick: always(1, ill{res: Failed, share: 0.5}), faulty: 1},
-		{name: "gray-low-traffic", sick: always(1, gray), faulty: 1, load: 0.02},
-		{name: "dead-low-traffic", sick: always(1, ill{res: Unreachable}), faulty: 1, load: 0.02},
-		{name: "flapping", sick: flapping, faulty: 1, span: 3 * minute},
-		{name: "slow", sick: always(1, ill{slow: 8}), faulty: 1},
-		{name: "lying-load", sick: always(1, ill{res: TimedOut, share: 0.3, slow: 8}), faulty: 1},
-		{name: "truncated", sick: always(1, ill{res: Short, share: 0.5}), faulty: 1},
-		{name: "body-failure-rule", sick: always(1, ill{res: BodyFailure, share: 0.8}), faulty: 1},
-		{name: "body-failure-no-rule", sick: always(1, ill{res: BodyFailure, share: 0.8, unruly: true}), faulty: 1},
-		{name: "one-way-partition", sick: cutOff, faulty: 1, oneWay: true},
-		{name: "all-slow", sick: always(99, ill{slow: 1.7})},
-		{name: "all-failing", sick: always(99, ill{res: Failed, share: 0.6})},
-		{name: "sick-third", sick: always(3, gray), faulty: 3},
-		{name: "cold-start", sick: cold, restart: true},
+		{name: "herding", span: 10 * minute, peerWeight: 1},
+		{name: "gray", conditionAt: firstTargets(1, gray), faulty: 1},
+		{name: "gray-half", conditionAt: firstTargets(1, condition{result: Failed, probability: 0.5}), faulty: 1},
+		{name: "gray-low-traffic", conditionAt: firstTargets(1, gray), faulty: 1, load: 0.02},
+		{name: "dead-low-traffic", conditionAt: firstTargets(1, condition{result: Unreachable}), faulty: 1, load: 0.02},
+		{name: "flapping", conditionAt: flapping, faulty: 1, span: 3 * minute},
+		{name: "slow", conditionAt: firstTargets(1, condition{slowdown: 8}), faulty: 1},
+		{name: "lying-load", conditionAt: firstTargets(1, condition{result: TimedOut, probability: 0.3, slowdown: 8}), faulty: 1},
+		{name: "truncated", conditionAt: firstTargets(1, condition{result: Short, probability: 0.5}), faulty: 1},
+		{name: "body-failure-rule", conditionAt: firstTargets(1, condition{result: BodyFailure, probability: 0.8}), faulty: 1},
+		{name: "body-failure-no-rule", conditionAt: firstTargets(1, condition{result: BodyFailure, probability: 0.8, unrecognised: true}), faulty: 1},
+		{name: "one-way-partition", conditionAt: cutOffCarrier, faulty: 1, oneCarrierOnly: true},
+		{name: "all-slow", conditionAt: firstTargets(99, condition{slowdown: 1.7})},
+		{name: "all-failing", conditionAt: firstTargets(99, condition{result: Failed, probability: 0.6})},
+		{name: "sick-third", conditionAt: firstTargets(3, gray), faulty: 3},
+		{name: "cold-start", conditionAt: coldStart, restart: true},
 		{name: "overload", load: 2},
 	}
 	for i := range cases {
 		cases[i].targets, cases[i].preset = 9, fastPreset
 	}
 	for _, n := range []int{6, 10} {
-		cases = append(cases, userCases("cortavientos", n, fastPreset, gray)...)
+		cases = append(cases, workspaceCases("cortavientos", n, fastPreset, gray)...)
 	}
 	for _, n := range []int{6, 14} {
-		cases = append(cases, userCases("vatulele", n, carefulPreset, gray)...)
+		cases = append(cases, workspaceCases("vatulele", n, carefulPreset, gray)...)
 	}
 	return cases
 }
 
-func userCases(user string, n int, preset fleet.Detection, gray ill) []simCase {
-	name := fmt.Sprintf("%s-%d-", user, n)
+func workspaceCases(workspace string, n int, preset fleet.Detection, gray condition) []simCase {
+	name := fmt.Sprintf("%s-%d-", workspace, n)
 	return []simCase{
 		{name: name + "healthy", targets: n, preset: preset, span: 10 * minute},
-		{name: name + "gray", targets: n, preset: preset, sick: always(1, gray), faulty: 1},
-		{name: name + "slow", targets: n, preset: preset, sick: always(1, ill{slow: 8}), faulty: 1},
+		{name: name + "gray", targets: n, preset: preset, conditionAt: firstTargets(1, gray), faulty: 1},
+		{name: name + "slow", targets: n, preset: preset, conditionAt: firstTargets(1, condition{slowdown: 8}), faulty: 1},
 	}
 }
 
-// BenchmarkPolicy measures three policies side by side; all figures come from
-// fixed seeds and do not depend on the machine.
+// BenchmarkPolicy compares three policies; all figures come from fixed seeds
+// and do not depend on the machine.
 func BenchmarkPolicy(b *testing.B) {
 	for _, c := range policyCases() {
 		if c.load == 0 {
@@ -87,8 +87,8 @@
 		if c.span == 0 {
 			c.span = minute
 		}
-		if c.trust == 0 {
-			c.trust = 0.25
+		if c.peerWeight == 0 {
+			c.peerWeight = 0.25
 		}
 		for _, p := range []simPolicy{productPolicy, consecutivePolicy, localPolicy} {
 			b.Run(c.name+"/"+string(p), func(b *testing.B) {
@@ -118,7 +118,7 @@
 }
 
 func reportPolicy(b *testing.B, c simCase, r simResult) {
-	targetSeconds := policySeeds * float64(c.targets) * (c.span + simWarm).Seconds()
+	targetSeconds := policySeeds * float64(c.targets) * (c.span + simWarmup).Seconds()
 	days := targetSeconds / (24 * time.Hour).Seconds()
 	slices.Sort(r.detection)
 	if n := len(r.detection); n > 0 {
@@ -128,6 +128,6 @@
 	b.ReportMetric(r.falseEjections/days, "false-ejections/target-day")
 	b.ReportMetric(r.falseAvoids/days, "false-avoids/target-day")
 	b.ReportMetric(100*float64(r.failed)/float64(r.requests), "failed-%")
-	b.ReportMetric(100*float64(r.probes)*simProbe.Seconds()/targetSeconds/2, "probe-load-%")
+	b.ReportMetric(100*float64(r.probes)*simProbeWork.Seconds()/targetSeconds/2, "probe-load-%")
 	b.ReportMetric(float64(r.floorViolations), "floor-violations")
 }
--- a/core/detect/prober_test.go
+++ b/core/detect/prober_test.go
@@ -16,45 +16,45 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Guards against two probes of one target at a time, probes of targets of
-// other daemons, and a probe rate other than the policy's.
-func TestProberKeepsItsRate(t *testing.T) {
+// Guards against overlapping probes of one target, probes of targets that other
+// daemons probe, and a probe rate other than the policy's.
+func TestProberKeepsProbeRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		svc := testService(3)
 		rec, leaving := NewRecorder(svc), NewLeavingTracker()
-		var atOnce, most, ofB, ofC atomic.Int64
-		var suspect, owner atomic.Bool
-		owner.Store(true)
+		var inFlight, maxInFlight, probes, unassignedProbes atomic.Int64
+		var suspect, assigned atomic.Bool
+		assigned.Store(true)
 		probe := func(ctx context.Context, target fleet.Target, _ fleet.Probe) ProbeAnswer {
-			most.Store(max(most.Load(), atOnce.Add(1)))
-			defer atOnce.Add(-1)
+			maxInFlight.Store(max(maxInFlight.Load(), inFlight.Add(1)))
+			defer inFlight.Add(-1)
 			if target.ID == "c" {
-				ofC.Add(1)
+				unassignedProbes.Add(1)
 			}
-			ofB.Add(1)
+			probes.Add(1)
 			<-ctx.Done()
 			return ProbeAnswer{Result: TimedOut}
 		}
 		p := NewProber(svc, probe,
-			WithAssigned(func(id fleet.TargetID) bool { return id == "b" && owner.Load() }),
+			WithAssigned(func(id fleet.TargetID) bool { return id == "b" && assigned.Load() }),
 			WithSuspect(func(fleet.TargetID) bool { return suspect.Load() }),
 			WithReport(Observe(rec, leaving, nil)))
 		ctx, cancel := context.WithCancel(t.Context())
 		p.Start(ctx)
 		time.Sleep(60 * time.Second)
-		g.Expect(ofB.Load()).To(gomega.BeNumerically("~", 11, 2))
+		g.Expect(probes.Load()).To(gomega.BeNumerically("~", 11, 2))
 		g.Expect(rec.Drain()[0].ProbesFailed).To(gomega.BeNumerically(">=", 9))
 		suspect.Store(true)
-		before := ofB.Load()
+		before := probes.Load()
 		time.Sleep(60 * time.Second)
-		g.Expect(ofB.Load()-before).To(gomega.BeNumerically("~", 30, 3), "1 s of timeout and 1 s of wait")
+		g.Expect(probes.Load()-before).To(gomega.BeNumerically("~", 30, 3), "1 s of timeout and 1 s of wait")
 		for range 20 {
-			owner.Store(!owner.Load())
+			assigned.Store(!assigned.Load())
 			time.Sleep(500 * time.Millisecond)
 		}
-		g.Expect(most.Load()).To(gomega.Equal(int64(1)))
-		g.Expect(ofC.Load()).To(gomega.BeZero())
+		g.Expect(maxInFlight.Load()).To(gomega.Equal(int64(1)))
+		g.Expect(unassignedProbes.Load()).To(gomega.BeZero())
 		cancel()
 		p.Wait()
 	})
@@ -79,7 +79,7 @@
 		Entry("redirect", 302, "", ProbeAnswer{Result: Failed, Answered: true}),
 	)
 
-	It("tells unreachable targets", func() {
+	It("reports unreachable targets", func() {
 		got := HTTPProbe(http.DefaultClient)(context.Background(), fleet.Target{Address: "127.0.0.1:1"}, fleet.Probe{Path: "/"})
 		gomega.Expect(got).To(gomega.Equal(ProbeAnswer{Result: Unreachable}))
 	})
@@ -89,7 +89,7 @@
 	var l *LeavingTracker
 	BeforeEach(func() { l = NewLeavingTracker() })
 
-	It("keeps a probe's sign until the target answers without it", func() {
+	It("keeps a probe's signal until the target answers without it", func() {
 		l.Response("a", true, epoch)
 		l.Probe("a", true, epoch)
 		l.Expire(epoch.Add(time.Hour))
@@ -98,7 +98,7 @@
 		gomega.Expect(l.Is("a")).To(gomega.BeFalse())
 	})
 
-	It("does not pass on what peers said, so that a sign does not circle", func() {
+	It("does not report a peer's signal as first-hand, so that it expires", func() {
 		l.Peers([]fleet.TargetID{"a"}, epoch)
 		gomega.Expect(l.Is("a")).To(gomega.BeTrue())
 		gomega.Expect(l.FirstHand(epoch)).To(gomega.BeEmpty())
@@ -106,7 +106,7 @@
 		gomega.Expect(l.Is("a")).To(gomega.BeFalse())
 	})
 
-	It("announces a change of a first-hand sign once", func() {
+	It("notifies of a change of a first-hand signal once", func() {
 		c := l.Changed()
 		l.Drains([]fleet.TargetID{"b"}, epoch)
 		l.Probe("a", false, epoch)
--- a/core/detect/stats_test.go
+++ b/core/detect/stats_test.go
@@ -11,7 +11,7 @@
 	"wisteriarelay.example/core/fault"
 )
 
-var _ = Describe("Rows on the wire", func() {
+var _ = Describe("The wire form of statistics", func() {
 	svc := testService(27)
 	index := NewRoster(svc)
 	rec := func(fill func(r *Recorder)) []Row {
@@ -31,7 +31,7 @@
 		})
 		data := EncodeRows(index, rows)
 		Expect(len(data)).To(BeNumerically("<=", 6*len(svc.Targets)))
-		Expect(EncodeRows(index, nil)).To(HaveLen(6), "nothing to say costs the header only")
+		Expect(EncodeRows(index, nil)).To(HaveLen(6), "without statistics only the header is sent")
 	})
 
 	It("carries all counts, latency and probes", func() {
@@ -76,7 +76,7 @@
 		Expect(total).To(Equal(uint32(workers * each)))
 	})
 
-	It("refuses rows of another target list", func() {
+	It("rejects statistics of another target list", func() {
 		data := EncodeRows(index, rec(func(r *Recorder) { r.Record("a", Failed, 0) }))
 		_, err := DecodeRows(NewRoster(testService(26)), data)
 		Expect(fault.Is(err, fault.MessageInvalid)).To(BeTrue())
--- a/core/detect/trials.go
+++ b/core/detect/trials.go
@@ -34,8 +34,8 @@
 	failed         bool
 }
 
-// sync starts the trials that the list names and drops all others.
-func (t *trialTracker) sync(j Ejections, now time.Time) {
+// update starts the trials that the list names and drops all others.
+func (t *trialTracker) update(j Ejections, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	next := map[fleet.TargetID]*trialProgress{}
--- a/core/detect/verdict.go
+++ b/core/detect/verdict.go
@@ -85,9 +85,9 @@
 	return fmt.Sprintf("%d of %d requests failed, most as %s (limit %.0f%%)", t.failures(), t.requests(), mainCause(t), limit*percent)
 }
 
-func slowReason(code, base float64) string {
+func slowReason(code, medianCode float64) string {
 	return fmt.Sprintf("mean latency %v against a median of %v at the other targets",
-		latencyOf(code).Round(time.Millisecond/10), latencyOf(base).Round(time.Millisecond/10))
+		latencyOf(code).Round(time.Millisecond/10), latencyOf(medianCode).Round(time.Millisecond/10))
 }
 
 const percent = 100
