--- a/core/detect/detector.go
+++ b/core/detect/detector.go
@@ -141,8 +141,8 @@
 	delete(s.suspects, id)
 }
 
-// Started returns when targets last came up, joined or returned; States derives
-// slow start from it.
+// Started returns when targets last came up, were added or returned to service;
+// States derives slow start from it.
 func (s *Service) Started() map[fleet.TargetID]time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/core/detect/ejector.go
+++ b/core/detect/ejector.go
@@ -33,8 +33,10 @@
 	// maxAssessmentAge is the age up to which verdicts are acted on, so that a
 	// daemon that was paused does not act on verdicts from before the pause.
 	maxAssessmentAge = 5 * time.Second
-	initialBackoff   = 250 * time.Millisecond
-	maxBackoff       = 10 * time.Second
+	// initialBackoff and maxBackoff bound the pause after a failure of the
+	// store.
+	initialBackoff = 250 * time.Millisecond
+	maxBackoff     = 10 * time.Second
 	// jitterFraction is the width of the random part of a wait, as a fraction
 	// of the wait.
 	jitterFraction = 0.2
@@ -183,14 +185,15 @@
 	}
 }
 
-// Offer takes the row itself from a peer's report. A row that is not newer is
-// ignored, and a malformed one is rejected with fault.MessageInvalid.
+// Offer takes a version of the row, with its value, from a peer's report. A row
+// that is not newer is ignored, and a malformed one is rejected with
+// fault.MessageInvalid.
 func (e *Ejector) Offer(version uint64, value []byte) error {
 	j, err := DecodeEjections(e.service, value)
 	if err != nil {
 		return err
 	}
-	e.useIfNewer(Listing{Ejections: j, Version: version, Value: value, Read: time.Now()})
+	e.cacheIfNewer(Listing{Ejections: j, Version: version, Value: value, Read: time.Now()})
 	return nil
 }
 
@@ -254,9 +257,9 @@
 	}
 }
 
-// useIfNewer replaces the copy of the row if l is newer, and reports whether it
+// cacheIfNewer replaces the copy of the row if l is newer, and reports whether it
 // was.
-func (e *Ejector) useIfNewer(l Listing) bool {
+func (e *Ejector) cacheIfNewer(l Listing) bool {
 	for {
 		old := e.cached.Load()
 		if !old.Read.IsZero() && l.Version <= old.Version {
--- a/core/detect/ejector_run.go
+++ b/core/detect/ejector_run.go
@@ -116,6 +116,7 @@
 
 // isFirstWriter reports whether this daemon is first in rank for a condemned
 // target that is not listed, or for an entry whose trial is due or running.
+// Entries by hand have no time of their trial and always count as due.
 func (e *Ejector) isFirstWriter(j Ejections, a *Assessment, now time.Time) bool {
 	for id := range e.condemnedSince {
 		if _, ok := j.Find(id); !ok && e.rank(id) == 0 {
@@ -201,7 +202,7 @@
 		if err != nil {
 			return err
 		}
-		e.useIfNewer(Listing{Ejections: j, Version: row.Version, Value: row.Value, Read: now})
+		e.cacheIfNewer(Listing{Ejections: j, Version: row.Version, Value: row.Value, Read: now})
 	}
 	e.peerVersion.CompareAndSwap(reported, e.cached.Load().Version)
 	e.stale = false
--- a/core/detect/floor_test.go
+++ b/core/detect/floor_test.go
@@ -121,7 +121,7 @@
 		return "leave or come back", nil
 	case n < 84:
 		d.signals = w.signals
-		return "learn signs", nil
+		return "learn signals", nil
 	case n < 92:
 		d.svc = w.svc
 		return "learn settings", nil
--- a/core/detect/leaving.go
+++ b/core/detect/leaving.go
@@ -11,8 +11,9 @@
 // SignalSource is where a leaving signal came from.
 type SignalSource uint8
 
-// The sources of leaving signals. A probe overrides a response, since the
-// target's prober learns when the target is back and other daemons do not.
+// The sources of leaving signals. The answer to a probe overrides a response,
+// since the target's prober learns when the target is back and other daemons do
+// not.
 const (
 	FromResponse SignalSource = iota
 	FromProbe
@@ -196,6 +197,8 @@
 	return !s.since.IsZero() && (s.until.IsZero() || now.Before(s.until))
 }
 
+// publish replaces the signals that readers see, without those that have
+// expired. A target's signal is the one that began first.
 func (l *LeavingTracker) publish(now time.Time) {
 	next := LeavingSignals{}
 	for id, spans := range l.spans {
--- a/core/detect/prober.go
+++ b/core/detect/prober.go
@@ -45,12 +45,12 @@
 // its own goroutine, so a target never gets a second probe while one is in
 // flight.
 type Prober struct {
-	service  atomic.Pointer[fleet.Service]
-	assigned func(fleet.TargetID) bool
-	suspect  func(fleet.TargetID) bool
-	probe    func(ctx context.Context, t fleet.Target, p fleet.Probe) ProbeAnswer
-	report   func(ProbeReport)
-	done     chan struct{}
+	service    atomic.Pointer[fleet.Service]
+	isAssigned func(fleet.TargetID) bool
+	isSuspect  func(fleet.TargetID) bool
+	probe      func(ctx context.Context, t fleet.Target, p fleet.Probe) ProbeAnswer
+	report     func(ProbeReport)
+	done       chan struct{}
 }
 
 // ProberOption configures a Prober.
@@ -59,13 +59,13 @@
 // WithAssigned sets the function that reports whether this daemon probes a
 // target; by default it probes none.
 func WithAssigned(f func(fleet.TargetID) bool) ProberOption {
-	return func(p *Prober) { p.assigned = f }
+	return func(p *Prober) { p.isAssigned = f }
 }
 
 // WithSuspect sets the function that reports whether a target is probed each
 // second, such as a suspect or a target in trial.
 func WithSuspect(f func(fleet.TargetID) bool) ProberOption {
-	return func(p *Prober) { p.suspect = f }
+	return func(p *Prober) { p.isSuspect = f }
 }
 
 // WithReport sets the function that receives each result; Observe returns one.
@@ -77,11 +77,11 @@
 // one that HTTPProbe returns.
 func NewProber(svc *fleet.Service, probe func(context.Context, fleet.Target, fleet.Probe) ProbeAnswer, opts ...ProberOption) *Prober {
 	p := &Prober{
-		assigned: func(fleet.TargetID) bool { return false },
-		suspect:  func(fleet.TargetID) bool { return false },
-		probe:    probe,
-		report:   func(ProbeReport) {},
-		done:     make(chan struct{}),
+		isAssigned: func(fleet.TargetID) bool { return false },
+		isSuspect:  func(fleet.TargetID) bool { return false },
+		probe:      probe,
+		report:     func(ProbeReport) {},
+		done:       make(chan struct{}),
 	}
 	for _, o := range opts {
 		o(p)
@@ -161,7 +161,7 @@
 func (p *Prober) syncLoops(ctx context.Context, loops map[fleet.TargetID]probeLoop) {
 	svc := p.service.Load()
 	for id, l := range loops {
-		if !p.assigned(id) || !hasTarget(svc, id) {
+		if !p.isAssigned(id) || !hasTarget(svc, id) {
 			l.cancel()
 		}
 		if l.isDone() {
@@ -170,7 +170,7 @@
 	}
 	for i := range svc.Targets {
 		id := svc.Targets[i].ID
-		if _, ok := loops[id]; ok || !p.assigned(id) {
+		if _, ok := loops[id]; ok || !p.isAssigned(id) {
 			continue
 		}
 		loopCtx, cancel := context.WithCancel(ctx)
@@ -222,7 +222,7 @@
 }
 
 func (p *Prober) isDue(id fleet.TargetID, policy fleet.Probe, last time.Time) bool {
-	return p.suspect(id) || time.Since(last) >= jitter(policy.Interval)
+	return p.isSuspect(id) || time.Since(last) >= jitter(policy.Interval)
 }
 
 func (p *Prober) probeOnce(ctx context.Context, t fleet.Target, policy fleet.Probe) {
--- a/core/detect/recorder.go
+++ b/core/detect/recorder.go
@@ -21,6 +21,7 @@
 	byTarget map[fleet.TargetID]*targetCounters
 }
 
+// targetCounters holds what was counted about one target since the last Drain.
 type targetCounters struct {
 	counts [resultCount]atomic.Uint32
 	// packedOK and packedProbeOK each hold a count and the sum of its latency
@@ -30,6 +31,8 @@
 }
 
 const (
+	// A packed word holds the sum of latency codes in its lower codeSumBits and
+	// the count above them.
 	codeSumBits = 40
 	codeSumMask = 1<<codeSumBits - 1
 )
--- a/core/detect/state.go
+++ b/core/detect/state.go
@@ -41,7 +41,7 @@
 	Target fleet.TargetID
 	Index  int
 	State  State
-	// Weight is the share of a fully used target's load, from 0.1 to 1.
+	// Weight is the share of a target's full load that it gets, from 0.1 to 1.
 	Weight float64
 	Reason string
 	Since  time.Time
@@ -53,23 +53,24 @@
 // States returns the state of each target in the order of the service's target
 // list. The argument started holds the times at which targets came up.
 //
-// The floor is applied last. Drained and leaving targets count as gone. Entries
-// of the ejection list then apply in order of priority (by hand, then the
-// oldest, then the most severe) while the floor is kept; the remaining entries
-// make their targets Avoided. Verdicts make targets Avoided only while the
-// targets that are not gone, ejected or avoided suffice for the floor.
+// The floor is applied last. Drained and leaving targets count as out of
+// service. Entries of the ejection list then apply in order of priority (by
+// hand, then the oldest, then the most severe) while the floor is kept; the
+// remaining entries make their targets Avoided. Verdicts make targets Avoided
+// only while enough targets for the floor are neither out of service nor
+// avoided.
 func States(svc *fleet.Service, ej Ejections, signals LeavingSignals, verdicts []Verdict, started map[fleet.TargetID]time.Time, now time.Time) []TargetState {
 	b := newStateBuilder(svc, ej, signals, started, now)
 	entries := ej.byPriority()
 	for i := range entries {
 		b.applyEntry(&entries[i])
 	}
-	worst := slices.Clone(verdicts)
-	slices.SortStableFunc(worst, func(a, b Verdict) int {
+	bySeverity := slices.Clone(verdicts)
+	slices.SortStableFunc(bySeverity, func(a, b Verdict) int {
 		return cmp.Or(cmp.Compare(b.Action, a.Action), cmp.Compare(b.Severity, a.Severity), cmp.Compare(a.Target, b.Target))
 	})
-	for i := range worst {
-		b.applyVerdict(&worst[i])
+	for i := range bySeverity {
+		b.applyVerdict(&bySeverity[i])
 	}
 	return b.states
 }
--- a/core/detect/stats.go
+++ b/core/detect/stats.go
@@ -45,18 +45,18 @@
 
 // NewRoster returns the index of the service's targets.
 func NewRoster(svc *fleet.Service) TargetIndex {
-	r := TargetIndex{ids: make([]fleet.TargetID, 0, len(svc.Targets))}
+	x := TargetIndex{ids: make([]fleet.TargetID, 0, len(svc.Targets))}
 	for i := range svc.Targets {
-		r.ids = append(r.ids, svc.Targets[i].ID)
+		x.ids = append(x.ids, svc.Targets[i].ID)
 	}
-	slices.Sort(r.ids)
+	slices.Sort(x.ids)
 	d := xxhash.New()
-	for _, id := range r.ids {
+	for _, id := range x.ids {
 		_, _ = d.WriteString(string(id))
 		_, _ = d.Write([]byte{0})
 	}
-	r.digest = uint32(d.Sum64())
-	return r
+	x.digest = uint32(d.Sum64())
+	return x
 }
 
 // Constants of the wire form. Its header is the format byte, the digest of the
@@ -81,7 +81,8 @@
 	flagProbes
 )
 
-// wireResults lists the results whose counts the wire form carries, by flag bit.
+// wireResults lists the results that are sent to peers, in the order of their
+// flag bits.
 var wireResults = [...]Result{OK, Failed, TimedOut, Short, BodyFailure, Shed, Unreachable}
 
 func (r Row) flags() byte {
--- a/core/detect/transition.go
+++ b/core/detect/transition.go
@@ -205,8 +205,8 @@
 	return slices.ContainsFunc(svc.Targets, func(t fleet.Target) bool { return t.ID == id })
 }
 
-// truncateText bounds a text for the row. It cuts between characters: JSON
-// replaces a broken one by three bytes, and the text would then exceed the
+// truncateText bounds a text for the row. It does not cut through a character:
+// JSON encodes a broken one as three bytes, and the text would then exceed the
 // bound at readers.
 func truncateText(text string) string {
 	text = strings.ToValidUTF8(text, "?")
--- a/core/detect/trials.go
+++ b/core/detect/trials.go
@@ -80,7 +80,7 @@
 
 // outcome reports whether a trial is decided, and whether the target passed. A
 // target that is slow enough to be condemned fails.
-func (t *trialTracker) outcome(id fleet.TargetID, slowFactor float64, typical time.Duration, now time.Time) (passed, decided bool) {
+func (t *trialTracker) outcome(id fleet.TargetID, slowFactor float64, medianLatency time.Duration, now time.Time) (passed, decided bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.active[id]
@@ -90,7 +90,7 @@
 	case p.failed:
 		return false, true
 	case p.successes >= trialSuccesses:
-		return !p.isSlow(slowFactor, typical), true
+		return !p.isSlow(slowFactor, medianLatency), true
 	case p.successes == 0 && p.probeSuccesses >= trialSuccesses && now.Sub(p.startedAt) >= trialProbeGrace:
 		return true, true
 	default:
@@ -98,10 +98,10 @@
 	}
 }
 
-func (p *trialProgress) isSlow(factor float64, typical time.Duration) bool {
-	if typical == 0 {
+func (p *trialProgress) isSlow(factor float64, medianLatency time.Duration) bool {
+	if medianLatency == 0 {
 		return false
 	}
 	mean := latencyOf(p.latencyCodeSum / float64(p.successes))
-	return float64(mean) > math.Max(factor, 1)*float64(typical) && mean-typical > slowMargin
+	return float64(mean) > math.Max(factor, 1)*float64(medianLatency) && mean-medianLatency > slowMargin
 }
