--- a/core/detect/assess_test.go
+++ b/core/detect/assess_test.go
@@ -152,8 +152,8 @@
 	})
 
 	DescribeTable("gives no verdicts when the service as a whole is",
-		func(sick func(r *Row)) {
-			b.addRound(func(_, _ int, r *Row) { sick(r) })
+		func(degrade func(r *Row)) {
+			b.addRound(func(_, _ int, r *Row) { degrade(r) })
 			Expect(verdicts()).To(BeEmpty())
 		},
 		Entry("failing", func(r *Row) { setFailing(r, Failed) }),
--- a/core/detect/policy_sim_test.go
+++ b/core/detect/policy_sim_test.go
@@ -320,13 +320,13 @@
 	k.lastReport = s.now
 	data := EncodeRows(NewRoster(s.svc), MergeRows(k.pending...))
 	k.pending = nil
-	row, flight := k.ejector.Current(), append([]int(nil), k.inFlight...)
+	cached, inFlight := k.ejector.Current(), append([]int(nil), k.inFlight...)
 	s.schedule(time.Millisecond, func() {
 		for _, p := range s.carriers {
 			if p != k {
 				_ = p.service.AddWire(vmName(k.number), carrierDCs[k.number], data, s.time())
-				p.peerInFlight[k.number] = flight
-				p.ejector.Hear(row.Version)
+				p.peerInFlight[k.number] = inFlight
+				p.ejector.Hear(cached.Version)
 			}
 		}
 	})
@@ -344,12 +344,12 @@
 		}
 		k.lastProbe[i], k.probeInFlight[i] = s.now, true
 		s.probes++
-		c, sick := s.conditionOf(i, k.number)
+		c, faulty := s.conditionOf(i, k.number)
 		start := s.now
 		done := func(ok bool) {
 			k.probeInFlight[i] = false
 			res := OK
-			if !ok || sick && (c.failsProbes || c.result == Unreachable) {
+			if !ok || faulty && (c.failsProbes || c.result == Unreachable) {
 				res = Failed
 			}
 			k.recorder.RecordProbe(st.Target, res, s.now-start)
@@ -371,8 +371,8 @@
 	key := [2]int{carrier, i}
 	before := s.lastStates[key]
 	s.lastStates[key] = st
-	sick := i < s.c.faulty && s.now >= simWarmup && (!s.c.oneCarrierOnly || carrier == 0 && st == Avoided)
-	if sick || st == before {
+	expected := i < s.c.faulty && s.now >= simWarmup && (!s.c.oneCarrierOnly || carrier == 0 && st == Avoided)
+	if expected || st == before {
 		return
 	}
 	switch {
--- a/core/detect/policy_target_test.go
+++ b/core/detect/policy_target_test.go
@@ -51,23 +51,23 @@
 // send sends a request to the target. The function done receives the result
 // that the carrier sees, and whether the request really succeeded.
 func (s *sim) send(k *simCarrier, i int, deadline time.Duration, done func(Result, bool)) {
-	c, sick := s.conditionOf(i, k.number)
-	if sick && c.result == Unreachable {
+	c, faulty := s.conditionOf(i, k.number)
+	if faulty && c.result == Unreachable {
 		s.schedule(min(simDialTimeout, deadline-s.now), func() { done(Unreachable, false) })
 		return
 	}
 	res, work := OK, time.Duration(float64(simWorkTime)*math.Exp(simWorkSigma*s.rng.NormFloat64()-simWorkSigma*simWorkSigma/2))
-	if sick && c.slowdown > 0 {
+	if faulty && c.slowdown > 0 {
 		work = time.Duration(float64(work) * c.slowdown)
 	}
 	switch {
-	case sick && s.rng.Float64() < c.probability:
+	case faulty && s.rng.Float64() < c.probability:
 		res, work = c.result, work/10
 	case s.rng.Float64() < simErrorRate:
 		res = Failed
 	}
 	good := res == OK
-	if sick && c.unrecognised && res == BodyFailure {
+	if faulty && c.unrecognised && res == BodyFailure {
 		res = OK
 	}
 	j := &simJob{work: work}
