--- a/core/detect/ejections_test.go
+++ b/core/detect/ejections_test.go
@@ -13,7 +13,7 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-func condemned(id fleet.TargetID) Verdict {
+func condemnedVerdict(id fleet.TargetID) Verdict {
 	return Verdict{Target: id, Action: Condemn, Severity: 2, Reason: "5 of 6 requests failed"}
 }
 
@@ -29,7 +29,7 @@
 var _ = Describe("Ejections", func() {
 	svc := testService(6)
 	eject := func(j Ejections, id fleet.TargetID, now time.Time) Ejections {
-		n, err := j.Eject(svc, nil, condemned(id), "vm1", now)
+		n, err := j.Eject(svc, nil, condemnedVerdict(id), "vm1", now)
 		Expect(err).NotTo(HaveOccurred())
 		return n
 	}
@@ -39,7 +39,7 @@
 		for _, id := range []fleet.TargetID{"a", "b", "c"} {
 			j = eject(j, id, epoch)
 		}
-		_, err := j.Eject(svc, nil, condemned("d"), "vm1", epoch)
+		_, err := j.Eject(svc, nil, condemnedVerdict("d"), "vm1", epoch)
 		Expect(fault.Is(err, fault.FloorReached)).To(BeTrue())
 		_, err = j.EjectByHand(svc, nil, "d", "alma", "bad disk", epoch)
 		Expect(fault.Is(err, fault.FloorReached)).To(BeTrue())
@@ -47,12 +47,12 @@
 
 	It("counts leaving and drained targets against the floor", func() {
 		j := eject(NewEjections(svc.ID), "a", epoch)
-		signs := Signs{"e": {}, "f": {}}
-		_, err := j.Eject(svc, signs, condemned("b"), "vm1", epoch)
+		signals := LeavingSignals{"e": {}, "f": {}}
+		_, err := j.Eject(svc, signals, condemnedVerdict("b"), "vm1", epoch)
 		Expect(fault.Is(err, fault.FloorReached)).To(BeTrue())
 	})
 
-	It("doubles the period of a target that flaps, up to the longest", func() {
+	It("doubles the period of a target that flaps, up to the maximum", func() {
 		j, now := NewEjections(svc.ID), epoch
 		for _, want := range []int64{10, 20, 40, 80, 160, 300, 300} {
 			j = eject(j, "a", now)
@@ -60,7 +60,7 @@
 			Expect(e.PeriodMS).To(Equal(want * 1000))
 			now = e.Until
 			j, _ = j.BeginTrial(svc, "a", now)
-			j, _ = j.TrialResult(svc, "a", true, "vm1", now)
+			j, _ = j.EndTrial(svc, "a", true, "vm1", now)
 			Expect(j.Entries).To(BeEmpty())
 			now = now.Add(flapFactor * e.Period())
 		}
@@ -73,7 +73,7 @@
 		j = eject(j, "b", epoch.Add(time.Second))
 		raised := *svc
 		raised.Policy.Floor = fleet.Floor{Count: 5}
-		n := j.Fit(&raised, epoch.Add(2*time.Second))
+		n := j.ApplySettings(&raised, epoch.Add(2*time.Second))
 		Expect(n.Validate()).To(Succeed())
 		Expect(n.Entries).To(HaveLen(1))
 		Expect(n.Entries[0].Target).To(Equal(fleet.TargetID("a")))
@@ -82,8 +82,8 @@
 		Expect(stateOf(states, "b")).To(Equal(Avoided))
 	})
 
-	It("keeps every statement through the row value", func() {
-		j := eject(NewEjections(svc.ID), "a", epoch).Stamp("vm1.7")
+	It("survives encoding and decoding unchanged", func() {
+		j := eject(NewEjections(svc.ID), "a", epoch).WithWriteID("vm1.7")
 		j, err := j.EjectByHand(svc, nil, "b", "alma", "disk swap", epoch)
 		Expect(err).NotTo(HaveOccurred())
 		data, err := j.Encode()
@@ -106,7 +106,7 @@
 		}
 	})
 
-	It("rejects a row that lists more than its own bound", func() {
+	It("rejects a row with more entries than its own floor allows", func() {
 		j := eject(NewEjections(svc.ID), "a", epoch)
 		j.Floor = 6
 		_, err := j.Encode()
@@ -116,8 +116,8 @@
 
 func FuzzDecodeEjections(f *testing.F) {
 	svc := testService(6)
-	j, _ := NewEjections(svc.ID).Eject(svc, nil, condemned("a"), "vm1", epoch)
-	whole, _ := j.Stamp("vm1.1").Encode()
+	j, _ := NewEjections(svc.ID).Eject(svc, nil, condemnedVerdict("a"), "vm1", epoch)
+	whole, _ := j.WithWriteID("vm1.1").Encode()
 	f.Add(whole)
 	f.Add(whole[:len(whole)/2])
 	f.Add(bytes.Replace(whole, []byte(`"floor":3`), []byte(`"floor":6`), 1))
@@ -137,7 +137,7 @@
 		if _, err := DecodeEjections(svc.ID, again); err != nil {
 			t.Fatal(err)
 		}
-		if n := j.Fit(svc, epoch); n.Validate() != nil {
+		if n := j.ApplySettings(svc, epoch); n.Validate() != nil {
 			t.Fatalf("fitted row is not valid: %v", n.Validate())
 		}
 	})
