--- a/core/settle/bench_test.go
+++ b/core/settle/bench_test.go
@@ -50,14 +50,14 @@
 // BenchmarkTakeDelta brings one accepted change into force at a daemon.
 func BenchmarkTakeDelta(b *testing.B) {
 	f := NewFollower(newPlatform().table())
-	f.hold(bigDoc(b), 1, "", nil)
+	f.setHeld(bigDoc(b), 1, "", nil)
 	r := Revision(1)
 	for b.Loop() {
 		r++
 		op := tree.Set(bigService(int(r)%360), "queue-length", int(r)%1000)
-		f.feed([]*Delta{{Revision: r, Change: "c", Author: "ana", Ops: []tree.Op{op}}})
+		f.applyDeltas([]*Delta{{Revision: r, Change: "c", Author: "ana", Ops: []tree.Op{op}}})
 		if f.held.Load().Revision != r {
-			b.Fatal(f.refused)
+			b.Fatal(f.invalid)
 		}
 	}
 }
@@ -70,9 +70,9 @@
 	}
 	for b.Loop() {
 		f := NewFollower(newPlatform().table())
-		f.takeReply(&RevisionReplyMsg{Revision: 1, Snapshot: data})
+		f.applyReply(&RevisionReplyMsg{Revision: 1, Snapshot: data})
 		if f.held.Load().Revision != 1 {
-			b.Fatal(f.refused)
+			b.Fatal(f.invalid)
 		}
 	}
 	b.ReportMetric(float64(len(data)), "snapshot-bytes")
@@ -89,10 +89,10 @@
 	for b.Loop() {
 		before := heapBytes()
 		f := NewFollower(newPlatform().table())
-		f.takeReply(&RevisionReplyMsg{Revision: 1, Snapshot: data})
-		for r := Revision(2); r <= 1+keepDeltas; r++ {
+		f.applyReply(&RevisionReplyMsg{Revision: 1, Snapshot: data})
+		for r := Revision(2); r <= 1+maxRecentDeltas; r++ {
 			op := tree.Set(bigService(int(r)), "queue-length", int(r))
-			f.feed([]*Delta{{Revision: r, Change: "c", Author: "ana", Ops: []tree.Op{op}}})
+			f.applyDeltas([]*Delta{{Revision: r, Change: "c", Author: "ana", Ops: []tree.Op{op}}})
 		}
 		f.Answer(RevisionAskMsg{})
 		held = heapBytes() - before
@@ -114,7 +114,7 @@
 			for b.Loop() {
 				before := heapBytes()
 				f := NewFollower(newPlatform().table())
-				f.takeReply(&RevisionReplyMsg{Revision: 1, Snapshot: data})
+				f.applyReply(&RevisionReplyMsg{Revision: 1, Snapshot: data})
 				held = heapBytes() - before
 				runtime.KeepAlive(f)
 			}
--- a/core/settle/changelog.go
+++ b/core/settle/changelog.go
@@ -15,42 +15,44 @@
 	"wisteriarelay.example/core/tree"
 )
 
-// Changelog decides changes in the table service. It holds no state of its own but
-// a cache of the last document, so any number of changelogs may work on one table.
+// Changelog stores and commits changes of the settings in the table service. It
+// holds no state besides a cache of the newest document, so any number of
+// changelogs may share one table.
 type Changelog struct {
-	src    source
-	cached atomic.Pointer[version]
+	reader storeReader
+	cached atomic.Pointer[docRevision]
 }
 
-// version is a document at a revision.
-type version struct {
+// docRevision is a document with its revision.
+type docRevision struct {
 	revision Revision
 	doc      *tree.Doc
 }
 
-// ChangelogOption changes a Changelog.
+// ChangelogOption configures a Changelog.
 type ChangelogOption func(*Changelog)
 
-// WithObjects lets the changelog start from snapshot objects in place of revision 1.
+// WithObjects lets the changelog build documents from snapshot objects instead of
+// replaying all deltas from revision 1.
 func WithObjects(o store.Objects) ChangelogOption {
-	return func(b *Changelog) { b.src.objects = o }
+	return func(l *Changelog) { l.reader.objects = o }
 }
 
-// NewChangelog returns a changelog over the table.
+// NewChangelog returns a changelog that is stored in the table.
 func NewChangelog(table store.Table, opts ...ChangelogOption) *Changelog {
-	b := &Changelog{src: source{table: table}}
+	l := &Changelog{reader: storeReader{table: table}}
 	for _, o := range opts {
-		o(b)
+		o(l)
 	}
-	return b
+	return l
 }
 
 // Proposal is the input of Propose.
 type Proposal struct {
-	// ID names the change; empty takes a new random id. Repeating a proposal
-	// with the same id returns the change that exists.
+	// ID is the id of the change; if it is empty, a random id is generated.
+	// Repeating a proposal with the same id returns the existing change.
 	ID string `json:"id,omitempty"`
-	// Base is the revision against which the ops were written; 0 takes the head.
+	// Base is the revision to whose document the ops apply; 0 stands for the head.
 	Base   Revision  `json:"base,omitempty"`
 	Ops    []tree.Op `json:"ops"`
 	Author string    `json:"author"`
@@ -58,84 +60,90 @@
 }
 
 const (
-	idBytes = 8
-	// storeTries bounds how often a step is repeated when other writers or
-	// lost replies get in its way.
-	storeTries = 5
+	randomIDBytes = 8
+	// maxStoreAttempts is the number of attempts at an operation that fails because
+	// of concurrent writers or lost replies.
+	maxStoreAttempts = 5
 )
 
 func newID() string {
-	var b [idBytes]byte
+	var b [randomIDBytes]byte
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// now returns the time with the resolution that rows and messages keep.
+// now returns the current time in whole seconds, the resolution of the times in
+// rows and messages.
 func now() time.Time { return time.Now().UTC().Truncate(time.Second) }
 
-// Propose validates ops against the base revision and keeps them as a change.
+// Propose validates the ops against the base revision and stores them as a change.
 func (l *Changelog) Propose(ctx context.Context, p Proposal) (Change, error) {
-	c, err := l.prepare(ctx, p)
+	c, err := l.newChange(ctx, p)
 	if err != nil {
 		return Change{}, err
 	}
-	var doubt doubt
-	for range storeTries {
-		err = doubt.note(l.write(ctx, c, 0))
+	var ambiguous ambiguousWrite
+	for range maxStoreAttempts {
+		err = ambiguous.record(l.writeChange(ctx, c, 0))
 		if err == nil {
 			return c, nil
 		}
-		if !repeatable(err) {
-			return Change{}, doubt.or(err)
+		if !mustReread(err) {
+			return Change{}, ambiguous.orElse(err)
 		}
-		found, _, readErr := l.read(ctx, c.ID)
+		found, _, readErr := l.readChange(ctx, c.ID)
 		if readErr == nil {
-			return sameProposal(found, c)
+			return matchExisting(found, c)
 		}
 		if !fault.Is(readErr, fault.NotFound) {
-			return Change{}, doubt.or(readErr)
+			return Change{}, ambiguous.orElse(readErr)
 		}
 	}
-	return Change{}, doubt.or(err)
+	return Change{}, ambiguous.orElse(err)
 }
 
-// doubt keeps the first lost reply of a step. A write without a known outcome
-// may still take effect, so that a later failure, which only says that its own
-// write was not applied, must not hide it.
-type doubt struct {
-	lost error
+// ambiguousWrite keeps the first StoreAmbiguous error of an operation that makes
+// several attempts at a write. The write may still take effect, so the operation
+// must return this error and not that of a later attempt, which only says that
+// the later attempt was not applied.
+type ambiguousWrite struct {
+	err error
 }
 
-func (d *doubt) note(err error) error {
-	if d.lost == nil && fault.Is(err, fault.StoreAmbiguous) {
-		d.lost = err
+// record keeps err if it is the first StoreAmbiguous error, and returns err.
+func (a *ambiguousWrite) record(err error) error {
+	if a.err == nil && fault.Is(err, fault.StoreAmbiguous) {
+		a.err = err
 	}
 	return err
 }
 
-func (d *doubt) or(err error) error {
-	if d.lost != nil {
-		return d.lost
+// orElse returns the recorded error, or err if there is none.
+func (a *ambiguousWrite) orElse(err error) error {
+	if a.err != nil {
+		return a.err
 	}
 	return err
 }
 
-// repeatable reports whether the row has to be read again after the error.
-func repeatable(err error) bool {
+// mustReread reports whether the error of a write leaves open what the row
+// contains, so that it has to be read again before the next attempt.
+func mustReread(err error) bool {
 	return fault.Is(err, fault.StoreConflict) || fault.Is(err, fault.StoreAmbiguous)
 }
 
-func (l *Changelog) prepare(ctx context.Context, p Proposal) (Change, error) {
+// newChange validates a proposal and returns the change that it describes.
+func (l *Changelog) newChange(ctx context.Context, p Proposal) (Change, error) {
 	if p.ID == "" {
 		p.ID = newID()
 	}
-	if len(p.Note) > maxNote {
-		return Change{}, fault.New(fault.SettingsInvalid, "note of %d bytes; allowed: at most %d", len(p.Note), maxNote)
+	if len(p.Note) > maxNoteBytes {
+		return Change{}, fault.New(fault.SettingsInvalid, "note of %d bytes; allowed: at most %d", len(p.Note), maxNoteBytes)
 	}
 	if err := checkChange(p.ID, p.Author, p.Ops); err != nil {
 		return Change{}, err
 	}
-	head, err := l.acceptedHead(ctx)
+	head, err := l.existingHead(ctx)
 	if err != nil {
 		return Change{}, err
 	}
@@ -149,15 +157,15 @@
 	if err != nil {
 		return Change{}, err
 	}
-	if _, err := applied(doc, p.Ops); err != nil {
+	if _, err := applyOps(doc, p.Ops); err != nil {
 		return Change{}, err
 	}
-	return Change{ID: p.ID, Base: p.Base, Ops: p.Ops, Author: p.Author, Note: p.Note, Proposed: now(), State: Proposed}, nil
+	return Change{ID: p.ID, Base: p.Base, Ops: p.Ops, Author: p.Author, Note: p.Note, ProposedAt: now(), State: StateProposed}, nil
 }
 
-// applied applies the ops and refuses a document without owners, in which no
-// later change could be approved.
-func applied(doc *tree.Doc, ops []tree.Op) (*tree.Doc, error) {
+// applyOps applies the ops to the document. It fails if the result has no owners,
+// because nobody could approve a later change.
+func applyOps(doc *tree.Doc, ops []tree.Op) (*tree.Doc, error) {
 	after, err := doc.Apply(ops)
 	if err != nil {
 		return nil, err
@@ -168,22 +176,24 @@
 	return after, nil
 }
 
-func sameProposal(found, c Change) (Change, error) {
+// matchExisting returns the stored change found if c proposes the same ops by the
+// same author, and an error if the id belongs to a different change.
+func matchExisting(found, c Change) (Change, error) {
 	if found.Author != c.Author || !slices.EqualFunc(found.Ops, c.Ops, tree.Op.Same) {
 		return Change{}, fault.New(fault.BadRequest, "change id %s is taken by another change", c.ID)
 	}
 	return found, nil
 }
 
-// Change returns the change of the id.
+// Change returns the change with the id.
 func (l *Changelog) Change(ctx context.Context, id string) (Change, error) {
-	c, _, err := l.read(ctx, id)
+	c, _, err := l.readChange(ctx, id)
 	return c, err
 }
 
-// Changes returns up to limit changes whose id sorts behind after.
+// Changes returns up to limit changes with ids greater than after, in id order.
 func (l *Changelog) Changes(ctx context.Context, after string, limit int) ([]Change, error) {
-	rows, err := l.src.table.Scan(ctx, changePrefix, changePrefix+after, limit)
+	rows, err := l.reader.table.Scan(ctx, changePrefix, changePrefix+after, limit)
 	if err != nil {
 		return nil, err
 	}
@@ -198,30 +208,31 @@
 	return changes, nil
 }
 
-// Approve adds an owner's approval; a second one of the same owner changes nothing.
+// Approve adds an owner's approval. A second approval by the same owner has no
+// effect.
 func (l *Changelog) Approve(ctx context.Context, id, owner string) (Change, error) {
-	if err := l.demandOwner(ctx, owner); err != nil {
+	if err := l.requireOwner(ctx, owner); err != nil {
 		return Change{}, err
 	}
 	return l.update(ctx, id, func(c *Change) (bool, error) {
-		given := func(a Approval) bool { return a.Owner == owner }
-		if slices.ContainsFunc(c.Approvals, given) {
+		byOwner := func(a Approval) bool { return a.Owner == owner }
+		if slices.ContainsFunc(c.Approvals, byOwner) {
 			return false, nil
 		}
 		c.Approvals = append(c.Approvals, Approval{Owner: owner, At: now()})
-		return true, demandProposed(*c)
+		return true, requireProposed(*c)
 	})
 }
 
-// Reject closes a change on behalf of an owner.
+// Reject closes a proposed change on behalf of an owner.
 func (l *Changelog) Reject(ctx context.Context, id, owner, reason string) (Change, error) {
-	if err := l.demandOwner(ctx, owner); err != nil {
+	if err := l.requireOwner(ctx, owner); err != nil {
 		return Change{}, err
 	}
-	return l.decide(ctx, id, Rejected, owner, reason)
+	return l.closeChange(ctx, id, StateRejected, owner, reason)
 }
 
-// Withdraw closes a change on behalf of its author.
+// Withdraw closes a proposed change on behalf of its author.
 func (l *Changelog) Withdraw(ctx context.Context, id, author string) (Change, error) {
 	c, err := l.Change(ctx, id)
 	if err != nil {
@@ -230,15 +241,17 @@
 	if c.Author != author {
 		return Change{}, fault.New(fault.Forbidden, "change %s belongs to %s", id, c.Author)
 	}
-	return l.decide(ctx, id, Withdrawn, author, "")
+	return l.closeChange(ctx, id, StateWithdrawn, author, "")
 }
 
-func (l *Changelog) decide(ctx context.Context, id string, s State, by, reason string) (Change, error) {
+// closeChange moves a proposed change to the final state s. Repeating the call has
+// no effect.
+func (l *Changelog) closeChange(ctx context.Context, id string, s State, by, reason string) (Change, error) {
 	return l.update(ctx, id, func(c *Change) (bool, error) {
 		if c.State == s && c.DecidedBy == by {
 			return false, nil
 		}
-		if err := demandProposed(*c); err != nil {
+		if err := requireProposed(*c); err != nil {
 			return false, err
 		}
 		c.State, c.DecidedBy, c.Reason = s, by, reason
@@ -246,15 +259,15 @@
 	})
 }
 
-func demandProposed(c Change) error {
-	if c.State == Proposed {
+func requireProposed(c Change) error {
+	if c.State == StateProposed {
 		return nil
 	}
 	return fault.New(fault.SettingsDecided, "change %s is %s", c.ID, c.State)
 }
 
-func (l *Changelog) demandOwner(ctx context.Context, name string) error {
-	head, err := l.acceptedHead(ctx)
+func (l *Changelog) requireOwner(ctx context.Context, name string) error {
+	head, err := l.existingHead(ctx)
 	if err != nil {
 		return err
 	}
@@ -268,36 +281,38 @@
 	return nil
 }
 
-// update changes the row of a change by compare-and-swap. After a lost reply
-// the row is read again and change, which must be idempotent, decides anew.
-func (l *Changelog) update(ctx context.Context, id string, change func(*Change) (bool, error)) (Change, error) {
-	var doubt doubt
-	var failed error
-	for range storeTries {
-		c, row, err := l.read(ctx, id)
+// update modifies the row of a change by compare-and-swap. edit modifies the change
+// and returns whether there is something to write. After a conflict or a lost
+// reply the row is read again and edit is called again, so it must be idempotent.
+func (l *Changelog) update(ctx context.Context, id string, edit func(*Change) (bool, error)) (Change, error) {
+	var ambiguous ambiguousWrite
+	var writeErr error
+	for range maxStoreAttempts {
+		c, version, err := l.readChange(ctx, id)
 		if err != nil {
-			return Change{}, doubt.or(err)
+			return Change{}, ambiguous.orElse(err)
 		}
-		changed, err := change(&c)
+		changed, err := edit(&c)
 		if err != nil {
 			return Change{}, err
 		}
 		if !changed {
 			return c, nil
 		}
-		failed = doubt.note(l.write(ctx, c, row))
-		if failed == nil {
+		writeErr = ambiguous.record(l.writeChange(ctx, c, version))
+		if writeErr == nil {
 			return c, nil
 		}
-		if !repeatable(failed) {
+		if !mustReread(writeErr) {
 			break
 		}
 	}
-	return Change{}, doubt.or(failed)
+	return Change{}, ambiguous.orElse(writeErr)
 }
 
-func (l *Changelog) read(ctx context.Context, id string) (Change, uint64, error) {
-	row, err := l.src.table.Get(ctx, changePrefix+id)
+// readChange returns the change and the version of its row.
+func (l *Changelog) readChange(ctx context.Context, id string) (Change, uint64, error) {
+	row, err := l.reader.table.Get(ctx, changePrefix+id)
 	if fault.Is(err, fault.RowMissing) {
 		return Change{}, 0, fault.New(fault.NotFound, "change %q", id)
 	}
@@ -311,13 +326,15 @@
 	return c, row.Version, nil
 }
 
-func (l *Changelog) write(ctx context.Context, c Change, version uint64) error {
+// writeChange writes the row of a change if the row still has the version; version
+// 0 creates the row.
+func (l *Changelog) writeChange(ctx context.Context, c Change, version uint64) error {
 	key := changePrefix + c.ID
 	value, err := json.Marshal(c)
 	if err != nil {
 		return fault.Wrap(err, fault.Internal, "change %s", c.ID)
 	}
-	return l.src.table.Apply(ctx, store.Tx{
+	return l.reader.table.Apply(ctx, store.Tx{
 		ID:    c.ID,
 		Conds: []store.Cond{{Key: key, Version: version}},
 		Puts:  []store.Put{{Key: key, Value: value}},
--- a/core/settle/changelog_test.go
+++ b/core/settle/changelog_test.go
@@ -95,7 +95,7 @@
 		Expect(conflict.Overlaps).To(HaveLen(1))
 		kept, err := b.Change(ctx, lost.ID)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(kept.State).To(Equal(Proposed))
+		Expect(kept.State).To(Equal(StateProposed))
 		_, err = b.Rebase(ctx, lost.ID, lost.Author)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(b.Commit(ctx, lost.ID)).To(Equal(Revision(3)))
@@ -219,7 +219,7 @@
 
 	It("reports a revision row that cannot be decoded", func() {
 		settleOps(Default, b, queue(10))
-		p.rows[revKey(2)] = store.Row{Key: revKey(2), Version: 1, Value: []byte("{")}
+		p.rows[revisionKey(2)] = store.Row{Key: revisionKey(2), Version: 1, Value: []byte("{")}
 		_, _, err := NewChangelog(p.table()).Head(ctx)
 		Expect(kindOf(err)).To(Equal(fault.SettingsInvalid))
 		Expect(err).To(MatchError(ContainSubstring("revision 2")))
--- a/core/settle/commit.go
+++ b/core/settle/commit.go
@@ -10,23 +10,23 @@
 	"wisteriarelay.example/core/tree"
 )
 
-// Commit makes a settled change the next revision and returns its number. It
-// may be repeated: a change that was committed before returns its revision.
+// Commit makes an approved change the next revision and returns its number. It is
+// idempotent: for a change that was committed before it returns that revision.
 // It returns fault.SettingsConflict with a Conflict in its chain if another
-// change was accepted since the base, fault.SettingsUnsettled if an approval is
+// change was committed after the base, fault.SettingsUnsettled if an approval is
 // missing, and fault.StoreAmbiguous if the outcome is not yet known.
 func (l *Changelog) Commit(ctx context.Context, id string) (Revision, error) {
 	var err error
-	for range storeTries {
-		var a attempt
+	for range maxStoreAttempts {
+		var a commitAttempt
 		a, err = l.prepareCommit(ctx, id)
-		if err != nil || a.done {
+		if err != nil || a.committed {
 			return a.revision, err
 		}
-		err = l.src.table.Apply(ctx, a.tx)
+		err = l.reader.table.Apply(ctx, a.tx)
 		switch {
 		case err == nil:
-			l.remember(version{revision: a.revision, doc: a.after})
+			l.cacheDoc(docRevision{revision: a.revision, doc: a.after})
 			return a.revision, nil
 		case fault.Is(err, fault.StoreConflict):
 			continue
@@ -44,53 +44,57 @@
 	return 0, err
 }
 
-// attempt is one try of a commit.
-type attempt struct {
+// commitAttempt is the transaction of one attempt at a commit, with its result.
+type commitAttempt struct {
 	tx       store.Tx
 	after    *tree.Doc
 	revision Revision
-	// done says that the change was accepted before.
-	done bool
+	// committed is set if the change was committed before; there is then no
+	// transaction to apply.
+	committed bool
 }
 
-func (l *Changelog) prepareCommit(ctx context.Context, id string) (attempt, error) {
-	c, changeRow, err := l.read(ctx, id)
+// prepareCommit checks that the change can be committed on top of the head and
+// builds the transaction for it.
+func (l *Changelog) prepareCommit(ctx context.Context, id string) (commitAttempt, error) {
+	c, changeVersion, err := l.readChange(ctx, id)
 	if err != nil {
-		return attempt{}, err
+		return commitAttempt{}, err
 	}
-	if c.State == Committed {
-		return attempt{revision: c.Revision, done: true}, nil
+	if c.State == StateCommitted {
+		return commitAttempt{revision: c.Revision, committed: true}, nil
 	}
-	if err := demandProposed(c); err != nil {
-		return attempt{}, err
+	if err := requireProposed(c); err != nil {
+		return commitAttempt{}, err
 	}
-	head, headRow, err := l.src.head(ctx)
+	head, headVersion, err := l.reader.head(ctx)
 	if err != nil {
-		return attempt{}, err
+		return commitAttempt{}, err
 	}
 	if head.Revision != c.Base {
-		return l.lost(ctx, c, head)
+		return l.baseMoved(ctx, c, head)
 	}
 	before, err := l.docAt(ctx, head.Revision)
 	if err != nil {
-		return attempt{}, err
+		return commitAttempt{}, err
 	}
-	after, err := applied(before, c.Ops)
+	after, err := applyOps(before, c.Ops)
 	if err != nil {
-		return attempt{}, err
+		return commitAttempt{}, err
 	}
-	owners, err := settled(before, after, c)
+	owners, err := checkApprovals(before, after, c)
 	if err != nil {
-		return attempt{}, err
+		return commitAttempt{}, err
 	}
-	c.State, c.Revision = Committed, head.Revision+1
-	tx, err := commitTx(c, owners, headRow, changeRow)
-	return attempt{tx: tx, after: after, revision: c.Revision}, err
+	c.State, c.Revision = StateCommitted, head.Revision+1
+	tx, err := commitTx(c, owners, headVersion, changeVersion)
+	return commitAttempt{tx: tx, after: after, revision: c.Revision}, err
 }
 
-// commitTx writes head, revision and change under conditions on all three, so
-// that a commit that arrives late or twice has no effect.
-func commitTx(c Change, owners []string, headRow, changeRow uint64) (store.Tx, error) {
+// commitTx returns the transaction that writes the head, the revision and the
+// change. It has conditions on all three rows, so a commit that reaches the table
+// late or twice has no effect.
+func commitTx(c Change, owners []string, headVersion, changeVersion uint64) (store.Tx, error) {
 	head, headErr := json.Marshal(Head{Revision: c.Revision, Change: c.ID})
 	delta, deltaErr := json.Marshal(Delta{
 		Revision: c.Revision, Change: c.ID, Author: c.Author, Approvals: owners, Note: c.Note, At: now(), Ops: c.Ops,
@@ -102,24 +106,25 @@
 	changeKey := changePrefix + c.ID
 	return store.Tx{
 		ID:    c.ID,
-		Conds: []store.Cond{{Key: headKey, Version: headRow}, {Key: revKey(c.Revision)}, {Key: changeKey, Version: changeRow}},
-		Puts:  []store.Put{{Key: headKey, Value: head}, {Key: revKey(c.Revision), Value: delta}, {Key: changeKey, Value: change}},
+		Conds: []store.Cond{{Key: headKey, Version: headVersion}, {Key: revisionKey(c.Revision)}, {Key: changeKey, Version: changeVersion}},
+		Puts:  []store.Put{{Key: headKey, Value: head}, {Key: revisionKey(c.Revision), Value: delta}, {Key: changeKey, Value: change}},
 	}, nil
 }
 
-// lost returns the conflict of a change whose base is not the head. Between
-// the reads of change and head the change itself may have been accepted.
-func (l *Changelog) lost(ctx context.Context, c Change, head Head) (attempt, error) {
-	if again, _, err := l.read(ctx, c.ID); err == nil && again.State == Committed {
-		return attempt{revision: again.Revision, done: true}, nil
+// baseMoved handles a change whose base is no longer the head. It returns the
+// conflict, unless the change itself was committed between the reads of the
+// change and of the head.
+func (l *Changelog) baseMoved(ctx context.Context, c Change, head Head) (commitAttempt, error) {
+	if reread, _, err := l.readChange(ctx, c.ID); err == nil && reread.State == StateCommitted {
+		return commitAttempt{revision: reread.Revision, committed: true}, nil
 	}
-	to := min(head.Revision, c.Base+farBehind)
-	since, _ := l.src.deltas(ctx, c.Base, to)
-	conflict := &Conflict{Change: c.ID, Base: c.Base, Head: head.Revision, Since: since, Overlaps: overlaps(since, c.Ops)}
-	return attempt{}, fault.Wrap(conflict, fault.SettingsConflict, "base %d, head %d", c.Base, head.Revision)
+	to := min(head.Revision, c.Base+snapshotThreshold)
+	since, _ := l.reader.deltas(ctx, c.Base, to)
+	conflict := &Conflict{Change: c.ID, Base: c.Base, Head: head.Revision, Since: since, Overlaps: overlappingOps(since, c.Ops)}
+	return commitAttempt{}, fault.Wrap(conflict, fault.SettingsConflict, "base %d, head %d", c.Base, head.Revision)
 }
 
-// Outcome says what became of a commit.
+// Outcome is the outcome of a commit.
 type Outcome string
 
 // The outcomes of a commit.
@@ -129,55 +134,57 @@
 	NotYetKnown Outcome = "not-yet-known"
 )
 
-// Resolution is the answer to the question what became of a commit.
+// Resolution is the outcome of a commit as found by Resolve.
 type Resolution struct {
 	Outcome Outcome `json:"outcome"`
-	// Revision is set if the change was accepted.
+	// Revision is the revision of the change if the outcome is Accepted.
 	Revision Revision `json:"revision,omitempty"`
 }
 
-// Resolve finds out what became of the commits of a change by reading back the
-// revision behind its base. If that does not exist, a commit may still be on
-// its way: Resolve then rewrites the row of the change, on whose version each
-// commit depends, so that NotAccepted stays true. While the store does not
-// answer, the outcome is NotYetKnown. The error is fault.NotFound for an
-// unknown change.
+// Resolve determines the outcome of the commits of a change by reading the
+// revision that follows its base. If that revision does not exist, a delayed
+// commit may still reach the table. Resolve then rewrites the row of the change:
+// every commit has a condition on the version of this row, so a delayed one fails
+// and NotAccepted remains true. While the store does not answer, the outcome is
+// NotYetKnown. The error is fault.NotFound for an unknown change.
 func (l *Changelog) Resolve(ctx context.Context, id string) (Resolution, error) {
-	for range storeTries {
-		c, row, err := l.read(ctx, id)
+	for range maxStoreAttempts {
+		c, version, err := l.readChange(ctx, id)
 		if fault.Is(err, fault.NotFound) {
 			return Resolution{}, err
 		}
 		if err != nil {
 			break
 		}
-		if c.State == Committed {
+		if c.State == StateCommitted {
 			return Resolution{Outcome: Accepted, Revision: c.Revision}, nil
 		}
-		if c.State != Proposed {
+		if c.State != StateProposed {
 			return Resolution{Outcome: NotAccepted}, nil
 		}
 		next := c.Base + 1
-		found, err := l.src.table.Get(ctx, revKey(next))
+		row, err := l.reader.table.Get(ctx, revisionKey(next))
 		if err == nil {
-			return readBack(found, next, id), nil
+			return resolutionFromRow(row, next, id), nil
 		}
 		if !fault.Is(err, fault.RowMissing) {
 			break
 		}
 		c.Fence++
-		err = l.write(ctx, c, row)
+		err = l.writeChange(ctx, c, version)
 		if err == nil {
 			return Resolution{Outcome: NotAccepted}, nil
 		}
-		if !repeatable(err) {
+		if !mustReread(err) {
 			break
 		}
 	}
 	return Resolution{Outcome: NotYetKnown}, nil
 }
 
-func readBack(row store.Row, revision Revision, id string) Resolution {
+// resolutionFromRow returns Accepted if the row of the revision names the change,
+// NotAccepted if it names another one, and NotYetKnown if it cannot be decoded.
+func resolutionFromRow(row store.Row, revision Revision, id string) Resolution {
 	d, err := decodeDelta(row, revision)
 	if err != nil {
 		return Resolution{Outcome: NotYetKnown}
--- a/core/settle/fetch.go
+++ b/core/settle/fetch.go
@@ -10,12 +10,12 @@
 	"wisteriarelay.example/core/tree"
 )
 
-// pollStore reads the head and fetches what is missing. The error says that
-// the platform did not give what it should.
+// pollStore reads the head row and fetches the missing revisions. It returns an
+// error if the store failed or returned an outdated head.
 func (f *Follower) pollStore(ctx context.Context) error {
 	at := time.Now()
 	headCtx, cancel := context.WithTimeout(ctx, callTimeout)
-	head, _, err := f.src.head(headCtx)
+	head, _, err := f.reader.head(headCtx)
 	cancel()
 	if err != nil {
 		return err
@@ -29,141 +29,145 @@
 		f.reason = "the store holds no settings"
 		return nil
 	}
-	if err := f.fetch(ctx); err != nil {
+	if err := f.fetchRevisions(ctx); err != nil {
 		return err
 	}
-	if f.stuckAt > 0 {
-		// What follows the row is not known, so peers have to prove that the
-		// held revision is recent.
+	if f.blockedHead > 0 {
+		// The revisions after the undecodable row are unknown, so reading the head
+		// does not show that the held revision is recent; replies of peers may.
 		return nil
 	}
 	f.headReadAt = at
-	f.becomeReady("head read from the store")
+	f.markReady("head read from the store")
 	return nil
 }
 
-// becomeReady marks the follower ready unless a peer reported a higher
-// revision than the held one. A ready follower stays ready.
-func (f *Follower) becomeReady(reason string) {
-	held, heard := f.held.Load().Revision, Revision(f.heard.Load())
+// markReady marks the follower ready if it holds a revision and no peer reported a
+// higher one. A ready follower stays ready.
+func (f *Follower) markReady(reason string) {
+	held, peers := f.held.Load().Revision, Revision(f.peerRevision.Load())
 	switch {
 	case f.ready:
 	case held == 0:
 		f.reason = "no valid revision yet"
-	case held < heard:
-		f.reason = fmt.Sprintf("holds revision %d, a peer reported %d", held, heard)
+	case held < peers:
+		f.reason = fmt.Sprintf("holds revision %d, a peer reported %d", held, peers)
 	default:
 		f.ready, f.reason = true, reason
 	}
 }
 
-// fetch brings everything up to the head to hand. Rows that cannot be decoded
-// are reported in the state and are no store error: repeating the read would
-// not help.
-func (f *Follower) fetch(ctx context.Context) error {
-	if f.last() >= f.head || f.stuckAt == f.head {
+// fetchRevisions fetches all revisions up to the head. Rows that cannot be decoded
+// are reported in the state. They are not a store error, because repeating the
+// read would not help.
+func (f *Follower) fetchRevisions(ctx context.Context) error {
+	if f.lastFetched() >= f.head || f.blockedHead == f.head {
 		return nil
 	}
-	stuck := f.stuckAt > 0
-	f.stuckAt = 0
-	if stuck || f.head-f.held.Load().Revision > farBehind {
+	blocked := f.blockedHead > 0
+	f.blockedHead = 0
+	if blocked || f.head-f.held.Load().Revision > snapshotThreshold {
 		f.fetchSnapshot(ctx)
 	}
-	scanCtx, cancel := context.WithTimeout(ctx, scanTimeout(f.head-f.last()))
+	scanCtx, cancel := context.WithTimeout(ctx, scanTimeout(f.head-f.lastFetched()))
 	defer cancel()
-	deltas, err := f.src.deltas(scanCtx, f.last(), f.head)
-	f.feed(deltas)
-	var bad *undecodable
-	if errors.As(err, &bad) {
-		f.stuckAt = f.head
-		f.refuse(bad)
+	deltas, err := f.reader.deltas(scanCtx, f.lastFetched(), f.head)
+	f.applyDeltas(deltas)
+	var invalid *revisionError
+	if errors.As(err, &invalid) {
+		f.blockedHead = f.head
+		f.reportInvalid(invalid)
 		return nil
 	}
 	return err
 }
 
-// scanTimeout allows one call timeout for each page of rows.
-func scanTimeout(behind Revision) time.Duration {
-	return callTimeout * time.Duration(1+behind/scanLimit)
+// scanTimeout returns the timeout for reading the missing revisions: one callTimeout
+// for each scan.
+func scanTimeout(missing Revision) time.Duration {
+	return callTimeout * time.Duration(1+missing/scanPageSize)
 }
 
-// fetchSnapshot takes the newest snapshot object, if there is one; without it
-// the deltas are read.
+// fetchSnapshot reads and applies the newest snapshot object. If there is none or it
+// cannot be read, the caller reads all deltas instead.
 func (f *Follower) fetchSnapshot(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout*snapshotTries)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout*maxSnapshotAttempts)
 	defer cancel()
-	snap, found, err := f.src.snapshotUpTo(ctx, f.held.Load().Revision, f.head)
+	snap, found, err := f.reader.newestSnapshot(ctx, f.held.Load().Revision, f.head)
 	if err != nil || !found {
 		return
 	}
-	f.takeSnapshot(snap)
+	f.applySnapshot(snap)
 }
 
-func (f *Follower) takeSnapshot(snap snapshot) {
+// applySnapshot makes the document of the snapshot the held one if it is newer.
+func (f *Follower) applySnapshot(snap snapshot) {
 	old := f.held.Load()
 	if snap.Revision <= old.Revision {
 		return
 	}
 	doc := snap.Document.Relate(old.Catalog)
-	f.hold(doc, snap.Revision, "", nil)
-	// Deltas above the snapshot that were refused before may apply to it.
+	f.setHeld(doc, snap.Revision, "", nil)
+	// Pending deltas above the snapshot may be valid on top of it.
 	pending := f.pending
 	f.pending = nil
-	f.feed(pending)
+	f.applyDeltas(pending)
 }
 
-// feed appends the deltas that follow the ones at hand and applies what can be
-// applied.
-func (f *Follower) feed(deltas []*Delta) {
-	tried := len(f.pending)
+// applyDeltas appends the deltas that follow the last fetched one to pending and
+// applies as many of the pending ones as are valid.
+func (f *Follower) applyDeltas(deltas []*Delta) {
+	knownInvalid := len(f.pending)
 	for _, d := range deltas {
-		if d.Revision == f.last()+1 {
+		if d.Revision == f.lastFetched()+1 {
 			f.pending = append(f.pending, d)
 		}
 	}
 	pending := f.pending
-	if len(pending) == tried {
+	if len(pending) == knownInvalid {
 		return
 	}
-	done := 0
-	failed := fold(f.held.Load().Doc, pending, tried, func(i int, doc *tree.Doc) {
-		f.hold(doc, pending[i].Revision, pending[i].Change, pending[done:i+1])
-		done = i + 1
+	applied := 0
+	failure := applyValid(f.held.Load().Doc, pending, knownInvalid, func(i int, doc *tree.Doc) {
+		f.setHeld(doc, pending[i].Revision, pending[i].Change, pending[applied:i+1])
+		applied = i + 1
 	})
-	f.pending = pending[done:]
+	f.pending = pending[applied:]
 	if len(f.pending) == 0 {
 		f.pending = nil
 	}
-	var bad *undecodable
-	if errors.As(failed, &bad) {
-		f.refuse(bad)
+	var invalid *revisionError
+	if errors.As(failure, &invalid) {
+		f.reportInvalid(invalid)
 	}
 }
 
-// hold makes a valid document the held revision. The deltas lead to it from
-// the one held before; none means that it came in a snapshot.
-func (f *Follower) hold(doc *tree.Doc, r Revision, change string, deltas []*Delta) {
+// setHeld makes a valid document the held revision. deltas are the steps from the
+// previously held revision; it is empty if the document comes from a snapshot.
+func (f *Follower) setHeld(doc *tree.Doc, r Revision, change string, deltas []*Delta) {
 	old := f.held.Load()
 	catalog, err := doc.Compile()
 	if err != nil {
-		f.refuse(&undecodable{revision: r, cause: err})
+		f.reportInvalid(&revisionError{revision: r, cause: err})
 		return
 	}
 	next := &Applied{Revision: r, Change: change, Doc: doc, Catalog: catalog, HeadReadAt: old.HeadReadAt}
 	if len(deltas) > 0 {
-		// Readers hold the old slice, so the new one gets its own memory.
+		// Concurrent readers use the old slice, so the deltas are copied.
 		next.recent = append(append(make([]*Delta, 0, len(old.recent)+len(deltas)), old.recent...), deltas...)
-		next.recent = next.recent[max(0, len(next.recent)-keepDeltas):]
+		next.recent = next.recent[max(0, len(next.recent)-maxRecentDeltas):]
 	}
 	f.held.Store(next)
-	if f.refused != nil && f.refused.Revision <= r {
-		f.refused = nil
+	if f.invalid != nil && f.invalid.Revision <= r {
+		f.invalid = nil
 	}
-	f.schedule(next)
+	f.scheduleSnapshot(next)
 }
 
-func (f *Follower) refuse(bad *undecodable) {
-	if f.refused == nil || f.refused.Revision <= bad.revision {
-		f.refused = &Refused{Revision: bad.revision, Reason: bad.cause.Error()}
+// reportInvalid records the invalid revision for the state unless a newer one is
+// recorded.
+func (f *Follower) reportInvalid(err *revisionError) {
+	if f.invalid == nil || f.invalid.Revision <= err.revision {
+		f.invalid = &InvalidRevision{Revision: err.revision, Reason: err.cause.Error()}
 	}
 }
--- a/core/settle/follower.go
+++ b/core/settle/follower.go
@@ -15,90 +15,109 @@
 )
 
 const (
-	// pollEvery is the mean time between two reads of the head row: 690 daemons
-	// take 345 of about 2,000 reads/s.
-	pollEvery = 2 * time.Second
-	// pollJitter spreads the polls of daemons that were started together.
+	// pollInterval is the mean time between two reads of the head row. 690 daemons
+	// then use 345 of the store's about 2,000 reads/s.
+	pollInterval = 2 * time.Second
+	// pollJitter is the relative jitter of pollInterval. It spreads the polls of
+	// daemons that were started at the same time.
 	pollJitter = 0.2
-	// callTimeout bounds one call to the platform or the peers.
+	// callTimeout is the timeout of one call to the platform or to the peers.
 	callTimeout = 2 * time.Second
-	// backoffFirst and backoffMost bound the mean wait after store errors. The
-	// longest wait is backoffMost times 1.5, 6 s, so that a change is in force
-	// within 7 s after the store returns.
-	backoffFirst  = 500 * time.Millisecond
-	backoffMost   = 4 * time.Second
-	backoffJitter = 0.5
-	// keepDeltas is the number of deltas kept for peers.
-	keepDeltas = 256
+	// initialBackoff and maxBackoff are the first and the longest mean wait after
+	// store errors. With jitter the longest wait is maxBackoff times 1.5, which is
+	// 6 s, so that a change is in force within 7 s after the store recovers.
+	initialBackoff = 500 * time.Millisecond
+	maxBackoff     = 4 * time.Second
+	backoffJitter  = 0.5
+	// maxRecentDeltas is the number of deltas that are kept for peers.
+	maxRecentDeltas = 256
 )
 
-// Follower brings accepted revisions to one daemon. Its methods may be called
-// from any goroutine; the unexported state belongs to its run goroutine.
+// Follower fetches committed revisions for one daemon, from the store and from
+// peers. Its methods are safe for concurrent use. The fields below done belong to
+// the goroutine of run.
 type Follower struct {
-	src      source
-	askPeers func(ctx context.Context, have Revision) []PeerReply
-	seeds    int
-	applied  func(*Applied)
-	rng      *rand.Rand
+	reader     storeReader
+	queryPeers func(ctx context.Context, have Revision) []PeerReply
+	numSeeds   int
+	onApply    func(*Applied)
+	rng        *rand.Rand
 
+	// current is the revision in force; it is nil until the follower is ready.
 	current atomic.Pointer[Applied]
-	held    atomic.Pointer[Applied]
-	state   atomic.Pointer[FollowerState]
-	heard   atomic.Uint64
-	wake    chan struct{}
-	packed  atomic.Pointer[packedSnapshot]
-	packing sync.Mutex
+	// held is the newest valid revision, also while the follower is not ready.
+	held  atomic.Pointer[Applied]
+	state atomic.Pointer[FollowerState]
+	// peerRevision is the highest revision that a peer reported.
+	peerRevision atomic.Uint64
+	// wake triggers a poll before the next one is due.
+	wake chan struct{}
+	// encoded is the snapshot that was last encoded for a peer; encodeMu lets one
+	// goroutine at a time encode one.
+	encoded  atomic.Pointer[encodedSnapshot]
+	encodeMu sync.Mutex
 
 	cancel context.CancelFunc
 	done   chan struct{}
 
-	pending    []*Delta
-	refused    *Refused
+	// pending holds the deltas after the held revision that were fetched but do not
+	// yet produce a valid document.
+	pending []*Delta
+	invalid *InvalidRevision
+	// head and headReadAt are the result and the time of the last read of the head
+	// row; headReadAt is set only after all revisions up to the head were fetched.
 	head       Revision
 	headReadAt time.Time
-	// stuckAt is the head at which a row could not be decoded; the rows are
-	// not read again until the head rises.
-	stuckAt  Revision
-	storeErr error
-	ready    bool
-	reason   string
-	answers  int
-	askWait  time.Duration
-	askAfter time.Time
-	backoff  *backoff.ExponentialBackOff
-	due      *dueSnapshot
+	// blockedHead is the head at the time when a revision row was missing or could
+	// not be decoded. The rows are not read again until the head rises. It is 0
+	// if all rows could be decoded.
+	blockedHead Revision
+	storeErr    error
+	ready       bool
+	reason      string
+	peerAnswers int
+	// peerWait is the wait after a request that brought nothing usable, until
+	// peerRetryAt; 0 stands for no wait.
+	peerWait    time.Duration
+	peerRetryAt time.Time
+	// backoff gives the waits after store errors.
+	backoff *backoff.ExponentialBackOff
+	due     *dueSnapshot
 }
 
-// FollowerOption changes a Follower.
+// FollowerOption configures a Follower.
 type FollowerOption func(*Follower)
 
 // WithSnapshots lets the follower read and write snapshot objects.
 func WithSnapshots(o store.Objects) FollowerOption {
-	return func(f *Follower) { f.src.objects = o }
+	return func(f *Follower) { f.reader.objects = o }
 }
 
-// WithPeers sets how peers are asked for revisions above have. The function
-// returns the answers that arrive before its context ends, and the number of
-// seed addresses in the process settings is needed to know their majority.
-func WithPeers(ask func(ctx context.Context, have Revision) []PeerReply, seeds int) FollowerOption {
-	return func(f *Follower) { f.askPeers, f.seeds = ask, seeds }
+// WithPeers sets the function that requests the revisions above have from peers
+// and returns the replies that arrive before its context ends. numSeeds is the
+// number of seed addresses in the process settings; the majority of the seeds is
+// determined from it.
+func WithPeers(query func(ctx context.Context, have Revision) []PeerReply, numSeeds int) FollowerOption {
+	return func(f *Follower) { f.queryPeers, f.numSeeds = query, numSeeds }
 }
 
 // WithApplied sets a function that the follower's goroutine calls with each
-// revision that becomes current; of revisions fetched together it is the last.
-func WithApplied(applied func(*Applied)) FollowerOption {
-	return func(f *Follower) { f.applied = applied }
+// revision that comes into force. If several revisions are fetched together, it is
+// called with the last one only.
+func WithApplied(onApply func(*Applied)) FollowerOption {
+	return func(f *Follower) { f.onApply = onApply }
 }
 
-// WithRand sets the source of jitter.
+// WithRand sets the random number generator for jitter.
 func WithRand(r *rand.Rand) FollowerOption {
 	return func(f *Follower) { f.rng = r }
 }
 
-// NewFollower returns a follower of the table that holds no revision.
+// NewFollower returns a follower of the settings in the table. It holds no revision
+// before Start.
 func NewFollower(table store.Table, opts ...FollowerOption) *Follower {
 	f := &Follower{
-		src:     source{table: table},
+		reader:  storeReader{table: table},
 		rng:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		wake:    make(chan struct{}, 1),
 		done:    make(chan struct{}),
@@ -108,12 +127,12 @@
 	for _, o := range opts {
 		o(f)
 	}
-	f.held.Store(emptyApplied())
+	f.held.Store(emptyRevision())
 	f.state.Store(&FollowerState{Reason: f.reason})
 	return f
 }
 
-func emptyApplied() *Applied {
+func emptyRevision() *Applied {
 	doc := tree.New()
 	catalog, _ := doc.Compile()
 	return &Applied{Doc: doc, Catalog: catalog}
@@ -121,22 +140,23 @@
 
 func newBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = backoffFirst
-	b.MaxInterval = backoffMost
+	b.InitialInterval = initialBackoff
+	b.MaxInterval = maxBackoff
 	b.Multiplier = 2
-	// The follower's own seeded source adds the jitter.
+	// The jitter is added by Follower.jittered, so that tests can seed it.
 	b.RandomizationFactor = 0
 	b.Reset()
 	return b
 }
 
-// Start begins to follow; Stop or the end of ctx ends it. It is called once.
+// Start starts the goroutine of the follower, which runs until Stop is called or
+// ctx ends. It must be called at most once.
 func (f *Follower) Start(ctx context.Context) {
 	ctx, f.cancel = context.WithCancel(ctx)
 	go f.run(ctx)
 }
 
-// Stop ends a started follower and waits for its goroutine.
+// Stop stops a started follower and waits until its goroutine has returned.
 func (f *Follower) Stop() {
 	f.cancel()
 	<-f.done
@@ -145,13 +165,13 @@
 // Current returns the revision in force, or nil while the follower is not ready.
 func (f *Follower) Current() *Applied { return f.current.Load() }
 
-// State returns the follower's report about itself; it must not be changed.
+// State returns the state of the follower. The caller must not modify it.
 func (f *Follower) State() *FollowerState { return f.state.Load() }
 
-// Hear tells the follower that a peer holds the revision. A higher one than
-// any before makes it poll at once.
+// Hear tells the follower that a peer holds the revision. If it is higher than any
+// revision reported before, the follower polls immediately.
 func (f *Follower) Hear(r Revision) {
-	if f.raiseHeard(r) && r > f.held.Load().Revision {
+	if f.raisePeerRevision(r) && r > f.held.Load().Revision {
 		select {
 		case f.wake <- struct{}{}:
 		default:
@@ -159,13 +179,15 @@
 	}
 }
 
-func (f *Follower) raiseHeard(r Revision) bool {
+// raisePeerRevision sets peerRevision to r if that is higher, and reports whether
+// it did.
+func (f *Follower) raisePeerRevision(r Revision) bool {
 	for {
-		old := f.heard.Load()
+		old := f.peerRevision.Load()
 		if uint64(r) <= old {
 			return false
 		}
-		if f.heard.CompareAndSwap(old, uint64(r)) {
+		if f.peerRevision.CompareAndSwap(old, uint64(r)) {
 			return true
 		}
 	}
@@ -185,7 +207,7 @@
 		case <-f.wake:
 			timer.Stop()
 			if f.storeErr != nil {
-				// The store keeps its backoff; the peer that was heard has the revision.
+				// The store stays in backoff; the revision comes from the peer.
 				f.catchUp(ctx)
 				continue
 			}
@@ -194,7 +216,7 @@
 	}
 }
 
-// poll reads the store, asks peers for what the store does not give, and
+// poll reads the store, requests from peers what the store does not provide, and
 // returns the wait until the next poll.
 func (f *Follower) poll(ctx context.Context) time.Duration {
 	f.storeErr = f.pollStore(ctx)
@@ -203,71 +225,73 @@
 		return f.retryWait()
 	}
 	f.backoff.Reset()
-	f.writeSnapshot(ctx)
-	return f.spread(pollEvery, pollJitter)
+	f.writeDueSnapshot(ctx)
+	return f.jittered(pollInterval, pollJitter)
 }
 
-// retryWait returns the wait after a store error. A call that the client of the
-// store refused without sending it comes again as soon as the client admits it,
-// because it would otherwise add the client's wait to the follower's.
+// retryWait returns the wait after a store error. If the store client rejected the
+// call without sending it, the call is repeated as soon as the client allows it.
+// Otherwise the wait of the follower would add to that of the client.
 func (f *Follower) retryWait() time.Duration {
-	wait := f.spread(f.backoff.NextBackOff(), backoffJitter)
+	wait := f.jittered(f.backoff.NextBackOff(), backoffJitter)
 	if after := fault.From(f.storeErr).RetryAfter; after > 0 {
-		return min(wait, f.spread(after, pollJitter))
+		return min(wait, f.jittered(after, pollJitter))
 	}
 	return wait
 }
 
-// spread returns d times a random factor from 1-jitter to 1+jitter.
-func (f *Follower) spread(d time.Duration, jitter float64) time.Duration {
+// jittered returns d times a random factor from 1-jitter to 1+jitter.
+func (f *Follower) jittered(d time.Duration, jitter float64) time.Duration {
 	return time.Duration(float64(d) * (1 - jitter + 2*jitter*f.rng.Float64()))
 }
 
-// catchUp asks peers if the store left something open, and publishes.
+// catchUp requests revisions from peers if the store could not provide them, and
+// publishes the result.
 func (f *Follower) catchUp(ctx context.Context) {
 	held := f.held.Load().Revision
-	behind := held < Revision(f.heard.Load()) || f.storeErr != nil && held < f.head
-	booting := !f.ready && (f.storeErr != nil || f.stuckAt > 0)
-	paced := f.askWait > 0 && time.Now().Before(f.askAfter)
-	if f.askPeers != nil && (behind || booting) && !paced {
+	behind := held < Revision(f.peerRevision.Load()) || f.storeErr != nil && held < f.head
+	starting := !f.ready && (f.storeErr != nil || f.blockedHead > 0)
+	waiting := f.peerWait > 0 && time.Now().Before(f.peerRetryAt)
+	if f.queryPeers != nil && (behind || starting) && !waiting {
 		f.pollPeers(ctx)
 	}
 	f.publish()
 }
 
-// last returns the highest revision at hand, in force or refused.
-func (f *Follower) last() Revision {
+// lastFetched returns the highest revision that was fetched, whether or not it is
+// valid.
+func (f *Follower) lastFetched() Revision {
 	if n := len(f.pending); n > 0 {
 		return f.pending[n-1].Revision
 	}
 	return f.held.Load().Revision
 }
 
-// publish makes the held revision current if the follower is ready, and
-// renews the state.
+// publish makes the held revision current if the follower is ready, and updates the
+// state that State returns.
 func (f *Follower) publish() {
 	held := f.held.Load()
 	if !held.HeadReadAt.Equal(f.headReadAt) {
-		renewed := *held
-		renewed.HeadReadAt = f.headReadAt
-		held = &renewed
+		updated := *held
+		updated.HeadReadAt = f.headReadAt
+		held = &updated
 		f.held.Store(held)
 	}
 	if f.ready {
 		old := f.current.Swap(held)
-		if f.applied != nil && (old == nil || old.Revision < held.Revision) {
-			f.applied(held)
+		if f.onApply != nil && (old == nil || old.Revision < held.Revision) {
+			f.onApply(held)
 		}
 	}
 	s := &FollowerState{
-		Revision:    held.Revision,
-		Head:        f.head,
-		Heard:       Revision(f.heard.Load()),
-		HeadReadAt:  f.headReadAt,
-		Ready:       f.ready,
-		Reason:      f.reason,
-		Refused:     f.refused,
-		PeerAnswers: f.answers,
+		Revision:     held.Revision,
+		Head:         f.head,
+		PeerRevision: Revision(f.peerRevision.Load()),
+		HeadReadAt:   f.headReadAt,
+		Ready:        f.ready,
+		Reason:       f.reason,
+		Invalid:      f.invalid,
+		PeerAnswers:  f.peerAnswers,
 	}
 	if f.storeErr != nil {
 		s.StoreError = f.storeErr.Error()
--- a/core/settle/follower_test.go
+++ b/core/settle/follower_test.go
@@ -127,7 +127,7 @@
 		}
 		synctest.Wait()
 		g.Expect(writer.Current().Revision).To(gomega.Equal(Revision(301)))
-		time.Sleep(snapshotSpread + 3*time.Second)
+		time.Sleep(maxSnapshotDelay + 3*time.Second)
 		synctest.Wait()
 		g.Expect(p.puts).To(gomega.Equal(1))
 		_, before := p.counts()
@@ -160,10 +160,10 @@
 		settleQueue(g, b, 60)
 		time.Sleep(3 * time.Second)
 		settleQueue(g, b, 195)
-		time.Sleep(snapshotSpread + 5*time.Second)
+		time.Sleep(maxSnapshotDelay + 5*time.Second)
 		synctest.Wait()
 		g.Expect(p.puts).To(gomega.Equal(1))
-		g.Expect(p.objects).To(gomega.HaveKey(snapName(256)))
+		g.Expect(p.objects).To(gomega.HaveKey(snapshotName(256)))
 	})
 }
 
@@ -178,7 +178,7 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(p.execute(store.Tx{
 		Conds: []store.Cond{{Key: headKey, Version: p.rows[headKey].Version}},
-		Puts:  []store.Put{{Key: headKey, Value: raw}, {Key: revKey(head.Revision), Value: value}},
+		Puts:  []store.Put{{Key: headKey, Value: raw}, {Key: revisionKey(head.Revision), Value: value}},
 	})).To(gomega.Succeed())
 	return head.Revision
 }
@@ -201,8 +201,8 @@
 		synctest.Wait()
 		g.Expect(f.Current().Revision).To(gomega.Equal(Revision(2)))
 		g.Expect(queueOf(f.Current())).NotTo(gomega.Equal(9))
-		g.Expect(f.State().Refused.Revision).To(gomega.Equal(bad))
-		g.Expect(f.State().Refused.Reason).To(gomega.ContainSubstring("colour"))
+		g.Expect(f.State().Invalid.Revision).To(gomega.Equal(bad))
+		g.Expect(f.State().Invalid.Reason).To(gomega.ContainSubstring("colour"))
 		fresh := follow(t, p, 2)
 		synctest.Wait()
 		g.Expect(fresh.Current().Revision).To(gomega.Equal(Revision(2)))
@@ -211,7 +211,7 @@
 		synctest.Wait()
 		g.Expect(f.Current().Revision).To(gomega.Equal(Revision(4)))
 		g.Expect(queueOf(f.Current())).To(gomega.Equal(9))
-		g.Expect(f.State().Refused).To(gomega.BeNil())
+		g.Expect(f.State().Invalid).To(gomega.BeNil())
 	})
 }
 
@@ -221,12 +221,12 @@
 		settleQueue(g, b, 3)
 		peer := follow(t, p, 1)
 		synctest.Wait()
-		p.edit(func() { p.rows[revKey(3)] = store.Row{Key: revKey(3), Version: 1, Value: []byte("{")} })
+		p.edit(func() { p.rows[revisionKey(3)] = store.Row{Key: revisionKey(3), Version: 1, Value: []byte("{")} })
 		alone := follow(t, p, 2)
 		helped := follow(t, p, 3, WithPeers(asking(g, 1, false, peer), 0))
 		synctest.Wait()
 		g.Expect(alone.Current()).To(gomega.BeNil())
-		g.Expect(alone.State().Refused.Revision).To(gomega.Equal(Revision(3)))
+		g.Expect(alone.State().Invalid.Revision).To(gomega.Equal(Revision(3)))
 		g.Expect(helped.Current().Revision).To(gomega.Equal(Revision(4)))
 		_, before := p.counts()
 		time.Sleep(time.Minute)
@@ -304,7 +304,7 @@
 		reply := peer.Answer(RevisionAskMsg{Have: r})
 		g.Expect(reply.Deltas).To(gomega.BeEmpty())
 		g.Expect(reply.Snapshot).NotTo(gomega.BeEmpty())
-		g.Expect(peer.Answer(RevisionAskMsg{Have: reply.Revision - keepDeltas}).Deltas).To(gomega.HaveLen(keepDeltas))
+		g.Expect(peer.Answer(RevisionAskMsg{Have: reply.Revision - maxRecentDeltas}).Deltas).To(gomega.HaveLen(maxRecentDeltas))
 		f.Hear(reply.Revision)
 		synctest.Wait()
 		g.Expect(f.Current().Revision).To(gomega.Equal(reply.Revision))
@@ -464,7 +464,7 @@
 		time.Sleep(10 * time.Minute)
 		synctest.Wait()
 		g.Expect(f.Current().Revision).To(gomega.Equal(Revision(1)))
-		g.Expect(f.State().Refused.Revision).To(gomega.Equal(Revision(900)))
+		g.Expect(f.State().Invalid.Revision).To(gomega.Equal(Revision(900)))
 		g.Expect(asks).To(gomega.BeNumerically("<=", 16))
 	})
 }
--- a/core/settle/fuzz_test.go
+++ b/core/settle/fuzz_test.go
@@ -16,7 +16,7 @@
 // FuzzRows guards against rows that pass their decoder and break their encoder.
 func FuzzRows(f *testing.F) {
 	delta, _ := json.Marshal(sampleDelta())
-	change, _ := json.Marshal(Change{ID: "c1", Author: "ana", State: Proposed, Ops: sampleDelta().Ops})
+	change, _ := json.Marshal(Change{ID: "c1", Author: "ana", State: StateProposed, Ops: sampleDelta().Ops})
 	for _, seed := range []string{string(delta), string(change), `{"revision":1,"change":"c"}`, `{}`, `[]`, `{"revision":-1}`} {
 		f.Add([]byte(seed))
 	}
@@ -65,7 +65,7 @@
 			return
 		}
 		follower := NewFollower(newPlatform().table())
-		follower.takeReply(&m)
+		follower.applyReply(&m)
 		if held := follower.held.Load(); held.Revision > 0 && held.Catalog == nil {
 			t.Fatalf("revision %d without catalog", held.Revision)
 		}
--- a/core/settle/history.go
+++ b/core/settle/history.go
@@ -11,72 +11,73 @@
 	"wisteriarelay.example/core/tree"
 )
 
-// bootstrapID names the change that becomes revision 1.
-const bootstrapID = "bootstrap"
+// bootstrapChangeID is the change id of revision 1.
+const bootstrapChangeID = "bootstrap"
 
-// Bootstrap makes the document revision 1 if there are no settings yet. It
-// returns the head revision and whether this call, or a lost one before it,
-// wrote it. The document must name the owners.
+// Bootstrap writes the document as revision 1 if there are no settings yet. It
+// returns the head revision and whether this call wrote it, possibly by an
+// attempt whose reply was lost. The document must name the owners.
 func (l *Changelog) Bootstrap(ctx context.Context, doc *tree.Doc, author string) (Revision, bool, error) {
 	ops := tree.Changes(tree.New(), doc)
-	if err := checkChange(bootstrapID, author, ops); err != nil {
+	if err := checkChange(bootstrapChangeID, author, ops); err != nil {
 		return 0, false, err
 	}
-	if _, err := applied(tree.New(), ops); err != nil {
+	if _, err := applyOps(tree.New(), ops); err != nil {
 		return 0, false, err
 	}
 	tx, err := bootstrapTx(ops, author)
 	if err != nil {
 		return 0, false, err
 	}
-	var doubt doubt
-	var failed error
-	for range storeTries {
-		head, _, err := l.src.head(ctx)
+	var ambiguous ambiguousWrite
+	var writeErr error
+	for range maxStoreAttempts {
+		head, _, err := l.reader.head(ctx)
 		if err != nil {
-			return 0, false, doubt.or(err)
+			return 0, false, ambiguous.orElse(err)
 		}
 		if head.Revision > 0 {
-			// Only a lost reply of this call makes the own write visible here.
-			own := doubt.lost != nil && head == Head{Revision: 1, Change: bootstrapID}
-			return head.Revision, own, nil
+			// Revision 1 can come from this call only if one of its attempts
+			// lost its reply.
+			written := ambiguous.err != nil && head == Head{Revision: 1, Change: bootstrapChangeID}
+			return head.Revision, written, nil
 		}
-		failed = doubt.note(l.src.table.Apply(ctx, tx))
-		if failed == nil {
+		writeErr = ambiguous.record(l.reader.table.Apply(ctx, tx))
+		if writeErr == nil {
 			return 1, true, nil
 		}
-		if !repeatable(failed) {
+		if !mustReread(writeErr) {
 			break
 		}
 	}
-	return 0, false, doubt.or(failed)
+	return 0, false, ambiguous.orElse(writeErr)
 }
 
 func bootstrapTx(ops []tree.Op, author string) (store.Tx, error) {
-	head, headErr := json.Marshal(Head{Revision: 1, Change: bootstrapID})
-	delta, deltaErr := json.Marshal(Delta{Revision: 1, Change: bootstrapID, Author: author, At: now(), Ops: ops})
+	head, headErr := json.Marshal(Head{Revision: 1, Change: bootstrapChangeID})
+	delta, deltaErr := json.Marshal(Delta{Revision: 1, Change: bootstrapChangeID, Author: author, At: now(), Ops: ops})
 	if err := errors.Join(headErr, deltaErr); err != nil {
 		return store.Tx{}, fault.Wrap(err, fault.Internal, "bootstrap")
 	}
 	return store.Tx{
-		ID:    bootstrapID,
-		Conds: []store.Cond{{Key: headKey}, {Key: revKey(1)}},
-		Puts:  []store.Put{{Key: headKey, Value: head}, {Key: revKey(1), Value: delta}},
+		ID:    bootstrapChangeID,
+		Conds: []store.Cond{{Key: headKey}, {Key: revisionKey(1)}},
+		Puts:  []store.Put{{Key: headKey, Value: head}, {Key: revisionKey(1), Value: delta}},
 	}, nil
 }
 
-// acceptedHead returns the head, or fault.NotFound before the bootstrap.
-func (l *Changelog) acceptedHead(ctx context.Context) (Head, error) {
-	head, _, err := l.src.head(ctx)
+// existingHead returns the head, or fault.NotFound if there are no settings yet.
+func (l *Changelog) existingHead(ctx context.Context) (Head, error) {
+	head, _, err := l.reader.head(ctx)
 	if err == nil && head.Revision == 0 {
 		return Head{}, fault.New(fault.NotFound, "no settings: revision 1 is not written yet")
 	}
 	return head, err
 }
 
-// Head returns the newest accepted revision and its document.
+// Head returns the newest committed revision and its document.
 func (l *Changelog) Head(ctx context.Context) (Revision, *tree.Doc, error) {
-	head, err := l.acceptedHead(ctx)
+	head, err := l.existingHead(ctx)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -84,9 +85,9 @@
 	return head.Revision, doc, err
 }
 
-// Doc returns the document of an accepted revision.
+// Doc returns the document of a committed revision.
 func (l *Changelog) Doc(ctx context.Context, r Revision) (*tree.Doc, error) {
-	head, err := l.acceptedHead(ctx)
+	head, err := l.existingHead(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -96,57 +97,60 @@
 	return l.docAt(ctx, r)
 }
 
-// docAt returns the document of a revision that is known to be accepted.
+// docAt returns the document of a revision that is known to be committed. It starts
+// from the cached document, from a snapshot if there are many deltas to replay,
+// or from the empty document.
 func (l *Changelog) docAt(ctx context.Context, r Revision) (*tree.Doc, error) {
-	from := version{doc: tree.New()}
-	if c := l.cached.Load(); c != nil && c.revision <= r {
-		from = *c
+	from := docRevision{doc: tree.New()}
+	if cached := l.cached.Load(); cached != nil && cached.revision <= r {
+		from = *cached
 	}
-	if r-from.revision > farBehind {
-		snap, found, err := l.src.snapshotUpTo(ctx, from.revision, r)
+	if r-from.revision > snapshotThreshold {
+		snap, found, err := l.reader.newestSnapshot(ctx, from.revision, r)
 		if err == nil && found {
-			from = version{revision: snap.Revision, doc: snap.Document}
+			from = docRevision{revision: snap.Revision, doc: snap.Document}
 		}
 	}
-	deltas, err := l.src.deltas(ctx, from.revision, r)
+	deltas, err := l.reader.deltas(ctx, from.revision, r)
 	if err != nil {
 		return nil, asFault(err)
 	}
-	if failed := fold(from.doc, deltas, 0, func(i int, doc *tree.Doc) {
-		from = version{revision: deltas[i].Revision, doc: doc}
-	}); failed != nil {
-		return nil, asFault(failed)
+	if invalid := applyValid(from.doc, deltas, 0, func(i int, doc *tree.Doc) {
+		from = docRevision{revision: deltas[i].Revision, doc: doc}
+	}); invalid != nil {
+		return nil, asFault(invalid)
 	}
-	l.remember(from)
+	l.cacheDoc(from)
 	return from.doc, nil
 }
 
-// asFault gives an unreadable revision a kind of the closed list.
+// asFault wraps a revisionError as a fault of kind SettingsInvalid and returns other
+// errors unchanged.
 func asFault(err error) error {
-	var u *undecodable
-	if errors.As(err, &u) {
+	var invalid *revisionError
+	if errors.As(err, &invalid) {
 		return fault.Wrap(err, fault.SettingsInvalid, "stored revision")
 	}
 	return err
 }
 
-// remember keeps the version if it is the newest seen.
-func (l *Changelog) remember(v version) {
+// cacheDoc caches the document unless a newer one is cached.
+func (l *Changelog) cacheDoc(d docRevision) {
 	for {
 		old := l.cached.Load()
-		if old != nil && old.revision >= v.revision {
+		if old != nil && old.revision >= d.revision {
 			return
 		}
-		if l.cached.CompareAndSwap(old, &v) {
+		if l.cached.CompareAndSwap(old, &d) {
 			return
 		}
 	}
 }
 
-// History returns up to limit accepted revisions below before, newest first;
-// before 0 starts at the head.
+// History returns up to limit committed revisions below before, newest first. If
+// before is 0, it starts at the head.
 func (l *Changelog) History(ctx context.Context, before Revision, limit int) ([]*Delta, error) {
-	head, err := l.acceptedHead(ctx)
+	head, err := l.existingHead(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -155,7 +159,7 @@
 		last = min(last, before-1)
 	}
 	first := last - min(last, Revision(max(limit, 0)))
-	deltas, err := l.src.deltas(ctx, first, last)
+	deltas, err := l.reader.deltas(ctx, first, last)
 	if err != nil {
 		return nil, asFault(err)
 	}
@@ -163,42 +167,42 @@
 	return deltas, nil
 }
 
-// Diff returns what differs between two accepted revisions.
+// Diff returns the differences between the documents of two committed revisions.
 func (l *Changelog) Diff(ctx context.Context, from, to Revision) ([]tree.Difference, error) {
-	a, err := l.Doc(ctx, from)
+	fromDoc, err := l.Doc(ctx, from)
 	if err != nil {
 		return nil, err
 	}
-	z, err := l.Doc(ctx, to)
+	toDoc, err := l.Doc(ctx, to)
 	if err != nil {
 		return nil, err
 	}
-	return tree.Differences(a, z), nil
+	return tree.Differences(fromDoc, toDoc), nil
 }
 
-// Rollback proposes the change that leads from the head back to the document
-// of an earlier revision. It needs approval and commit like any other change
-// and becomes a new revision.
+// Rollback proposes a change that restores the document of an earlier revision.
+// Like any other change it has to be approved and committed, and it creates a
+// new revision.
 func (l *Changelog) Rollback(ctx context.Context, to Revision, author, note string) (Change, error) {
-	head, now, err := l.Head(ctx)
+	head, headDoc, err := l.Head(ctx)
 	if err != nil {
 		return Change{}, err
 	}
-	then, err := l.Doc(ctx, to)
+	oldDoc, err := l.Doc(ctx, to)
 	if err != nil {
 		return Change{}, err
 	}
-	ops := tree.Changes(now, then)
+	ops := tree.Changes(headDoc, oldDoc)
 	if len(ops) == 0 {
 		return Change{}, fault.New(fault.BadRequest, "revision %d equals the head %d", to, head)
 	}
 	return l.Propose(ctx, Proposal{Base: head, Ops: ops, Author: author, Note: note})
 }
 
-// Rebase moves a change that lost to the head, on behalf of its author or an
-// owner. Approvals are kept if nothing that was accepted since touches what
-// the change touches. Otherwise they are dropped and only the author may
-// rebase, because the author's consent counts without a further approval.
+// Rebase makes the head the base of a proposed change, on behalf of the author or
+// an owner. Approvals are kept if no change that was committed after the old base
+// overlaps with this one. Otherwise they are dropped and only the author may
+// rebase, because an owner who is the author approves the change implicitly.
 func (l *Changelog) Rebase(ctx context.Context, id, by string) (Change, error) {
 	head, doc, err := l.Head(ctx)
 	if err != nil {
@@ -211,27 +215,27 @@
 	if c.Author != by && !slices.Contains(doc.Owners(), by) {
 		return Change{}, fault.New(fault.Forbidden, "change %s belongs to %s", id, c.Author)
 	}
-	if _, err := applied(doc, c.Ops); err != nil {
+	if _, err := applyOps(doc, c.Ops); err != nil {
 		return Change{}, err
 	}
-	since, err := l.src.deltas(ctx, c.Base, head)
+	since, err := l.reader.deltas(ctx, c.Base, head)
 	if err != nil {
 		return Change{}, asFault(err)
 	}
-	touched := len(overlaps(since, c.Ops)) > 0
-	if touched && c.Author != by {
+	overlapping := len(overlappingOps(since, c.Ops)) > 0
+	if overlapping && c.Author != by {
 		return Change{}, fault.New(fault.Forbidden, "change %s overlaps accepted ones; only its author %s may rebase it", id, c.Author)
 	}
 	base := c.Base
 	return l.update(ctx, id, func(c *Change) (bool, error) {
-		if err := demandProposed(*c); err != nil {
+		if err := requireProposed(*c); err != nil {
 			return false, err
 		}
 		if c.Base != base {
 			return false, nil
 		}
 		c.Base = head
-		if touched {
+		if overlapping {
 			c.Approvals = nil
 		}
 		return c.Base != base, nil
--- a/core/settle/message.go
+++ b/core/settle/message.go
@@ -9,34 +9,37 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// RevisionAskMsg asks a peer for the revisions above the one held.
+// RevisionAskMsg requests the revisions above Have from a peer.
 type RevisionAskMsg struct {
+	// Have is the newest revision that the sender holds; 0 stands for none.
 	Have Revision `json:"have" cbor:"1,keyasint"`
 }
 
-// RevisionReplyMsg is a peer's answer: deltas that follow the asked revision,
-// or a snapshot if the peer does not keep all of them, or neither if the peer
-// holds nothing newer.
+// RevisionReplyMsg is the reply to a RevisionAskMsg. It contains the deltas after
+// the requested revision, or a snapshot if the peer no longer has all of them, or
+// neither if the peer has nothing newer.
 type RevisionReplyMsg struct {
 	// Revision is the revision that the peer holds; 0 stands for none.
 	Revision Revision `json:"revision" cbor:"1,keyasint"`
-	// Ready says that the peer serves with the revision. A peer that is itself
-	// booting proves nothing about how recent its revision is.
+	// Ready reports whether the peer uses the revision. The revision of a peer
+	// that is itself starting may be arbitrarily old.
 	Ready bool `json:"ready" cbor:"2,keyasint"`
-	// HeadRead says that the peer has read the head row, HeadAge how long ago.
+	// HeadRead reports whether the peer has read the head row and fetched all
+	// revisions up to it; HeadAge is the time since that read.
 	HeadRead bool          `json:"head-read" cbor:"3,keyasint"`
 	HeadAge  time.Duration `json:"head-age" cbor:"4,keyasint"`
 	Deltas   []*Delta      `json:"deltas,omitempty" cbor:"5,keyasint,omitempty"`
-	// Snapshot has the format of a snapshot object.
+	// Snapshot has the format of a snapshot object: gzip-compressed JSON.
 	Snapshot []byte `json:"snapshot,omitempty" cbor:"6,keyasint,omitempty"`
 }
 
-// plainReply has the fields of RevisionReplyMsg without its methods.
-type plainReply RevisionReplyMsg
+// plainRevisionReply is RevisionReplyMsg without its methods, so that decoding
+// does not recurse.
+type plainRevisionReply RevisionReplyMsg
 
-// UnmarshalCBOR decodes a reply and checks it.
+// UnmarshalCBOR decodes and validates a reply.
 func (m *RevisionReplyMsg) UnmarshalCBOR(data []byte) error {
-	var p plainReply
+	var p plainRevisionReply
 	if err := cbor.Unmarshal(data, &p); err != nil {
 		return fault.Wrap(err, fault.MessageInvalid, "revision reply")
 	}
@@ -44,8 +47,8 @@
 	return m.Check()
 }
 
-// Check reports whether the deltas follow one another up to the revision and
-// the other fields agree with each other.
+// Check returns an error unless the deltas are consecutive and end at Revision, and
+// the other fields are consistent and within their limits.
 func (m *RevisionReplyMsg) Check() error {
 	if m.HeadAge < 0 {
 		return fault.New(fault.MessageInvalid, "revision reply with head age %s", m.HeadAge)
@@ -53,7 +56,7 @@
 	if len(m.Deltas) > 0 && len(m.Snapshot) > 0 {
 		return fault.New(fault.MessageInvalid, "revision reply with both deltas and a snapshot")
 	}
-	if len(m.Snapshot) > maxSnapshot {
+	if len(m.Snapshot) > maxSnapshotBytes {
 		return fault.New(fault.MessageInvalid, "revision reply with a snapshot of %d bytes", len(m.Snapshot))
 	}
 	want := m.Revision - min(m.Revision, Revision(len(m.Deltas)))
@@ -66,11 +69,11 @@
 	return nil
 }
 
-// PeerReply is the answer of one peer with what the transport knows about it.
+// PeerReply is the reply of one peer, with what the caller knows about the peer.
 type PeerReply struct {
 	From       fleet.VMID
 	DataCentre fleet.DataCentre
-	// Seed says that the peer was asked at a seed address of the process settings.
+	// Seed is set if the request was sent to a seed address of the process settings.
 	Seed bool
 	Msg  RevisionReplyMsg
 }
--- a/core/settle/peers.go
+++ b/core/settle/peers.go
@@ -11,59 +11,62 @@
 )
 
 const (
-	// bootPeers and bootCentres are the ready peers and the data centres among
-	// them whose answers allow a start without the store.
-	bootPeers   = 3
-	bootCentres = 2
-	// freshHead is the age of a head read up to which one peer is enough.
-	freshHead = 30 * time.Second
-	// askWaitMost bounds the wait between asks that bring nothing usable.
-	askWaitMost = time.Minute
+	// coldStartPeers and coldStartDataCentres are the minimum numbers of ready peers
+	// and of their data centres that allow a start without the store.
+	coldStartPeers       = 3
+	coldStartDataCentres = 2
+	// maxColdStartHeadAge is the maximum age of a peer's head read at which this
+	// peer alone allows a start without the store.
+	maxColdStartHeadAge = 30 * time.Second
+	// maxPeerWait is the longest wait between requests that bring nothing usable.
+	maxPeerWait = time.Minute
 )
 
-// pollPeers asks the peers, takes the newest revision that they can give, and
-// applies the cold boot rule to a follower that is not ready.
+// pollPeers requests revisions from the peers and applies the newest one that they
+// can provide. If the follower is not ready, it decides whether the replies allow
+// it to start without the store.
 func (f *Follower) pollPeers(ctx context.Context) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
-	replies := f.askPeers(ctx, f.held.Load().Revision)
+	replies := f.queryPeers(ctx, f.held.Load().Revision)
 	cancel()
 	replies = distinctReplies(replies)
-	f.answers = len(replies)
+	f.peerAnswers = len(replies)
 	for _, r := range replies {
-		f.raiseHeard(r.Msg.Revision)
+		f.raisePeerRevision(r.Msg.Revision)
 	}
 	slices.SortStableFunc(replies, func(a, b PeerReply) int { return cmp.Compare(b.Msg.Revision, a.Msg.Revision) })
-	had, offered := f.held.Load().Revision, false
+	before, offered := f.held.Load().Revision, false
 	for _, r := range replies {
 		if r.Msg.Revision > f.held.Load().Revision {
 			offered = true
-			f.takeReply(&r.Msg)
+			f.applyReply(&r.Msg)
 		}
 	}
-	f.paceAsks(offered && f.held.Load().Revision == had)
+	f.backOffPeers(offered && f.held.Load().Revision == before)
 	if f.ready {
 		return
 	}
-	if reason, enough := bootProof(replies, f.seeds, time.Since(asked)); enough {
-		f.becomeReady(reason)
+	if reason, allowed := coldStartAllowed(replies, f.numSeeds, time.Since(requestedAt)); allowed {
+		f.markReady(reason)
 	} else {
 		f.reason = reason
 	}
 }
 
-// paceAsks spaces the asks out while peers offer what this daemon cannot
-// decode or compile: a repeated snapshot would exceed 5 KB/s.
-func (f *Follower) paceAsks(useless bool) {
+// backOffPeers doubles the wait between requests while the peers offer only
+// revisions that this daemon cannot decode or compile. Fetching a snapshot at every
+// poll would exceed 5 KB/s.
+func (f *Follower) backOffPeers(useless bool) {
 	if !useless {
-		f.askWait = 0
+		f.peerWait = 0
 		return
 	}
-	f.askWait = min(askWaitMost, max(pollEvery, 2*f.askWait))
-	f.askAfter = time.Now().Add(f.askWait)
+	f.peerWait = min(maxPeerWait, max(pollInterval, 2*f.peerWait))
+	f.peerRetryAt = time.Now().Add(f.peerWait)
 }
 
-// distinctReplies keeps the first valid reply of each peer.
+// distinctReplies returns the first valid reply of each peer.
 func distinctReplies(replies []PeerReply) []PeerReply {
 	seen := make(map[fleet.VMID]bool, len(replies))
 	var out []PeerReply
@@ -77,66 +80,69 @@
 	return out
 }
 
-func (f *Follower) takeReply(m *RevisionReplyMsg) {
+// applyReply applies the deltas or the snapshot of a reply.
+func (f *Follower) applyReply(m *RevisionReplyMsg) {
 	if len(m.Snapshot) == 0 {
-		f.feed(m.Deltas)
+		f.applyDeltas(m.Deltas)
 		return
 	}
 	snap, err := decodeSnapshot(m.Snapshot)
 	if err != nil {
-		f.refuse(&undecodable{revision: m.Revision, cause: err})
+		f.reportInvalid(&revisionError{revision: m.Revision, cause: err})
 		return
 	}
-	f.takeSnapshot(snap)
+	f.applySnapshot(snap)
 }
 
-// bootProof decides whether the replies allow a start without the store, and
-// says why. Only ready peers that hold a revision count: daemons that boot at
-// the same time would otherwise confirm one stale revision to each other.
-// waited is added to the ages that the peers report.
-func bootProof(replies []PeerReply, seeds int, waited time.Duration) (reason string, enough bool) {
-	centres := map[fleet.DataCentre]bool{}
-	count, seedCount := 0, 0
-	fresh := false
+// coldStartAllowed decides whether the replies allow the follower to start without
+// the store, and returns the reason. Only ready peers that hold a revision count;
+// otherwise daemons that start at the same time would confirm an outdated revision
+// to each other. elapsed, the time since the request, is added to the head ages
+// that the peers report.
+func coldStartAllowed(replies []PeerReply, numSeeds int, elapsed time.Duration) (reason string, allowed bool) {
+	dataCentres := map[fleet.DataCentre]bool{}
+	readyPeers, readySeeds := 0, 0
+	recentHead := false
 	for _, r := range replies {
 		if !r.Msg.Ready || r.Msg.Revision == 0 {
 			continue
 		}
-		count++
-		centres[r.DataCentre] = true
+		readyPeers++
+		dataCentres[r.DataCentre] = true
 		if r.Seed {
-			seedCount++
+			readySeeds++
 		}
-		fresh = fresh || r.Msg.HeadRead && r.Msg.HeadAge+waited <= freshHead
+		recentHead = recentHead || r.Msg.HeadRead && r.Msg.HeadAge+elapsed <= maxColdStartHeadAge
 	}
 	switch {
-	case count >= bootPeers && len(centres) >= bootCentres:
-		return fmt.Sprintf("%d peers in %d data centres answered", count, len(centres)), true
-	case seeds > 0 && seedCount*2 > seeds:
-		return fmt.Sprintf("%d of %d seeds answered", seedCount, seeds), true
-	case fresh:
-		return fmt.Sprintf("a peer read the head at most %s ago", freshHead), true
+	case readyPeers >= coldStartPeers && len(dataCentres) >= coldStartDataCentres:
+		return fmt.Sprintf("%d peers in %d data centres answered", readyPeers, len(dataCentres)), true
+	case numSeeds > 0 && readySeeds*2 > numSeeds:
+		return fmt.Sprintf("%d of %d seeds answered", readySeeds, numSeeds), true
+	case recentHead:
+		return fmt.Sprintf("a peer read the head at most %s ago", maxColdStartHeadAge), true
 	default:
-		return fmt.Sprintf("store unavailable; %d ready peers in %d data centres answered, %d of %d seeds, none with a head read in the last %s", count, len(centres), seedCount, seeds, freshHead), false
+		return fmt.Sprintf("store unavailable; %d ready peers in %d data centres answered, %d of %d seeds, none with a head read in the last %s", readyPeers, len(dataCentres), readySeeds, numSeeds, maxColdStartHeadAge), false
 	}
 }
 
-// Answer returns what a peer that holds the asked revision lacks, from memory.
-func (f *Follower) Answer(ask RevisionAskMsg) RevisionReplyMsg {
+// Answer returns the reply to a request of a peer: the revisions that the peer
+// lacks. It needs no I/O.
+func (f *Follower) Answer(request RevisionAskMsg) RevisionReplyMsg {
 	held := f.held.Load()
 	reply := RevisionReplyMsg{Revision: held.Revision, Ready: f.current.Load() != nil}
 	if !held.HeadReadAt.IsZero() {
 		reply.HeadRead = true
 		reply.HeadAge = max(0, time.Since(held.HeadReadAt))
 	}
-	if ask.Have >= held.Revision {
+	if request.Have >= held.Revision {
 		return reply
 	}
-	missing := int(min(held.Revision-ask.Have, keepDeltas+1))
+	missing := int(min(held.Revision-request.Have, maxRecentDeltas+1))
 	if missing <= len(held.recent) {
 		reply.Deltas = held.recent[len(held.recent)-missing:]
 		return reply
 	}
-	reply.Snapshot = f.pack(held)
+	reply.Snapshot = f.encode(held)
 	return reply
 }
--- a/core/settle/snapshot.go
+++ b/core/settle/snapshot.go
@@ -11,48 +11,53 @@
 	"wisteriarelay.example/core/tree"
 )
 
-// snapshotSpread is the time over which the daemons look whether a snapshot
-// object is written. Of 690 daemons the first writes it about 1 s after the
-// revision, and the others read the object 1.15 times a second together.
-const snapshotSpread = 10 * time.Minute
+// maxSnapshotDelay is the maximum random delay after which a daemon checks whether a
+// snapshot object exists, and writes it if not. Of 690 daemons the first one writes
+// it about 1 s after the revision, and all others together then read it 1.15
+// times a second.
+const maxSnapshotDelay = 10 * time.Minute
 
-// dueSnapshot is a snapshot object that this daemon writes unless another does.
+// dueSnapshot is a snapshot object that this daemon writes at the time at, unless
+// another daemon has written it.
 type dueSnapshot struct {
 	revision Revision
 	doc      *tree.Doc
 	at       time.Time
 }
 
-func (f *Follower) schedule(a *Applied) {
-	if f.src.objects.Put == nil || a.Revision%SnapshotEvery != 0 || len(a.recent) == 0 {
+// scheduleSnapshot schedules the snapshot object of the revision if there is to be
+// one. A revision that was itself loaded from a snapshot needs none.
+func (f *Follower) scheduleSnapshot(a *Applied) {
+	if f.reader.objects.Put == nil || a.Revision%SnapshotInterval != 0 || len(a.recent) == 0 {
 		return
 	}
 	f.due = &dueSnapshot{revision: a.Revision, doc: a.Doc, at: time.Now().Add(f.snapshotDelay())}
 }
 
 func (f *Follower) snapshotDelay() time.Duration {
-	return time.Duration(f.rng.Float64() * float64(snapshotSpread))
+	return time.Duration(f.rng.Float64() * float64(maxSnapshotDelay))
 }
 
-// writeSnapshot writes the due snapshot object if it does not exist. A failure
-// is tried again later; until then a cold start reads an older snapshot and
-// more deltas.
-func (f *Follower) writeSnapshot(ctx context.Context) {
+// writeDueSnapshot writes the scheduled snapshot object when it is due. A failed
+// write is repeated later; until then a starting daemon reads an older snapshot
+// and more deltas.
+func (f *Follower) writeDueSnapshot(ctx context.Context) {
 	if f.due == nil || time.Now().Before(f.due.at) {
 		return
 	}
-	if err := f.storeSnapshot(ctx, f.due); err != nil {
+	if err := f.putSnapshot(ctx, f.due); err != nil {
 		f.due.at = time.Now().Add(f.snapshotDelay())
 		return
 	}
 	f.due = nil
 }
 
-func (f *Follower) storeSnapshot(ctx context.Context, due *dueSnapshot) error {
-	ctx, cancel := context.WithTimeout(ctx, snapshotTries*callTimeout)
+// putSnapshot writes the snapshot object unless it exists.
+func (f *Follower) putSnapshot(ctx context.Context, due *dueSnapshot) error {
+	ctx, cancel := context.WithTimeout(ctx, maxSnapshotAttempts*callTimeout)
 	defer cancel()
-	name := snapName(due.revision)
-	_, err := f.src.objects.Get(ctx, name)
+	name := snapshotName(due.revision)
+	_, err := f.reader.objects.Get(ctx, name)
 	if !fault.Is(err, fault.NotFound) {
 		return err
 	}
@@ -60,33 +65,33 @@
 	if err != nil {
 		return err
 	}
-	return f.src.objects.Put(ctx, name, data)
+	return f.reader.objects.Put(ctx, name, data)
 }
 
-// packedSnapshot is the encoded snapshot of a held revision.
-type packedSnapshot struct {
+// encodedSnapshot is the encoded snapshot of a revision.
+type encodedSnapshot struct {
 	revision Revision
 	data     []byte
 }
 
-// pack returns the encoded snapshot of the held revision and keeps it for the
-// next peer. The mutex lets one caller encode at a time; it spans no I/O.
-func (f *Follower) pack(held *Applied) []byte {
-	f.packing.Lock()
-	defer f.packing.Unlock()
-	if p := f.packed.Load(); p != nil && p.revision == held.Revision {
-		return p.data
+// encode returns the encoded snapshot of the held revision and caches it for the
+// next peer. The mutex lets one caller encode at a time; no I/O happens under it.
+func (f *Follower) encode(held *Applied) []byte {
+	f.encodeMu.Lock()
+	defer f.encodeMu.Unlock()
+	if cached := f.encoded.Load(); cached != nil && cached.revision == held.Revision {
+		return cached.data
 	}
 	data, err := encodeSnapshot(held.Revision, held.Doc)
 	if err != nil {
 		return nil
 	}
-	f.packed.Store(&packedSnapshot{revision: held.Revision, data: data})
+	f.encoded.Store(&encodedSnapshot{revision: held.Revision, data: data})
 	return data
 }
 
-// encodeSnapshot returns the same bytes for the same revision on every daemon,
-// so that it does not matter which one writes the object.
+// encodeSnapshot returns the encoded snapshot of the document. The bytes are the same
+// on every daemon, so it does not matter which one writes the object.
 func encodeSnapshot(r Revision, doc *tree.Doc) ([]byte, error) {
 	raw, err := json.Marshal(snapshot{Revision: r, Document: doc})
 	if err != nil {
--- a/core/settle/state.go
+++ b/core/settle/state.go
@@ -6,43 +6,48 @@
 	"wisteriarelay.example/core/tree"
 )
 
-// Applied is the revision in force at a daemon; it is immutable.
+// Applied is a revision with its document and the compiled catalog, as a daemon
+// uses it. It is immutable.
 type Applied struct {
 	Revision Revision
-	// Change is the id of the change that became the revision; it is empty if
-	// the revision came in a snapshot.
+	// Change is the id of the change that created the revision. It is empty if
+	// the revision was loaded from a snapshot.
 	Change  string
 	Doc     *tree.Doc
 	Catalog *tree.Catalog
-	// HeadReadAt is the start of the last read of the head row after which
-	// every revision up to the head was at hand; zero if there was none.
+	// HeadReadAt is the start time of the last read of the head row after which
+	// all revisions up to the head had been fetched. It is zero before that.
 	HeadReadAt time.Time
 
-	// recent holds the last deltas up to Revision, for peers.
+	// recent holds the last deltas up to Revision, which are sent to peers on
+	// request.
 	recent []*Delta
 }
 
-// Refused is a revision that stays out.
-type Refused struct {
+// InvalidRevision describes a revision that the follower could not apply.
+type InvalidRevision struct {
 	Revision Revision `json:"revision"`
 	Reason   string   `json:"reason"`
 }
 
-// FollowerState is what a Follower reports about itself.
+// FollowerState is the state of a Follower as shown in the state dump.
 type FollowerState struct {
 	Revision Revision `json:"revision"`
-	// Head is the last head read from the table.
+	// Head is the revision of the head row when it was last read.
 	Head Revision `json:"head"`
-	// Heard is the highest revision that a peer reported.
-	Heard      Revision  `json:"heard"`
-	HeadReadAt time.Time `json:"head-read-at"`
-	Ready      bool      `json:"ready"`
-	// Reason says why the follower is or is not ready.
+	// PeerRevision is the highest revision that a peer reported.
+	PeerRevision Revision  `json:"heard"`
+	HeadReadAt   time.Time `json:"head-read-at"`
+	Ready        bool      `json:"ready"`
+	// Reason explains why the follower is ready or not.
 	Reason string `json:"reason"`
-	// Refused is the newest revision that could not be decoded or compiled.
-	Refused *Refused `json:"refused,omitempty"`
-	// StoreError is the last error of the platform; empty after a success.
+	// Invalid is the newest revision that could not be decoded, applied or
+	// compiled. It is nil once that revision or a later one is applied.
+	Invalid *InvalidRevision `json:"refused,omitempty"`
+	// StoreError is the error of the last poll of the store; it is empty after a
+	// successful poll.
 	StoreError string `json:"store-error,omitempty"`
-	// PeerAnswers is the number of peers that answered the last ask.
+	// PeerAnswers is the number of peers that answered the last request for
+	// revisions.
 	PeerAnswers int `json:"peer-answers"`
 }
--- a/core/settle/types.go
+++ b/core/settle/types.go
@@ -10,50 +10,52 @@
 	"wisteriarelay.example/core/tree"
 )
 
-// Revision numbers the accepted states of the settings tree from 1; 0 stands
-// for no settings.
+// Revision is the sequence number of a committed state of the settings tree.
+// The first revision is 1; 0 means that there are no settings.
 type Revision uint64
 
 // State is the state of a change.
 type State string
 
-// The states of a change. All but Proposed are final.
+// The states of a change. All but StateProposed are final.
 const (
-	Proposed  State = "proposed"
-	Committed State = "committed"
-	Rejected  State = "rejected"
-	Withdrawn State = "withdrawn"
+	StateProposed  State = "proposed"
+	StateCommitted State = "committed"
+	StateRejected  State = "rejected"
+	StateWithdrawn State = "withdrawn"
 )
 
-// Approval is the consent of one owner to a change.
+// Approval records that an owner approved a change.
 type Approval struct {
 	Owner string    `json:"owner"`
 	At    time.Time `json:"at"`
 }
 
-// Change is a proposal against a base revision, as its row holds it.
+// Change is a proposed change to the settings, as stored in its table row. Its
+// ops apply to the document of the base revision.
 type Change struct {
-	ID        string     `json:"id"`
-	Base      Revision   `json:"base"`
-	Ops       []tree.Op  `json:"ops"`
-	Author    string     `json:"author"`
-	Note      string     `json:"note,omitempty"`
-	Proposed  time.Time  `json:"proposed"`
-	Approvals []Approval `json:"approvals,omitempty"`
-	State     State      `json:"state"`
-	// Revision is the revision that the change became.
+	ID         string     `json:"id"`
+	Base       Revision   `json:"base"`
+	Ops        []tree.Op  `json:"ops"`
+	Author     string     `json:"author"`
+	Note       string     `json:"note,omitempty"`
+	ProposedAt time.Time  `json:"proposed"`
+	Approvals  []Approval `json:"approvals,omitempty"`
+	State      State      `json:"state"`
+	// Revision is the revision that the commit of the change created.
 	Revision Revision `json:"revision,omitempty"`
-	// DecidedBy and Reason are set by a rejection or withdrawal.
+	// DecidedBy and Reason are set when the change is rejected or withdrawn.
 	DecidedBy string `json:"decided-by,omitempty"`
 	Reason    string `json:"reason,omitempty"`
-	// Fence counts how often Resolve wrote the row to void earlier commits.
+	// Fence counts the writes by which Resolve raised the version of the row, so
+	// that commits which are still in flight fail on their condition.
 	Fence uint64 `json:"fence,omitempty"`
 }
 
-// plainChange has the fields of Change without its methods.
+// plainChange is Change without its methods, so that decoding does not recurse.
 type plainChange Change
 
-// UnmarshalJSON decodes a change and checks it.
+// UnmarshalJSON decodes and validates a change.
 func (c *Change) UnmarshalJSON(data []byte) error {
 	var p plainChange
 	if err := json.Unmarshal(data, &p); err != nil {
@@ -64,26 +66,27 @@
 		return err
 	}
 	switch c.State {
-	case Proposed, Committed, Rejected, Withdrawn:
+	case StateProposed, StateCommitted, StateRejected, StateWithdrawn:
 		return nil
 	default:
 		return fault.New(fault.SettingsInvalid, "change %s has the unknown state %q", c.ID, c.State)
 	}
 }
 
-// Bounds of the texts of a change.
+// Limits for the texts of a change, in bytes.
 const (
-	maxID     = 64
-	maxAuthor = 128
-	maxNote   = 4096
+	maxIDBytes     = 64
+	maxAuthorBytes = 128
+	maxNoteBytes   = 4096
 )
 
+// checkChange validates the fields that a change and its delta have in common.
 func checkChange(id, author string, ops []tree.Op) error {
-	if id == "" || len(id) > maxID || !plainText(id) {
-		return fault.New(fault.SettingsInvalid, "change id %q; allowed: 1 to %d letters, digits or '-'", id, maxID)
+	if id == "" || len(id) > maxIDBytes || !validIDText(id) {
+		return fault.New(fault.SettingsInvalid, "change id %q; allowed: 1 to %d letters, digits or '-'", id, maxIDBytes)
 	}
-	if author == "" || len(author) > maxAuthor {
-		return fault.New(fault.SettingsInvalid, "change %s: author of %d bytes; allowed: 1 to %d", id, len(author), maxAuthor)
+	if author == "" || len(author) > maxAuthorBytes {
+		return fault.New(fault.SettingsInvalid, "change %s: author of %d bytes; allowed: 1 to %d", id, len(author), maxAuthorBytes)
 	}
 	if len(ops) == 0 {
 		return fault.New(fault.SettingsInvalid, "change %s has no ops", id)
@@ -91,7 +94,8 @@
 	return nil
 }
 
-func plainText(s string) bool {
+// validIDText reports whether s consists of letters, digits and hyphens only.
+func validIDText(s string) bool {
 	for _, c := range []byte(s) {
 		if (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && (c < '0' || c > '9') && c != '-' {
 			return false
@@ -100,24 +104,26 @@
 	return true
 }
 
-// Delta is one accepted revision: the ops that lead to it from its
-// predecessor. It is immutable.
+// Delta is one committed revision: the ops that produce it from the revision
+// before it. It is immutable.
 type Delta struct {
 	Revision Revision `json:"revision" cbor:"1,keyasint"`
-	// Change is the id of the change that became the revision.
+	// Change is the id of the committed change.
 	Change string `json:"change" cbor:"2,keyasint"`
 	Author string `json:"author" cbor:"3,keyasint"`
-	// Approvals names the owners whose consent counted.
+	// Approvals lists the owners who approved the change, including its author
+	// if the author is an owner.
 	Approvals []string `json:"approvals,omitempty" cbor:"4,keyasint,omitempty"`
 	Note      string   `json:"note,omitempty" cbor:"5,keyasint,omitempty"`
-	// At has a resolution of one second.
+	// At is the time of the commit, in whole seconds.
 	At  time.Time `json:"at" cbor:"6,keyasint"`
 	Ops []tree.Op `json:"ops" cbor:"7,keyasint"`
 }
 
-// plainDelta has the fields of Delta without its methods.
+// plainDelta is Delta without its methods, so that decoding does not recurse.
 type plainDelta Delta
 
+// check validates the delta and converts its time to UTC.
 func (d *Delta) check() error {
 	if d.Revision == 0 {
 		return fault.New(fault.SettingsInvalid, "delta %s has no revision", d.Change)
@@ -126,7 +132,7 @@
 	return checkChange(d.Change, d.Author, d.Ops)
 }
 
-// UnmarshalJSON decodes a delta and checks it.
+// UnmarshalJSON decodes and validates a delta.
 func (d *Delta) UnmarshalJSON(data []byte) error {
 	var p plainDelta
 	if err := json.Unmarshal(data, &p); err != nil {
@@ -136,7 +142,7 @@
 	return d.check()
 }
 
-// UnmarshalCBOR decodes a delta and checks it.
+// UnmarshalCBOR decodes and validates a delta.
 func (d *Delta) UnmarshalCBOR(data []byte) error {
 	var p plainDelta
 	if err := cbor.Unmarshal(data, &p); err != nil {
@@ -146,17 +152,17 @@
 	return d.check()
 }
 
-// Head is the value of the head row.
+// Head is the value of the head row, which names the newest revision.
 type Head struct {
 	Revision Revision `json:"revision"`
-	// Change is the id of the change that became the revision.
+	// Change is the id of the change that created the revision.
 	Change string `json:"change"`
 }
 
-// plainHead has the fields of Head without its methods.
+// plainHead is Head without its methods, so that decoding does not recurse.
 type plainHead Head
 
-// UnmarshalJSON decodes a head and checks it.
+// UnmarshalJSON decodes and validates a head.
 func (h *Head) UnmarshalJSON(data []byte) error {
 	var p plainHead
 	if err := json.Unmarshal(data, &p); err != nil {
@@ -169,19 +175,20 @@
 	return nil
 }
 
-// Conflict says what was accepted since the base of a change that lost.
+// Conflict is the error for a change that cannot be committed because other
+// changes were committed after its base revision.
 type Conflict struct {
 	Change string   `json:"change"`
 	Base   Revision `json:"base"`
 	Head   Revision `json:"head"`
-	// Since lists the revisions after the base, oldest first; it is cut off
-	// behind 64 and empty if the store could not be read.
+	// Since lists the first revisions after the base, at most 64, oldest first.
+	// It is incomplete or empty if the store could not be read.
 	Since []*Delta `json:"since,omitempty"`
-	// Overlaps lists those of their ops that touch what the change touches.
+	// Overlaps lists the ops of these revisions that overlap with the change.
 	Overlaps []tree.Op `json:"overlaps,omitempty"`
 }
 
-// Error returns base and head and names the overlapping paths.
+// Error names the change and the overlapping paths and keys.
 func (c *Conflict) Error() string {
 	text := "change " + c.Change + " was proposed against an earlier revision"
 	for _, o := range c.Overlaps {
@@ -190,8 +197,8 @@
 	return text
 }
 
-// overlaps returns the ops of the deltas that touch what the ops touch.
-func overlaps(since []*Delta, ops []tree.Op) []tree.Op {
+// overlappingOps returns the ops of the deltas that overlap with one of ops.
+func overlappingOps(since []*Delta, ops []tree.Op) []tree.Op {
 	var out []tree.Op
 	for _, d := range since {
 		for _, theirs := range d.Ops {
