--- a/core/settle/follower_test.go
+++ b/core/settle/follower_test.go
@@ -19,32 +19,35 @@
 	"wisteriarelay.example/core/tree"
 )
 
-// inBubble runs a test with paused time.
+// inBubble runs a test in a synctest bubble, with a fake clock.
 func inBubble(t *testing.T, test func(t *testing.T, g *gomega.WithT)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { test(t, gomega.NewWithT(t)) })
 }
 
-// follow starts a follower with a fixed seed that ends with the test.
-func follow(t *testing.T, p *platform, seed uint64, opts ...FollowerOption) *Follower {
+// startFollower starts a follower with a fixed seed. It stops when the test ends.
+func startFollower(t *testing.T, p *fakePlatform, seed uint64, opts ...FollowerOption) *Follower {
 	t.Helper()
-	f := idle(p.table(), seed, append(opts, WithSnapshots(p.objectStore()))...)
-	start(t, f)
+	f := newSeededFollower(p.table(), seed, append(opts, WithSnapshots(p.objectStore()))...)
+	startAndStop(t, f)
 	return f
 }
 
-func idle(table store.Table, seed uint64, opts ...FollowerOption) *Follower {
+// newSeededFollower returns a follower with a fixed seed that is not started.
+func newSeededFollower(table store.Table, seed uint64, opts ...FollowerOption) *Follower {
 	return NewFollower(table, append(opts, WithRand(rand.New(rand.NewPCG(seed, 1))))...)
 }
 
-func start(t *testing.T, f *Follower) {
+// startAndStop starts a follower and stops it when the test ends.
+func startAndStop(t *testing.T, f *Follower) {
 	f.Start(t.Context())
 	t.Cleanup(f.Stop)
 }
 
-// asking returns a peer function that asks other followers through the wire
-// format; each is in the data centre of its index modulo centres.
-func asking(g gomega.Gomega, centres int, seed bool, peers ...*Follower) func(context.Context, Revision) []PeerReply {
+// answeringPeers returns a function for WithPeers that requests revisions from other
+// followers and passes the replies through the wire format. The data centre of each
+// peer is its index modulo dataCentres.
+func answeringPeers(g gomega.Gomega, dataCentres int, seed bool, peers ...*Follower) func(context.Context, Revision) []PeerReply {
 	return func(_ context.Context, have Revision) []PeerReply {
 		var out []PeerReply
 		for i, p := range peers {
@@ -52,59 +55,60 @@
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			var m RevisionReplyMsg
 			g.Expect(cbor.Unmarshal(raw, &m)).To(gomega.Succeed())
-			out = append(out, PeerReply{From: fleet.VMID(fmt.Sprint("vm-", i)), DataCentre: fleet.DataCentre(fmt.Sprint(i % centres)), Seed: seed, Msg: m})
+			out = append(out, PeerReply{From: fleet.VMID(fmt.Sprint("vm-", i)), DataCentre: fleet.DataCentre(fmt.Sprint(i % dataCentres)), Seed: seed, Msg: m})
 		}
 		return out
 	}
 }
 
-// counts returns how often the head was read and revisions were scanned.
-func (p *platform) counts() (heads, scans int) {
+// counts returns the numbers of reads of the head row and of scans.
+func (p *fakePlatform) counts() (heads, scans int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.headReads), p.scans
 }
 
-// settleQueue proposes and commits n changes of one value.
-func settleQueue(g gomega.Gomega, b *Changelog, n int) Revision {
+// commitQueueLengths commits n changes of one queue length, with different values.
+func commitQueueLengths(g gomega.Gomega, changelog *Changelog, n int) Revision {
 	var r Revision
 	for i := range n {
-		r = settleOps(g, b, tree.Set(stock, "queue-length", 100+i+int(r)))
+		r = commitOps(g, changelog, tree.Set(stockService, "queue-length", 100+i+int(r)))
 	}
 	return r
 }
 
-func queueOf(a *Applied) int {
+func queueLength(a *Applied) int {
 	svc, _ := a.Catalog.Service("stock")
 	return svc.Policy.QueueLength
 }
 
-func TestFollowerTakesDeltasInTime(t *testing.T) {
-	// Guards against a change that is not in force within seconds.
+func TestFollowerAppliesDeltaWithinSeconds(t *testing.T) {
+	// Guards against a change that is not in force within 2.4 s, one poll with
+	// its jitter.
 	inBubble(t, func(t *testing.T, g *gomega.WithT) {
-		p, b := opened(g)
+		p, changelog := bootstrapped(g)
 		var seen []Revision
-		f := idle(p.table(), 1, WithApplied(func(a *Applied) { seen = append(seen, a.Revision) }))
+		f := newSeededFollower(p.table(), 1, WithApplied(func(a *Applied) { seen = append(seen, a.Revision) }))
 		g.Expect(f.Current()).To(gomega.BeNil())
-		start(t, f)
+		startAndStop(t, f)
 		synctest.Wait()
 		g.Expect(f.Current().Revision).To(gomega.Equal(Revision(1)))
-		settleOps(g, b, tree.Set(stock, "queue-length", 7))
+		commitOps(g, changelog, tree.Set(stockService, "queue-length", 7))
 		time.Sleep(2400 * time.Millisecond)
 		synctest.Wait()
-		g.Expect(queueOf(f.Current())).To(gomega.Equal(7))
+		g.Expect(queueLength(f.Current())).To(gomega.Equal(7))
 		g.Expect(f.State().Ready).To(gomega.BeTrue())
 		g.Expect(time.Since(f.Current().HeadReadAt)).To(gomega.BeNumerically("<=", 2400*time.Millisecond))
 		g.Expect(seen).To(gomega.Equal([]Revision{1, 2}))
 	})
 }
 
-func TestFollowerPollsAtOnceWhenItHears(t *testing.T) {
+func TestFollowerPollsWhenPeerReportsRevision(t *testing.T) {
 	inBubble(t, func(t *testing.T, g *gomega.WithT) {
-		p, b := opened(g)
-		f := follow(t, p, 1)
+		p, changelog := bootstrapped(g)
+		f := startFollower(t, p, 1)
 		synctest.Wait()
-		r := settleQueue(g, b, 1)
+		r := commitQueueLengths(g, changelog, 1)
 		f.Hear(r)
 		synctest.Wait()
 		g.Expect(f.Current().Revision).To(gomega.Equal(r))
@@ -117,12 +121,12 @@
 	})
 }
 
-func TestFollowerTakesSnapshotWhenFarBehind(t *testing.T) {
+func TestFollowerLoadsSnapshotWhenFarBehind(t *testing.T) {
 	inBubble(t, func(t *testing.T, g *gomega.WithT) {
-		p, b := opened(g)
-		writer := follow(t, p, 1)
+		p, changelog := bootstrapped(g)
+		writer := startFollower(t, p, 1)
 		for range 6 {
-			settleQueue(g, b, 50)
+			commitQueueLengths(g, changelog, 50)
 			time.Sleep(3 * time.Second)
 		}
 		synctest.Wait()
@@ -131,35 +135,35 @@
 		synctest.Wait()
 		g.Expect(p.puts).To(gomega.Equal(1))
 		_, before := p.counts()
-		late := follow(t, p, 2)
+		late := startFollower(t, p, 2)
 		synctest.Wait()
 		g.Expect(late.Current().Revision).To(gomega.Equal(Revision(301)))
 		_, after := p.counts()
 		g.Expect(after - before).To(gomega.Equal(1))
-		g.Expect(queueOf(late.Current())).To(gomega.Equal(queueOf(writer.Current())))
-		// Without the object, all deltas are read.
+		g.Expect(queueLength(late.Current())).To(gomega.Equal(queueLength(writer.Current())))
+		// Without the snapshot object, all deltas are read.
 		p.edit(func() { p.objects = map[string][]byte{} })
-		whole := follow(t, p, 3)
+		withoutSnapshot := startFollower(t, p, 3)
 		synctest.Wait()
-		g.Expect(whole.Current().Revision).To(gomega.Equal(Revision(301)))
-		g.Expect(whole.State().StoreError).To(gomega.BeEmpty())
-		// A changelog starts from the snapshot too.
+		g.Expect(withoutSnapshot.Current().Revision).To(gomega.Equal(Revision(301)))
+		g.Expect(withoutSnapshot.State().StoreError).To(gomega.BeEmpty())
+		// The changelog also finds the object missing and replays all deltas.
 		_, doc, err := NewChangelog(p.table(), WithObjects(p.objectStore())).Head(t.Context())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		g.Expect(tree.Changes(doc, whole.Current().Doc)).To(gomega.BeEmpty())
+		g.Expect(tree.Changes(doc, withoutSnapshot.Current().Doc)).To(gomega.BeEmpty())
 	})
 }
 
 func TestSnapshotIsWrittenByOneOfManyDaemons(t *testing.T) {
 	inBubble(t, func(t *testing.T, g *gomega.WithT) {
-		p, b := opened(g)
+		p, changelog := bootstrapped(g)
 		for i := range 20 {
-			follow(t, p, uint64(i))
+			startFollower(t, p, uint64(i))
 		}
 		synctest.Wait()
-		settleQueue(g, b, 60)
+		commitQueueLengths(g, changelog, 60)
 		time.Sleep(3 * time.Second)
-		settleQueue(g, b, 195)
+		commitQueueLengths(g, changelog, 195)
 		time.Sleep(maxSnapshotDelay + 5*time.Second)
 		synctest.Wait()
 		g.Expect(p.puts).To(gomega.Equal(1))
@@ -167,8 +171,9 @@
 	})
 }
 
-// writeRevision writes a revision behind the changelog's back.
-func writeRevision(g gomega.Gomega, p *platform, value []byte) Revision {
+// writeRevision writes a revision directly to the table, bypassing the validation
+// of the changelog.
+func writeRevision(g gomega.Gomega, p *fakePlatform, value []byte) Revision {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var head Head
@@ -183,47 +188,48 @@
 	return head.Revision
 }
 
-func deltaOf(g gomega.Gomega, r Revision, ops ...tree.Op) []byte {
+func deltaJSON(g gomega.Gomega, r Revision, ops ...tree.Op) []byte {
 	raw, err := json.Marshal(Delta{Revision: r, Change: "direct", Author: "ana", Ops: ops})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	return raw
 }
 
-func TestFollowerKeepsLastGoodRevision(t *testing.T) {
-	// Guards against a revision of a newer program that takes a daemon down.
+func TestFollowerKeepsLastValidRevision(t *testing.T) {
+	// Guards against a daemon that fails on a revision of a newer version, which
+	// contains a key that the daemon does not know.
 	inBubble(t, func(t *testing.T, g *gomega.WithT) {
-		p, b := opened(g)
-		settleQueue(g, b, 1)
-		f := follow(t, p, 1)
+		p, changelog := bootstrapped(g)
+		commitQueueLengths(g, changelog, 1)
+		f := startFollower(t, p, 1)
 		synctest.Wait()
-		bad := writeRevision(g, p, deltaOf(g, 3, tree.Set(stock, "queue-length", 9), tree.Set(stock, "colour", "red")))
+		invalid := writeRevision(g, p, deltaJSON(g, 3, tree.Set(stockService, "queue-length", 9), tree.Set(stockService, "colour", "red")))
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
 		g.Expect(f.Current().Revision).To(gomega.Equal(Revision(2)))
-		g.Expect(queueOf(f.Current())).NotTo(gomega.Equal(9))
-		g.Expect(f.State().Invalid.Revision).To(gomega.Equal(bad))
+		g.Expect(queueLength(f.Current())).NotTo(gomega.Equal(9))
+		g.Expect(f.State().Invalid.Revision).To(gomega.Equal(invalid))
 		g.Expect(f.State().Invalid.Reason).To(gomega.ContainSubstring("colour"))
-		fresh := follow(t, p, 2)
+		restarted := startFollower(t, p, 2)
 		synctest.Wait()
-		g.Expect(fresh.Current().Revision).To(gomega.Equal(Revision(2)))
-		writeRevision(g, p, deltaOf(g, 4, tree.Unset(stock, "colour")))
+		g.Expect(restarted.Current().Revision).To(gomega.Equal(Revision(2)))
+		writeRevision(g, p, deltaJSON(g, 4, tree.Unset(stockService, "colour")))
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
 		g.Expect(f.Current().Revision).To(gomega.Equal(Revision(4)))
-		g.Expect(queueOf(f.Current())).To(gomega.Equal(9))
+		g.Expect(queueLength(f.Current())).To(gomega.Equal(9))
 		g.Expect(f.State().Invalid).To(gomega.BeNil())
 	})
 }
 
-func TestFollowerPassesUndecodableRowWithPeers(t *testing.T) {
+func TestFollowerSkipsUndecodableRowWithPeers(t *testing.T) {
 	inBubble(t, func(t *testing.T, g *gomega.WithT) {
-		p, b := opened(g)
-		settleQueue(g, b, 3)
-		peer := follow(t, p, 1)
+		p, changelog := bootstrapped(g)
+		commitQueueLengths(g, changelog, 3)
+		peer := startFollower(t, p, 1)
 		synctest.Wait()
 		p.edit(func() { p.rows[revisionKey(3)] = store.Row{Key: revisionKey(3), Version: 1, Value: []byte("{")} })
-		alone := follow(t, p, 2)
-		helped := follow(t, p, 3, WithPeers(asking(g, 1, false, peer), 0))
+		alone := startFollower(t, p, 2)
+		helped := startFollower(t, p, 3, WithPeers(answeringPeers(g, 1, false, peer), 0))
 		synctest.Wait()
 		g.Expect(alone.Current()).To(gomega.BeNil())
 		g.Expect(alone.State().Invalid.Revision).To(gomega.Equal(Revision(3)))
@@ -231,21 +237,22 @@
 		_, before := p.counts()
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		// The row is not read again at each poll while the head stays.
+		// The row is not read again until the head changes.
 		_, after := p.counts()
 		g.Expect(after).To(gomega.Equal(before))
 	})
 }
 
-func TestFollowerServesOnWhileStoreIsAway(t *testing.T) {
-	// Guards against daemons that return to the store all at once, and against
-	// a backoff that is longer than the time a change may take.
+func TestFollowersSpreadPollsAfterStoreOutage(t *testing.T) {
+	// Guards against daemons that all poll at the same time after an outage of the
+	// store, and against a backoff that is longer than the 6 s within which a
+	// change must then be in force.
 	inBubble(t, func(t *testing.T, g *gomega.WithT) {
 		const daemons = 100
-		p, b := opened(g)
+		p, changelog := bootstrapped(g)
 		var all []*Follower
 		for i := range daemons {
-			all = append(all, follow(t, p, uint64(i)))
+			all = append(all, startFollower(t, p, uint64(i)))
 		}
 		synctest.Wait()
 		p.setDown(true)
@@ -254,19 +261,20 @@
 		g.Expect(all[0].Current().Revision).To(gomega.Equal(Revision(1)))
 		g.Expect(all[0].State().StoreError).To(gomega.ContainSubstring("down"))
 		p.setDown(false)
-		back := time.Now()
-		r := settleQueue(g, b, 1)
+		recoveredAt := time.Now()
+		r := commitQueueLengths(g, changelog, 1)
 		p.edit(func() { p.headReads = nil })
 		time.Sleep(6 * time.Second)
 		synctest.Wait()
 		for _, f := range all {
 			g.Expect(f.Current().Revision).To(gomega.Equal(r))
 		}
-		// A daemon polls about every 4 s during the backoff: in any half second
-		// an even spread gives 12 first reads of 100. Twice that is the bound.
+		// During the backoff a daemon polls about every 4 s. If the polls are evenly
+		// spread, 12 of 100 daemons make their first read in any half second; the
+		// limit is twice that.
 		buckets := map[int64]int{}
 		for _, at := range p.headReads[:daemons] {
-			buckets[int64(at.Sub(back)/(500*time.Millisecond))]++
+			buckets[int64(at.Sub(recoveredAt)/(500*time.Millisecond))]++
 		}
 		for slot, n := range buckets {
 			g.Expect(n).To(gomega.BeNumerically("<=", 25), "half second %d", slot)
@@ -274,31 +282,31 @@
 	})
 }
 
-func TestFollowerTakesRevisionsFromPeersWhileStoreIsAway(t *testing.T) {
+func TestFollowerFetchesFromPeersDuringStoreOutage(t *testing.T) {
 	inBubble(t, func(t *testing.T, g *gomega.WithT) {
-		p, b := opened(g)
-		peer := follow(t, p, 1)
-		var cut atomic.Bool
-		cutOff := p.table()
-		cutOff.Get = func(ctx context.Context, key string) (store.Row, error) {
-			if cut.Load() {
+		p, changelog := bootstrapped(g)
+		peer := startFollower(t, p, 1)
+		var down atomic.Bool
+		table := p.table()
+		table.Get = func(ctx context.Context, key string) (store.Row, error) {
+			if down.Load() {
 				return store.Row{}, fault.New(fault.StoreUnavailable, "cut off")
 			}
 			return p.get(ctx, key)
 		}
-		f := idle(cutOff, 2, WithPeers(asking(g, 1, false, peer), 0))
-		start(t, f)
+		f := newSeededFollower(table, 2, WithPeers(answeringPeers(g, 1, false, peer), 0))
+		startAndStop(t, f)
 		synctest.Wait()
-		cut.Store(true)
-		r := settleQueue(g, b, 3)
+		down.Store(true)
+		r := commitQueueLengths(g, changelog, 3)
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
 		f.Hear(r)
 		synctest.Wait()
 		g.Expect(f.Current().Revision).To(gomega.Equal(r))
-		settleQueue(g, b, 200)
+		commitQueueLengths(g, changelog, 200)
 		time.Sleep(3 * time.Second)
-		settleQueue(g, b, 200)
+		commitQueueLengths(g, changelog, 200)
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
 		reply := peer.Answer(RevisionAskMsg{Have: r})
@@ -308,29 +316,29 @@
 		f.Hear(reply.Revision)
 		synctest.Wait()
 		g.Expect(f.Current().Revision).To(gomega.Equal(reply.Revision))
-		g.Expect(queueOf(f.Current())).To(gomega.Equal(queueOf(peer.Current())))
+		g.Expect(queueLength(f.Current())).To(gomega.Equal(queueLength(peer.Current())))
 	})
 }
 
-func TestFollowerAsksPeersWhenRevisionRowsCannotBeRead(t *testing.T) {
-	// Guards against a follower that knows the head and waits for the table
-	// although its peers hold the revision.
+func TestFollowerQueriesPeersWhenRevisionRowsCannotBeRead(t *testing.T) {
+	// Guards against a follower that can read the head but not the revisions, and
+	// waits for the table although its peers hold the revisions.
 	inBubble(t, func(t *testing.T, g *gomega.WithT) {
-		p, b := opened(g)
-		peer := follow(t, p, 1)
+		p, changelog := bootstrapped(g)
+		peer := startFollower(t, p, 1)
 		synctest.Wait()
 		table := p.table()
 		table.Scan = func(context.Context, string, string, int) ([]store.Row, error) {
 			return nil, fault.New(fault.StoreUnavailable, "slow")
 		}
-		settleQueue(g, b, 2)
+		commitQueueLengths(g, changelog, 2)
 		peer.Hear(3)
 		synctest.Wait()
-		f := idle(table, 2, WithPeers(asking(g, 1, false, peer), 0))
-		start(t, f)
+		f := newSeededFollower(table, 2, WithPeers(answeringPeers(g, 1, false, peer), 0))
+		startAndStop(t, f)
 		synctest.Wait()
 		g.Expect(f.Current().Revision).To(gomega.Equal(Revision(3)))
-		settleQueue(g, b, 2)
+		commitQueueLengths(g, changelog, 2)
 		peer.Hear(5)
 		time.Sleep(6 * time.Second)
 		synctest.Wait()
@@ -338,16 +346,16 @@
 	})
 }
 
-func TestColdBoot(t *testing.T) {
-	// Guards against a daemon that is cut off and serves with stale settings,
-	// and against a fleet that cannot start without the store.
+func TestColdStart(t *testing.T) {
+	// Guards against an isolated daemon that starts with outdated settings, and
+	// against a fleet that cannot start without the store.
 	for _, c := range []struct {
-		name    string
-		peers   int
-		centres int
-		seeds   int
-		away    time.Duration
-		ready   bool
+		name        string
+		peers       int
+		dataCentres int
+		seeds       int
+		away        time.Duration
+		ready       bool
 	}{
 		{"no peer", 0, 1, 0, 0, false},
 		{"one peer with a fresh head", 1, 1, 0, 10 * time.Second, true},
@@ -360,16 +368,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T, g *gomega.WithT) {
-				p, b := opened(g)
-				settleQueue(g, b, 2)
+				p, changelog := bootstrapped(g)
+				commitQueueLengths(g, changelog, 2)
 				var peers []*Follower
 				for i := range c.peers {
-					peers = append(peers, follow(t, p, uint64(i)))
+					peers = append(peers, startFollower(t, p, uint64(i)))
 				}
 				synctest.Wait()
 				p.setDown(true)
 				time.Sleep(c.away)
-				f := follow(t, p, 9, WithPeers(asking(g, c.centres, c.seeds > 0, peers...), c.seeds))
+				f := startFollower(t, p, 9, WithPeers(answeringPeers(g, c.dataCentres, c.seeds > 0, peers...), c.seeds))
 				synctest.Wait()
 				g.Expect(f.State().Ready).To(gomega.Equal(c.ready), f.State().Reason)
 				if !c.ready {
@@ -384,43 +392,45 @@
 	}
 }
 
-func TestColdBootNeverTakesLessThanReported(t *testing.T) {
+func TestColdStartRequiresHighestReportedRevision(t *testing.T) {
 	inBubble(t, func(t *testing.T, g *gomega.WithT) {
-		p, b := opened(g)
-		peer := follow(t, p, 1)
+		p, changelog := bootstrapped(g)
+		peer := startFollower(t, p, 1)
 		synctest.Wait()
 		p.setDown(true)
-		f := idle(p.table(), 2, WithPeers(asking(g, 1, false, peer), 0))
+		f := newSeededFollower(p.table(), 2, WithPeers(answeringPeers(g, 1, false, peer), 0))
 		f.Hear(2)
-		start(t, f)
+		startAndStop(t, f)
 		time.Sleep(20 * time.Second)
 		synctest.Wait()
 		g.Expect(f.Current()).To(gomega.BeNil())
 		g.Expect(f.State().Reason).To(gomega.ContainSubstring("a peer reported 2"))
 		p.setDown(false)
-		settleQueue(g, b, 1)
+		commitQueueLengths(g, changelog, 1)
 		time.Sleep(6 * time.Second)
 		synctest.Wait()
 		g.Expect(f.Current().Revision).To(gomega.Equal(Revision(2)))
 	})
 }
 
-func TestBootingPeersDoNotConfirmEachOther(t *testing.T) {
-	// Guards against fresh daemons that all hold the revision of one stale peer
-	// and count each other as proof that it is recent.
+func TestStartingPeersDoNotConfirmEachOther(t *testing.T) {
+	// Guards against starting daemons that all got the same outdated revision from
+	// one peer and take each other's replies as proof that it is recent.
 	inBubble(t, func(t *testing.T, g *gomega.WithT) {
-		p, _ := opened(g)
-		stale := follow(t, p, 1)
+		p, _ := bootstrapped(g)
+		stale := startFollower(t, p, 1)
 		synctest.Wait()
 		p.setDown(true)
 		time.Sleep(time.Hour)
 		peers := []*Follower{stale}
-		ask := func(ctx context.Context, have Revision) []PeerReply { return asking(g, 2, false, peers...)(ctx, have) }
+		ask := func(ctx context.Context, have Revision) []PeerReply {
+			return answeringPeers(g, 2, false, peers...)(ctx, have)
+		}
 		for i := range 3 {
-			peers = append(peers, idle(p.table(), uint64(10+i), WithPeers(ask, 0)))
+			peers = append(peers, newSeededFollower(p.table(), uint64(10+i), WithPeers(ask, 0)))
 		}
 		for _, f := range peers[1:] {
-			start(t, f)
+			startAndStop(t, f)
 		}
 		time.Sleep(time.Minute)
 		synctest.Wait()
@@ -432,13 +442,14 @@
 }
 
 func TestFollowerNeverGoesBack(t *testing.T) {
-	// Guards against a store that was restored from an old copy.
+	// Guards against a daemon that returns to an older revision after the store was
+	// restored from a backup.
 	inBubble(t, func(t *testing.T, g *gomega.WithT) {
-		p, b := opened(g)
+		p, changelog := bootstrapped(g)
 		var old store.Row
 		p.edit(func() { old = p.rows[headKey] })
-		settleQueue(g, b, 2)
-		f := follow(t, p, 1)
+		commitQueueLengths(g, changelog, 2)
+		f := startFollower(t, p, 1)
 		synctest.Wait()
 		p.edit(func() { p.rows[headKey] = old })
 		time.Sleep(10 * time.Second)
@@ -448,17 +459,18 @@
 	})
 }
 
-func TestUselessSnapshotsAreNotAskedForAgainAtOnce(t *testing.T) {
-	// Guards against a peer of another version whose snapshot, fetched every
-	// 2 s, would exceed the control traffic of a daemon.
+func TestFollowerBacksOffFromUndecodableSnapshots(t *testing.T) {
+	// Guards against a peer of another version whose snapshot this daemon cannot
+	// decode. Fetched every 2 s, the snapshot would exceed the limit for the
+	// control traffic of a daemon.
 	inBubble(t, func(t *testing.T, g *gomega.WithT) {
-		p, _ := opened(g)
+		p, _ := bootstrapped(g)
 		asks := 0
 		ask := func(context.Context, Revision) []PeerReply {
 			asks++
 			return []PeerReply{{From: "vm", Msg: RevisionReplyMsg{Revision: 900, Ready: true, Snapshot: []byte("no gzip")}}}
 		}
-		f := follow(t, p, 1, WithPeers(ask, 0))
+		f := startFollower(t, p, 1, WithPeers(ask, 0))
 		synctest.Wait()
 		f.Hear(900)
 		time.Sleep(10 * time.Minute)
--- a/core/settle/fuzz_test.go
+++ b/core/settle/fuzz_test.go
@@ -10,10 +10,10 @@
 )
 
 func sampleDelta() *Delta {
-	return &Delta{Revision: 3, Change: "c1", Author: "ana", Ops: []tree.Op{tree.Set(stock, "floor", 1), tree.Remove(stock)}}
+	return &Delta{Revision: 3, Change: "c1", Author: "ana", Ops: []tree.Op{tree.Set(stockService, "floor", 1), tree.Remove(stockService)}}
 }
 
-// FuzzRows guards against rows that pass their decoder and break their encoder.
+// FuzzRows guards against rows that can be decoded but not encoded again.
 func FuzzRows(f *testing.F) {
 	delta, _ := json.Marshal(sampleDelta())
 	change, _ := json.Marshal(Change{ID: "c1", Author: "ana", State: StateProposed, Ops: sampleDelta().Ops})
@@ -42,7 +42,8 @@
 	})
 }
 
-// FuzzReply guards against a peer's reply that breaks the follower.
+// FuzzReply guards against a peer's reply that crashes the follower or leaves it
+// without a catalog.
 func FuzzReply(f *testing.F) {
 	snap, err := encodeSnapshot(7, baseDoc())
 	if err != nil {
@@ -64,7 +65,7 @@
 		if cbor.Unmarshal(data, &m) != nil {
 			return
 		}
-		follower := NewFollower(newPlatform().table())
+		follower := NewFollower(newFakePlatform().table())
 		follower.applyReply(&m)
 		if held := follower.held.Load(); held.Revision > 0 && held.Catalog == nil {
 			t.Fatalf("revision %d without catalog", held.Revision)
--- a/core/settle/suite_test.go
+++ b/core/settle/suite_test.go
@@ -21,39 +21,40 @@
 	RunSpecs(t, "settle")
 }
 
-// platform is a table and an object store in memory.
-type platform struct {
+// fakePlatform is an in-memory table and object store with injectable faults.
+type fakePlatform struct {
 	mu      sync.Mutex
 	rows    map[string]store.Row
 	objects map[string][]byte
 	version uint64
 	down    bool
-	// headReads holds the times of reads of the head row, also failed ones.
+	// headReads holds the times of all reads of the head row, including failed ones.
 	headReads []time.Time
 	scans     int
 	gets      int
 	puts      int
-	// beforeApply runs once before the next transaction, without the lock.
+	// beforeApply is called once before the next transaction, without the lock.
 	beforeApply func()
-	// loseReply makes the next transaction ambiguous: "applied", "dropped", or
-	// "delayed", which keeps it in late.
+	// loseReply makes the next transaction return StoreAmbiguous. "applied" applies
+	// it, "dropped" does not, and "delayed" stores it in delayedTx instead.
 	loseReply string
-	late      store.Tx
+	delayedTx store.Tx
 }
 
-func newPlatform() *platform {
-	return &platform{rows: map[string]store.Row{}, objects: map[string][]byte{}}
+func newFakePlatform() *fakePlatform {
+	return &fakePlatform{rows: map[string]store.Row{}, objects: map[string][]byte{}}
 }
 
-func (p *platform) table() store.Table {
+func (p *fakePlatform) table() store.Table {
 	return store.Table{Get: p.get, Scan: p.scan, Apply: p.apply}
 }
 
-func (p *platform) objectStore() store.Objects {
+func (p *fakePlatform) objectStore() store.Objects {
 	return store.Objects{Get: p.getObject, Put: p.putObject}
 }
 
-func (p *platform) lock() (unlock func(), err error) {
+// lock locks the platform, or returns StoreUnavailable if it is down.
+func (p *fakePlatform) lock() (unlock func(), err error) {
 	p.mu.Lock()
 	if p.down {
 		p.mu.Unlock()
@@ -62,16 +63,16 @@
 	return p.mu.Unlock, nil
 }
 
-// edit runs change under the lock.
-func (p *platform) edit(change func()) {
+// edit calls change under the lock.
+func (p *fakePlatform) edit(change func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change()
 }
 
-func (p *platform) setDown(down bool) { p.edit(func() { p.down = down }) }
+func (p *fakePlatform) setDown(down bool) { p.edit(func() { p.down = down }) }
 
-func (p *platform) get(_ context.Context, key string) (store.Row, error) {
+func (p *fakePlatform) get(_ context.Context, key string) (store.Row, error) {
 	if key == headKey {
 		p.mu.Lock()
 		p.headReads = append(p.headReads, time.Now())
@@ -89,7 +90,7 @@
 	return row, nil
 }
 
-func (p *platform) scan(_ context.Context, prefix, after string, limit int) ([]store.Row, error) {
+func (p *fakePlatform) scan(_ context.Context, prefix, after string, limit int) ([]store.Row, error) {
 	unlock, err := p.lock()
 	if err != nil {
 		return nil, err
@@ -106,7 +107,7 @@
 	return rows[:min(limit, len(rows))], nil
 }
 
-func (p *platform) apply(_ context.Context, tx store.Tx) error {
+func (p *fakePlatform) apply(_ context.Context, tx store.Tx) error {
 	p.mu.Lock()
 	before := p.beforeApply
 	p.beforeApply = nil
@@ -119,22 +120,23 @@
 		return err
 	}
 	defer unlock()
-	lose := p.loseReply
+	mode := p.loseReply
 	p.loseReply = ""
-	switch lose {
+	switch mode {
 	case "dropped":
 		return fault.New(fault.StoreAmbiguous, "no reply")
 	case "delayed":
-		p.late = tx
+		p.delayedTx = tx
 		return fault.New(fault.StoreAmbiguous, "no reply")
 	}
-	if err := p.execute(tx); err != nil || lose == "" {
+	if err := p.execute(tx); err != nil || mode == "" {
 		return err
 	}
 	return fault.New(fault.StoreAmbiguous, "no reply")
 }
 
-func (p *platform) execute(tx store.Tx) error {
+// execute applies the transaction if its conditions hold. The caller holds the lock.
+func (p *fakePlatform) execute(tx store.Tx) error {
 	for _, c := range tx.Conds {
 		if p.rows[c.Key].Version != c.Version {
 			return fault.New(fault.StoreConflict, "%s", c.Key)
@@ -147,7 +149,7 @@
 	return nil
 }
 
-func (p *platform) getObject(_ context.Context, name string) ([]byte, error) {
+func (p *fakePlatform) getObject(_ context.Context, name string) ([]byte, error) {
 	unlock, err := p.lock()
 	if err != nil {
 		return nil, err
@@ -161,7 +163,7 @@
 	return data, nil
 }
 
-func (p *platform) putObject(_ context.Context, name string, data []byte) error {
+func (p *fakePlatform) putObject(_ context.Context, name string, data []byte) error {
 	unlock, err := p.lock()
 	if err != nil {
 		return err
@@ -172,37 +174,38 @@
 	return nil
 }
 
-const base = `{
+const baseSettings = `{
   "/": {"owners": ["ana", "luis"]},
   "/region/costa": {}, "/data-centre/mdp": {}, "/workspace/team": {}, "/workspace/strict": {"approval": "both"},
   "/workspace/team/service/stock": {"region": "costa", "targets": [{"id": "a", "address": "10.0.0.1:80", "data-centre": "mdp"}]},
 }`
 
-const stock = tree.Path("/workspace/team/service/stock")
+const stockService = tree.Path("/workspace/team/service/stock")
 
 func baseDoc() *tree.Doc {
-	doc, err := tree.ParseFile([]byte(base))
+	doc, err := tree.ParseFile([]byte(baseSettings))
 	if err != nil {
 		panic(err)
 	}
 	return doc
 }
 
-// opened returns a changelog over a platform with revision 1.
-func opened(g Gomega) (*platform, *Changelog) {
-	p := newPlatform()
-	b := NewChangelog(p.table(), WithObjects(p.objectStore()))
-	r, created, err := b.Bootstrap(context.Background(), baseDoc(), "ana")
+// bootstrapped returns a platform that holds revision 1, and a changelog on it.
+func bootstrapped(g Gomega) (*fakePlatform, *Changelog) {
+	p := newFakePlatform()
+	changelog := NewChangelog(p.table(), WithObjects(p.objectStore()))
+	r, created, err := changelog.Bootstrap(context.Background(), baseDoc(), "ana")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(r).To(Equal(Revision(1)))
 	g.Expect(created).To(BeTrue())
-	return p, b
+	return p, changelog
 }
 
-func settleOps(g Gomega, b *Changelog, ops ...tree.Op) Revision {
-	c, err := b.Propose(context.Background(), Proposal{Ops: ops, Author: "ana"})
+// commitOps proposes and commits a change with the ops.
+func commitOps(g Gomega, changelog *Changelog, ops ...tree.Op) Revision {
+	c, err := changelog.Propose(context.Background(), Proposal{Ops: ops, Author: "ana"})
 	g.Expect(err).NotTo(HaveOccurred())
-	r, err := b.Commit(context.Background(), c.ID)
+	r, err := changelog.Commit(context.Background(), c.ID)
 	g.Expect(err).NotTo(HaveOccurred())
 	return r
 }
