--- a/core/store/client.go
+++ b/core/store/client.go
@@ -13,71 +13,75 @@
 
 const (
 	defaultTimeout = 2 * time.Second
-	// maxReply bounds the body of a reply: 16 MiB, above any snapshot of the settings.
-	maxReply = 16 << 20
-	// maxIdle is the number of idle connections kept to the platform.
-	maxIdle = 8
+	// maxReplyBytes limits the body of a reply. The limit of 16 MiB is above the size
+	// of any snapshot of the settings.
+	maxReplyBytes = 16 << 20
+	// maxIdleConns is the maximum number of idle connections to the platform.
+	maxIdleConns = 8
 )
 
 // Client is the HTTP client of the platform. Its methods are safe for
 // concurrent use.
 type Client struct {
-	base    string
+	baseURL string
 	http    *http.Client
 	timeout time.Duration
+	// daemons returns the number of live daemons.
 	daemons func() int
-	fleet   [2]float64
+	// fleetRates are the rate limits of the whole fleet, for reads and for writes.
+	fleetRates [2]float64
 
-	reads, writes                    *budget
+	readLimit, writeLimit            *rateLimiter
 	table, tableWrites, objects, vms *breaker
 }
 
-// Option changes a Client.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithTimeout sets the time that one request may take; the default is 2 s.
+// WithTimeout sets the timeout of one request; the default is 2 s.
 func WithTimeout(d time.Duration) Option {
 	return func(c *Client) { c.timeout = d }
 }
 
-// WithTransport replaces the transport, for tests and TLS settings.
+// WithTransport replaces the HTTP transport, for tests and TLS settings.
 func WithTransport(t http.RoundTripper) Option {
 	return func(c *Client) { c.http.Transport = t }
 }
 
 // WithDaemons sets the function that returns the number of live daemons, which
-// share the fleet's budget; without it the daemon takes the whole budget.
+// share the fleet's rate limits. Without it the daemon uses them alone.
 func WithDaemons(live func() int) Option {
 	return func(c *Client) { c.daemons = live }
 }
 
-// WithFleetBudget sets the budgets of the whole fleet in reads/s and writes/s.
+// WithFleetBudget sets the rate limits of the whole fleet in reads/s and writes/s.
 func WithFleetBudget(reads, writes float64) Option {
-	return func(c *Client) { c.fleet = [2]float64{reads, writes} }
+	return func(c *Client) { c.fleetRates = [2]float64{reads, writes} }
 }
 
 // NewClient returns a client of the platform at the base URL.
 func NewClient(base string, opts ...Option) *Client {
 	c := &Client{
-		base:        strings.TrimSuffix(base, "/"),
-		http:        &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdle}},
+		baseURL:     strings.TrimSuffix(base, "/"),
+		http:        &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}},
 		timeout:     defaultTimeout,
 		daemons:     func() int { return 1 },
-		fleet:       [2]float64{fleetReads, fleetWrites},
-		table:       newBreaker(readBackoffMax),
-		tableWrites: newBreaker(backoffMax),
-		objects:     newBreaker(backoffMax),
-		vms:         newBreaker(backoffMax),
+		fleetRates:  [2]float64{fleetReadRate, fleetWriteRate},
+		table:       newBreaker(maxReadBackoff),
+		tableWrites: newBreaker(maxBackoff),
+		objects:     newBreaker(maxBackoff),
+		vms:         newBreaker(maxBackoff),
 	}
 	for _, o := range opts {
 		o(c)
 	}
-	c.reads = newBudget(c.fleet[0], c.daemons)
-	c.writes = newBudget(c.fleet[1], c.daemons)
+	c.readLimit = newRateLimiter(c.fleetRates[0], c.daemons)
+	c.writeLimit = newRateLimiter(c.fleetRates[1], c.daemons)
 	return c
 }
 
-// Dump is the state of the client for the state dump.
+// Dump is the state of the client as shown in the state dump. Table is the state of
+// table reads.
 type Dump struct {
 	Table   Status `json:"table"`
 	Writes  Status `json:"table-writes"`
@@ -112,13 +116,13 @@
 
 func (c *Client) getRow(ctx context.Context, key string) (row Row, err error) {
 	q := url.Values{"key": {key}}
-	err = c.do(ctx, exchange{part: c.table, method: http.MethodGet, path: "/v1/table/row", query: q, into: &row, missing: fault.RowMissing})
+	err = c.do(ctx, exchange{breaker: c.table, method: http.MethodGet, path: "/v1/table/row", query: q, jsonReply: &row, notFound: fault.RowMissing})
 	return row, err
 }
 
 func (c *Client) scanRows(ctx context.Context, prefix, after string, limit int) (rows []Row, err error) {
 	q := url.Values{"prefix": {prefix}, "after": {after}, "limit": {strconv.Itoa(limit)}}
-	err = c.do(ctx, exchange{part: c.table, method: http.MethodGet, path: "/v1/table/scan", query: q, into: &rows, missing: fault.RowMissing})
+	err = c.do(ctx, exchange{breaker: c.table, method: http.MethodGet, path: "/v1/table/scan", query: q, jsonReply: &rows, notFound: fault.RowMissing})
 	return rows, err
 }
 
@@ -127,28 +131,29 @@
 	if err != nil {
 		return err
 	}
-	return c.do(ctx, exchange{part: c.tableWrites, method: http.MethodPost, path: "/v1/table/apply", body: body})
+	return c.do(ctx, exchange{breaker: c.tableWrites, method: http.MethodPost, path: "/v1/table/apply", body: body})
 }
 
 func (c *Client) getObject(ctx context.Context, name string) (data []byte, err error) {
-	err = c.do(ctx, exchange{part: c.objects, method: http.MethodGet, path: objectPath(name), raw: &data, missing: fault.NotFound})
+	err = c.do(ctx, exchange{breaker: c.objects, method: http.MethodGet, path: objectPath(name), rawReply: &data, notFound: fault.NotFound})
 	return data, err
 }
 
 func (c *Client) putObject(ctx context.Context, name string, data []byte) error {
-	return c.do(ctx, exchange{part: c.objects, method: http.MethodPut, path: objectPath(name), body: data})
+	return c.do(ctx, exchange{breaker: c.objects, method: http.MethodPut, path: objectPath(name), body: data})
 }
 
+// objectPath returns the URL path of an object. The slashes in its name are kept.
 func objectPath(name string) string {
-	parts := strings.Split(name, "/")
-	for i, p := range parts {
-		parts[i] = url.PathEscape(p)
+	segments := strings.Split(name, "/")
+	for i, s := range segments {
+		segments[i] = url.PathEscape(s)
 	}
-	return "/v1/objects/" + strings.Join(parts, "/")
+	return "/v1/objects/" + strings.Join(segments, "/")
 }
 
-func (c *Client) vmsSince(ctx context.Context, version uint64) (out VMChanges, err error) {
+func (c *Client) vmsSince(ctx context.Context, version uint64) (changes VMChanges, err error) {
 	q := url.Values{"since": {strconv.FormatUint(version, 10)}}
-	err = c.do(ctx, exchange{part: c.vms, method: http.MethodGet, path: "/v1/vms", query: q, into: &out})
-	return out, err
+	err = c.do(ctx, exchange{breaker: c.vms, method: http.MethodGet, path: "/v1/vms", query: q, jsonReply: &changes})
+	return changes, err
 }
--- a/core/store/doc.go
+++ b/core/store/doc.go
@@ -1,3 +1,3 @@
-// Package store is the client of the platform: the transactional table
-// service, the object store and the list of VMs.
+// Package store is the HTTP client of the platform, which provides a transactional
+// table service, an object store and a list of VMs.
 package store
--- a/core/store/exchange.go
+++ b/core/store/exchange.go
@@ -14,21 +14,22 @@
 	"wisteriarelay.example/core/fault"
 )
 
-// exchange is one request to the platform and where its reply goes.
+// exchange is one request to the platform and the destination of its reply.
 type exchange struct {
-	part   *breaker
-	method string
-	path   string
-	query  url.Values
-	body   []byte
-	// into receives a JSON reply, raw a reply of bytes.
-	into any
-	raw  *[]byte
-	// missing is the kind of a reply with status 404.
-	missing fault.Kind
+	breaker *breaker
+	method  string
+	path    string
+	query   url.Values
+	body    []byte
+	// jsonReply receives the decoded body of a JSON reply, rawReply the body of
+	// another reply.
+	jsonReply any
+	rawReply  *[]byte
+	// notFound is the kind of the error for a reply with status 404.
+	notFound fault.Kind
 }
 
-func (x *exchange) write() bool {
+func (x *exchange) isWrite() bool {
 	return x.method != http.MethodGet
 }
 
@@ -40,79 +41,83 @@
 	return b, nil
 }
 
-// do carries out one exchange within breaker, budget and timeout.
+// do performs one exchange, subject to the circuit breaker, the rate limit and the
+// timeout.
 func (c *Client) do(ctx context.Context, x exchange) error {
-	if err := x.part.admit(time.Now()); err != nil {
+	if err := x.breaker.admit(time.Now()); err != nil {
 		return err
 	}
-	caller := ctx
-	ctx, cancel := context.WithTimeout(caller, c.timeout)
+	callerCtx := ctx
+	ctx, cancel := context.WithTimeout(callerCtx, c.timeout)
 	defer cancel()
-	limit := c.reads
-	if x.write() {
-		limit = c.writes
+	limit := c.readLimit
+	if x.isWrite() {
+		limit = c.writeLimit
 	}
-	if err := limit.take(ctx, x.part.reopened()); err != nil {
-		x.part.abandon()
+	if err := limit.acquire(ctx, x.breaker.lastClosed()); err != nil {
+		x.breaker.abandon()
 		return err
 	}
-	answered, err := c.send(ctx, x)
+	available, err := c.send(ctx, x)
 	switch {
-	case answered:
-		x.part.succeed(time.Now())
-	case errors.Is(caller.Err(), context.Canceled):
-		// The caller left, which says nothing about the store.
-		x.part.abandon()
+	case available:
+		x.breaker.succeed(time.Now())
+	case errors.Is(callerCtx.Err(), context.Canceled):
+		// The caller cancelled the request, which says nothing about the store.
+		x.breaker.abandon()
 	default:
-		x.part.fail(time.Now(), err)
+		x.breaker.fail(time.Now(), err)
 	}
 	return err
 }
 
-// send returns whether the store gave a definite reply of its own, and the result.
-func (c *Client) send(ctx context.Context, x exchange) (answered bool, err error) {
-	// A request counts as sent from the moment it has a connection, even if
-	// its bytes may still be in a buffer.
+// send sends the request and stores the reply. available reports whether the reply
+// shows that the store is in service; the breaker counts anything else as a failure.
+func (c *Client) send(ctx context.Context, x exchange) (available bool, err error) {
+	// A request counts as sent as soon as it has a connection, although its bytes
+	// may still be in a buffer.
 	sent := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent = true }}
-	target := c.base + x.path
+	requestURL := c.baseURL + x.path
 	if x.query != nil {
-		target += "?" + x.query.Encode()
+		requestURL += "?" + x.query.Encode()
 	}
-	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), x.method, target, bytes.NewReader(x.body))
+	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), x.method, requestURL, bytes.NewReader(x.body))
 	if err != nil {
 		return false, fault.Wrap(err, fault.StoreUnavailable, "request to the store")
 	}
-	// Without GetBody the transport never sends a write a second time by itself.
+	// Without GetBody the transport cannot repeat a write on its own.
 	req.GetBody = nil
 	res, err := c.http.Do(req)
 	if err != nil {
-		return false, x.noReply(sent, err)
+		return false, x.noReplyError(sent, err)
 	}
 	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxReply))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxReplyBytes))
 	if err != nil {
-		return false, x.noReply(true, err)
+		return false, x.noReplyError(true, err)
 	}
-	return x.result(res.StatusCode, body)
+	return x.handleReply(res.StatusCode, body)
 }
 
-// noReply returns the error of an exchange without a definite reply.
-func (x *exchange) noReply(sent bool, cause error) error {
-	if sent && x.write() {
+// noReplyError returns the error for an exchange without a definite reply. A write
+// that was sent may have taken effect.
+func (x *exchange) noReplyError(sent bool, cause error) error {
+	if sent && x.isWrite() {
 		return fault.Wrap(cause, fault.StoreAmbiguous, "no definite reply from the store")
 	}
 	return fault.Wrap(cause, fault.StoreUnavailable, "no reply from the store")
 }
 
-// result maps a reply. Only the statuses that the protocol defines for a write
-// without effect are definite; any other may come from something in between.
-func (x *exchange) result(status int, body []byte) (answered bool, err error) {
+// handleReply stores a successful reply or returns the error for its status. Only the
+// statuses that the protocol defines for a write without effect show that a write
+// had none; any other status may come from an intermediary.
+func (x *exchange) handleReply(status int, body []byte) (available bool, err error) {
 	switch status {
 	case http.StatusOK:
-		return x.accept(body)
+		return x.decodeReply(body)
 	case http.StatusNotFound:
-		return true, fault.New(x.missing, "%s", x.path)
+		return true, fault.New(x.notFound, "%s", x.path)
 	case http.StatusConflict:
 		return true, fault.New(fault.StoreConflict, "%s", body)
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge:
@@ -120,19 +125,21 @@
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		return false, fault.New(fault.StoreUnavailable, "status %d from the store: %s", status, body)
 	default:
-		return false, x.noReply(true, fault.New(fault.StoreUnavailable, "status %d from the store", status))
+		return false, x.noReplyError(true, fault.New(fault.StoreUnavailable, "status %d from the store", status))
 	}
 }
 
-func (x *exchange) accept(body []byte) (bool, error) {
-	if x.raw != nil {
-		*x.raw = body
+// decodeReply stores the body of a successful reply in its destination. It reports
+// whether the body could be decoded.
+func (x *exchange) decodeReply(body []byte) (bool, error) {
+	if x.rawReply != nil {
+		*x.rawReply = body
 		return true, nil
 	}
-	if x.into == nil {
+	if x.jsonReply == nil {
 		return true, nil
 	}
-	if err := json.Unmarshal(body, x.into); err != nil {
+	if err := json.Unmarshal(body, x.jsonReply); err != nil {
 		return false, fault.Wrap(err, fault.StoreUnavailable, "malformed reply from the store")
 	}
 	return true, nil
--- a/core/store/store_test.go
+++ b/core/store/store_test.go
@@ -23,11 +23,13 @@
 	RunSpecs(t, "store")
 }
 
+// insert returns a transaction that creates a row.
 func insert(key, value string) store.Tx {
 	return store.Tx{ID: key, Conds: []store.Cond{{Key: key}}, Puts: []store.Put{{Key: key, Value: []byte(value)}}}
 }
 
-func mine(key, value string) store.Marker {
+// valueMarker returns a marker that recognises the row by its value.
+func valueMarker(key, value string) store.Marker {
 	return store.Marker{Key: key, Mine: func(v []byte) bool { return string(v) == value }}
 }
 
@@ -51,7 +53,7 @@
 		})
 	})
 
-	It("speaks the protocol of rows, objects and VMs", func() {
+	It("reads and writes rows, objects and VMs", func() {
 		t := c.Table()
 		Expect(t.Apply(ctx, insert("a b/ä", "1"))).To(Succeed())
 		Expect(t.Apply(ctx, insert("a b/ä", "2"))).To(beKind(fault.StoreConflict))
@@ -76,9 +78,9 @@
 		Expect(changes.Live).To(HaveLen(1))
 	})
 
-	DescribeTable("maps faults of a write",
-		func(f stand.PlatformFaults, kind fault.Kind) {
-			p.Misbehave(f)
+	DescribeTable("returns the error kind that tells whether a write may have taken effect",
+		func(faults stand.PlatformFaults, kind fault.Kind) {
+			p.Misbehave(faults)
 			Expect(c.Table().Apply(ctx, insert("a", "1"))).To(beKind(kind))
 		},
 		Entry("down", stand.PlatformFaults{TableDown: true}, fault.StoreUnavailable),
@@ -88,18 +90,18 @@
 		Entry("slow", stand.PlatformFaults{Delay: time.Second}, fault.StoreAmbiguous),
 	)
 
-	It("calls a write not sent only if it has no connection", func() {
+	It("reports a write as not sent only if no connection could be opened", func() {
 		server.Close()
 		Expect(c.Table().Apply(ctx, insert("a", "1"))).To(beKind(fault.StoreUnavailable))
 	})
 
-	It("takes a status of an intermediary for no answer", func() {
+	It("does not take the status of an intermediary for a reply of the store", func() {
 		gateway := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }))
 		defer gateway.Close()
 		Expect(store.NewClient(gateway.URL).Table().Apply(ctx, insert("a", "1"))).To(beKind(fault.StoreAmbiguous))
 	})
 
-	It("stops asking a part that is away, and no other part", func() {
+	It("stops requests to a component that is down, and to no other component", func() {
 		p.Misbehave(stand.PlatformFaults{TableDown: true})
 		for range 20 {
 			_, err := c.Table().Get(ctx, "a")
@@ -111,8 +113,8 @@
 	})
 })
 
-// handlerTransport serves requests in the caller's goroutine, so that a
-// synctest bubble needs no network.
+// handlerTransport calls the handler in the caller's goroutine, because a synctest
+// bubble cannot use the network.
 type handlerTransport struct{ handler http.Handler }
 
 func (h handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -121,27 +123,28 @@
 	return w.Result(), nil
 }
 
-// TestFleetBudget guards against a fleet that asks more of the platform than
-// it takes: in a long outage, right after it, and in normal service.
-func TestFleetBudget(t *testing.T) {
+// TestFleetRateLimit guards against a fleet that overloads the platform: during a long
+// outage, right after it, and in normal operation.
+func TestFleetRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		const daemons, minutes = 40, 3
 		p := stand.NewPlatform()
 		p.Misbehave(stand.PlatformFaults{TableDown: true})
-		load := make([]writer, daemons)
+		writers := make([]writer, daemons)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer time.Sleep(writePause)
 		defer cancel()
-		for i := range load {
-			load[i] = writer{id: i, client: store.NewClient("http://platform", store.WithTransport(handlerTransport{p}),
+		for i := range writers {
+			writers[i] = writer{id: i, client: store.NewClient("http://platform", store.WithTransport(handlerTransport{p}),
 				store.WithDaemons(func() int { return daemons }))}
-			go load[i].run(ctx)
+			go writers[i].run(ctx)
 		}
 		time.Sleep(minutes * time.Minute)
-		inOutage := p.Counts().TableWrites
-		// Three failures, six trials while the wait doubles, then a trial per 10 s at the most.
-		g.Expect(inOutage).To(BeNumerically("<=", daemons*(3+6+minutes*6)))
+		duringOutage := p.Counts().TableWrites
+		// Three failures, six trials while the wait doubles, then at most one trial
+		// per 10 s.
+		g.Expect(duringOutage).To(BeNumerically("<=", daemons*(3+6+minutes*6)))
 		p.Misbehave(stand.PlatformFaults{})
 		last := p.Counts().TableWrites
 		for range 45 {
@@ -158,7 +161,7 @@
 
 const writePause = 50 * time.Millisecond
 
-// writer writes as fast as its client lets it.
+// writer writes rows as fast as its client allows.
 type writer struct {
 	id     int
 	client *store.Client
@@ -171,8 +174,8 @@
 	}
 }
 
-// TestApplyOnce guards against a write that is applied twice or reported as
-// not applied while its late effect is under way.
+// TestApplyOnce guards against a write that is applied twice, or reported as not
+// applied although a delayed request still takes effect.
 func TestApplyOnce(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -180,7 +183,7 @@
 	}{
 		{"reply lost", stand.PlatformFaults{LoseReplies: 3}},
 		{"request lost", stand.PlatformFaults{LoseRequests: 3}},
-		{"late effect", stand.PlatformFaults{LoseReplies: 1, LateBy: 30 * time.Millisecond}},
+		{"effect delayed", stand.PlatformFaults{LoseReplies: 1, LateBy: 30 * time.Millisecond}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -188,9 +191,9 @@
 				g := NewWithT(t)
 				p := stand.NewPlatform()
 				p.Misbehave(c.faults)
-				g.Expect(store.ApplyOnce(t.Context(), p.Table(), insert("a", "1"), mine("a", "1"))).To(Succeed())
-				g.Expect(store.ApplyOnce(t.Context(), p.Table(), insert("a", "1"), mine("a", "1"))).To(Succeed())
-				g.Expect(store.ApplyOnce(t.Context(), p.Table(), insert("a", "2"), mine("a", "2"))).To(beKind(fault.StoreConflict))
+				g.Expect(store.ApplyOnce(t.Context(), p.Table(), insert("a", "1"), valueMarker("a", "1"))).To(Succeed())
+				g.Expect(store.ApplyOnce(t.Context(), p.Table(), insert("a", "1"), valueMarker("a", "1"))).To(Succeed())
+				g.Expect(store.ApplyOnce(t.Context(), p.Table(), insert("a", "2"), valueMarker("a", "2"))).To(beKind(fault.StoreConflict))
 				time.Sleep(time.Second)
 				row, err := p.Table().Get(t.Context(), "a")
 				g.Expect(err).NotTo(HaveOccurred())
@@ -200,8 +203,8 @@
 	}
 }
 
-// TestApplyOnceUnresolved guards against a definite result while the store
-// can't be read.
+// TestApplyOnceUnresolved guards against a definite result while the store cannot be
+// read.
 func TestApplyOnceUnresolved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -209,6 +212,6 @@
 		p.Misbehave(stand.PlatformFaults{OneWay: true})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		g.Expect(store.ApplyOnce(ctx, p.Table(), insert("a", "1"), mine("a", "1"))).To(beKind(fault.StoreAmbiguous))
+		g.Expect(store.ApplyOnce(ctx, p.Table(), insert("a", "1"), valueMarker("a", "1"))).To(beKind(fault.StoreAmbiguous))
 	})
 }
