--- a/core/config/doc.go
+++ b/core/config/doc.go
@@ -1,3 +1,4 @@
-// Package config reads the settings of one process, written in JSON with
-// comments. Errors name file, line, key and what is allowed.
+// Package config reads the settings file of a daemon process, which is JSON with
+// comments and trailing commas. Each error names the file, the line, the key and
+// the allowed values.
 package config
--- a/core/config/fields.go
+++ b/core/config/fields.go
@@ -11,12 +11,15 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// field is one key of the settings file.
+// field describes one key of the settings file.
 type field struct {
-	key      string
+	key string
+	// allowed describes the allowed values in errors.
 	allowed  string
 	required bool
-	set      func(s *Settings, raw []byte) bool
+	// set decodes the JSON value into the settings. It returns false if the value is
+	// not allowed.
+	set func(s *Settings, raw []byte) bool
 }
 
 const (
@@ -26,31 +29,32 @@
 	allowedSecrets = "a list of hex strings of at least 16 bytes each"
 )
 
-var levels = []string{"debug", "info", "warn", "error"}
+var logLevels = []string{"debug", "info", "warn", "error"}
 
+// fields lists the keys of the settings file in their documented order.
 var fields = []field{
-	{key: "vm", allowed: allowedName, required: true, set: name(func(s *Settings, v string) { s.VM = fleet.VMID(v) })},
-	{key: "region", allowed: allowedName, required: true, set: name(func(s *Settings, v string) { s.Region = fleet.Region(v) })},
-	{key: "data-centre", allowed: allowedName, required: true, set: name(func(s *Settings, v string) { s.DataCentre = fleet.DataCentre(v) })},
-	{key: "caller-address", allowed: allowedAddress, required: true, set: address(func(s *Settings, v string) { s.CallerAddress = v })},
-	{key: "inner-address", allowed: allowedAddress, required: true, set: address(func(s *Settings, v string) { s.InnerAddress = v })},
-	{key: "admin-address", allowed: allowedAddress, required: true, set: address(func(s *Settings, v string) { s.AdminAddress = v })},
+	{key: "vm", allowed: allowedName, required: true, set: nameSetter(func(s *Settings, v string) { s.VM = fleet.VMID(v) })},
+	{key: "region", allowed: allowedName, required: true, set: nameSetter(func(s *Settings, v string) { s.Region = fleet.Region(v) })},
+	{key: "data-centre", allowed: allowedName, required: true, set: nameSetter(func(s *Settings, v string) { s.DataCentre = fleet.DataCentre(v) })},
+	{key: "caller-address", allowed: allowedAddress, required: true, set: addressSetter(func(s *Settings, v string) { s.CallerAddress = v })},
+	{key: "inner-address", allowed: allowedAddress, required: true, set: addressSetter(func(s *Settings, v string) { s.InnerAddress = v })},
+	{key: "admin-address", allowed: allowedAddress, required: true, set: addressSetter(func(s *Settings, v string) { s.AdminAddress = v })},
 	{key: "platform-url", allowed: "an http or https URL", required: true, set: setPlatformURL},
-	{key: "caller-tls-certificate", allowed: allowedFile, set: text(func(s *Settings, v string) { s.CallerTLS.Certificate = v })},
-	{key: "caller-tls-key", allowed: allowedFile, set: text(func(s *Settings, v string) { s.CallerTLS.Key = v })},
-	{key: "admin-tls-certificate", allowed: allowedFile, set: text(func(s *Settings, v string) { s.AdminTLS.Certificate = v })},
-	{key: "admin-tls-key", allowed: allowedFile, set: text(func(s *Settings, v string) { s.AdminTLS.Key = v })},
-	{key: "inner-tls-certificate", allowed: allowedFile, set: text(func(s *Settings, v string) { s.InnerTLS.Certificate = v })},
-	{key: "inner-tls-key", allowed: allowedFile, set: text(func(s *Settings, v string) { s.InnerTLS.Key = v })},
-	{key: "inner-tls-authority", allowed: allowedFile, set: text(func(s *Settings, v string) { s.InnerTLS.Authority = v })},
+	{key: "caller-tls-certificate", allowed: allowedFile, set: textSetter(func(s *Settings, v string) { s.CallerTLS.Certificate = v })},
+	{key: "caller-tls-key", allowed: allowedFile, set: textSetter(func(s *Settings, v string) { s.CallerTLS.Key = v })},
+	{key: "admin-tls-certificate", allowed: allowedFile, set: textSetter(func(s *Settings, v string) { s.AdminTLS.Certificate = v })},
+	{key: "admin-tls-key", allowed: allowedFile, set: textSetter(func(s *Settings, v string) { s.AdminTLS.Key = v })},
+	{key: "inner-tls-certificate", allowed: allowedFile, set: textSetter(func(s *Settings, v string) { s.InnerTLS.Certificate = v })},
+	{key: "inner-tls-key", allowed: allowedFile, set: textSetter(func(s *Settings, v string) { s.InnerTLS.Key = v })},
+	{key: "inner-tls-authority", allowed: allowedFile, set: textSetter(func(s *Settings, v string) { s.InnerTLS.Authority = v })},
 	{key: "seeds", allowed: "a list of IP addresses with ports", set: setSeeds},
 	{key: "fleet-secrets", allowed: allowedSecrets, required: true, set: setSecrets},
 	{key: "operators", allowed: "a list of {name, token-sha256}, the token as 64 hex digits", set: setOperators},
-	{key: "domain", allowed: "a domain name", set: text(func(s *Settings, v string) { s.Domain = v })},
-	{key: "log-level", allowed: "one of " + strings.Join(levels, ", "), set: setLevel},
-	{key: "store-reads", allowed: "a number above 0", set: number(func(s *Settings, v float64) { s.StoreReads = v })},
-	{key: "store-writes", allowed: "a number above 0", set: number(func(s *Settings, v float64) { s.StoreWrites = v })},
-	{key: "memory-limit-mb", allowed: "a number above 0", set: number(func(s *Settings, v float64) { s.MemoryLimit = int64(v * bytesPerMB) })},
+	{key: "domain", allowed: "a domain name", set: textSetter(func(s *Settings, v string) { s.Domain = v })},
+	{key: "log-level", allowed: "one of " + strings.Join(logLevels, ", "), set: setLogLevel},
+	{key: "store-reads", allowed: "a number above 0", set: numberSetter(func(s *Settings, v float64) { s.StoreReads = v })},
+	{key: "store-writes", allowed: "a number above 0", set: numberSetter(func(s *Settings, v float64) { s.StoreWrites = v })},
+	{key: "memory-limit-mb", allowed: "a number above 0", set: numberSetter(func(s *Settings, v float64) { s.MemoryLimit = int64(v * bytesPerMB) })},
 	{key: "shutdown-limit", allowed: `a duration above 0, such as "10m"`, set: setShutdownLimit},
 }
 
@@ -65,7 +69,8 @@
 	return keys
 }
 
-func text(assign func(*Settings, string)) func(*Settings, []byte) bool {
+// textSetter returns the set function of a field that takes a non-empty string.
+func textSetter(assign func(*Settings, string)) func(*Settings, []byte) bool {
 	return func(s *Settings, raw []byte) bool {
 		var v string
 		if json.Unmarshal(raw, &v) != nil || v == "" {
@@ -76,7 +81,8 @@
 	}
 }
 
-func name(assign func(*Settings, string)) func(*Settings, []byte) bool {
+// nameSetter returns the set function of a field that takes a name.
+func nameSetter(assign func(*Settings, string)) func(*Settings, []byte) bool {
 	return func(s *Settings, raw []byte) bool {
 		var v string
 		if json.Unmarshal(raw, &v) != nil || !isName(v) {
@@ -88,11 +94,12 @@
 }
 
 func isName(v string) bool {
-	const nameRunes = "abcdefghijklmnopqrstuvwxyz0123456789-"
-	return v != "" && strings.Trim(v, nameRunes) == ""
+	const allowedChars = "abcdefghijklmnopqrstuvwxyz0123456789-"
+	return v != "" && strings.Trim(v, allowedChars) == ""
 }
 
-func address(assign func(*Settings, string)) func(*Settings, []byte) bool {
+// addressSetter returns the set function of a field that takes an IP address with a port.
+func addressSetter(assign func(*Settings, string)) func(*Settings, []byte) bool {
 	return func(s *Settings, raw []byte) bool {
 		var v string
 		if json.Unmarshal(raw, &v) != nil || !isAddress(v) {
@@ -108,7 +115,8 @@
 	return err == nil && a.Port() != 0
 }
 
-func number(assign func(*Settings, float64)) func(*Settings, []byte) bool {
+// numberSetter returns the set function of a field that takes a number above 0.
+func numberSetter(assign func(*Settings, float64)) func(*Settings, []byte) bool {
 	return func(s *Settings, raw []byte) bool {
 		var v float64
 		if json.Unmarshal(raw, &v) != nil || v <= 0 {
@@ -137,9 +145,9 @@
 	if json.Unmarshal(raw, &v) != nil {
 		return false
 	}
-	bad := slices.ContainsFunc(v, func(a string) bool { return !isAddress(a) })
+	invalid := slices.ContainsFunc(v, func(a string) bool { return !isAddress(a) })
 	s.Seeds = v
-	return !bad
+	return !invalid
 }
 
 func setSecrets(s *Settings, raw []byte) bool {
@@ -163,10 +171,10 @@
 	if strictUnmarshal(raw, &v) != nil {
 		return false
 	}
-	const tokenBytes = 32
+	const digestBytes = 32
 	for _, o := range v {
 		digest, ok := parseSecret(o.TokenSHA256)
-		if !ok || len(digest) != tokenBytes || o.Name == "" {
+		if !ok || len(digest) != digestBytes || o.Name == "" {
 			return false
 		}
 	}
@@ -174,15 +182,16 @@
 	return true
 }
 
+// strictUnmarshal decodes JSON and fails on unknown keys.
 func strictUnmarshal(raw []byte, v any) error {
 	d := json.NewDecoder(strings.NewReader(string(raw)))
 	d.DisallowUnknownFields()
 	return d.Decode(v)
 }
 
-func setLevel(s *Settings, raw []byte) bool {
+func setLogLevel(s *Settings, raw []byte) bool {
 	var v string
-	if json.Unmarshal(raw, &v) != nil || !slices.Contains(levels, v) {
+	if json.Unmarshal(raw, &v) != nil || !slices.Contains(logLevels, v) {
 		return false
 	}
 	s.LogLevel = v
--- a/core/config/load.go
+++ b/core/config/load.go
@@ -11,7 +11,7 @@
 	"wisteriarelay.example/core/fault"
 )
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(file string) (*Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -20,8 +20,8 @@
 	return Parse(file, data)
 }
 
-// Parse checks the content of a settings file; file is its name in errors.
-// All problems are reported at once.
+// Parse decodes and validates the content of a settings file. file is its name in
+// errors. The returned error lists all problems.
 func Parse(file string, data []byte) (*Settings, error) {
 	root, err := hujson.Parse(data)
 	if err != nil {
@@ -31,53 +31,59 @@
 	if !ok {
 		return nil, fault.New(fault.ConfigInvalid, "%s:1: the file must hold one JSON object", file)
 	}
-	p := parser{file: file, data: data, settings: Defaults(), seen: map[string]int{}}
+	p := parser{file: file, data: data, settings: Defaults(), keyLines: map[string]int{}}
 	for i := range object.Members {
-		p.member(&object.Members[i])
+		p.parseMember(&object.Members[i])
 	}
-	p.missing()
-	p.pairs()
+	p.checkRequired()
+	p.checkPairs()
 	if len(p.problems) > 0 {
 		return nil, fault.New(fault.ConfigInvalid, "%s", strings.Join(p.problems, "\n"))
 	}
 	return p.settings, nil
 }
 
+// parser collects the settings and the problems of one file.
 type parser struct {
 	file     string
 	data     []byte
 	settings *Settings
-	seen     map[string]int
+	// keyLines maps each key to the line on which it first occurs.
+	keyLines map[string]int
 	problems []string
 }
 
-func (p *parser) report(line int, format string, args ...any) {
-	where := fmt.Sprintf("%s:%d: ", p.file, line)
-	p.problems = append(p.problems, where+fmt.Sprintf(format, args...))
+func (p *parser) addProblem(line int, format string, args ...any) {
+	position := fmt.Sprintf("%s:%d: ", p.file, line)
+	p.problems = append(p.problems, position+fmt.Sprintf(format, args...))
 }
 
-func (p *parser) line(offset int) int {
+// lineAt returns the line number of a byte offset.
+func (p *parser) lineAt(offset int) int {
 	return 1 + bytes.Count(p.data[:offset], []byte("\n"))
 }
 
-func (p *parser) member(m *hujson.ObjectMember) {
-	line := p.line(m.Name.StartOffset)
+// parseMember sets the field for one member of the JSON object.
+func (p *parser) parseMember(m *hujson.ObjectMember) {
+	line := p.lineAt(m.Name.StartOffset)
 	key := m.Name.Value.(hujson.Literal).String()
-	if first, ok := p.seen[key]; ok {
-		p.report(line, "key %q stands twice, first on line %d", key, first)
+	if first, ok := p.keyLines[key]; ok {
+		p.addProblem(line, "key %q occurs twice, first on line %d", key, first)
 		return
 	}
-	p.seen[key] = line
+	p.keyLines[key] = line
 	for _, f := range fields {
 		if f.key == key {
-			p.value(&f, line, m)
+			p.setField(&f, line, m)
 			return
 		}
 	}
-	p.report(line, "unknown key %q; allowed are %s", key, strings.Join(Keys(), ", "))
+	p.addProblem(line, "unknown key %q; allowed are %s", key, strings.Join(Keys(), ", "))
 }
 
-func (p *parser) value(f *field, line int, m *hujson.ObjectMember) {
+// setField sets a field from its value. If the value is not allowed, the problem
+// contains the value, unless it is a secret.
+func (p *parser) setField(f *field, line int, m *hujson.ObjectMember) {
 	value := m.Value.Clone()
 	value.Standardize()
 	raw := bytes.TrimSpace(value.Pack())
@@ -88,29 +94,31 @@
 	if f.key == "fleet-secrets" {
 		shown = "the value"
 	}
-	p.report(line, "key %q: %s is not allowed; expected %s", f.key, shown, f.allowed)
+	p.addProblem(line, "key %q: %s is not allowed; expected %s", f.key, shown, f.allowed)
 }
 
-func (p *parser) missing() {
-	last := p.line(len(p.data))
+// checkRequired reports the required keys that are missing.
+func (p *parser) checkRequired() {
+	last := p.lineAt(len(p.data))
 	for _, f := range fields {
-		if _, ok := p.seen[f.key]; f.required && !ok {
-			p.report(last, "key %q is missing; expected %s", f.key, f.allowed)
+		if _, ok := p.keyLines[f.key]; f.required && !ok {
+			p.addProblem(last, "key %q is missing; expected %s", f.key, f.allowed)
 		}
 	}
 }
 
-func (p *parser) pairs() {
-	p.pair("caller-tls-certificate", "caller-tls-key")
-	p.pair("admin-tls-certificate", "admin-tls-key")
-	p.pair("inner-tls-certificate", "inner-tls-key")
-	p.pair("inner-tls-certificate", "inner-tls-authority")
+// checkPairs reports keys that are set without a key that they require.
+func (p *parser) checkPairs() {
+	p.checkPair("caller-tls-certificate", "caller-tls-key")
+	p.checkPair("admin-tls-certificate", "admin-tls-key")
+	p.checkPair("inner-tls-certificate", "inner-tls-key")
+	p.checkPair("inner-tls-certificate", "inner-tls-authority")
 }
 
-func (p *parser) pair(a, b string) {
-	lineA, okA := p.seen[a]
-	lineB, okB := p.seen[b]
+func (p *parser) checkPair(a, b string) {
+	lineA, okA := p.keyLines[a]
+	lineB, okB := p.keyLines[b]
 	if okA != okB {
-		p.report(max(lineA, lineB), "keys %q and %q go together", a, b)
+		p.addProblem(max(lineA, lineB), "keys %q and %q must be set together", a, b)
 	}
 }
--- a/core/config/settings.go
+++ b/core/config/settings.go
@@ -7,19 +7,21 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Operator is a person who may use the administration API.
+// Operator is a person who is authorised to use the administration API.
 type Operator struct {
 	Name string `json:"name"`
 	// TokenSHA256 is the hex SHA-256 of the operator's bearer token.
 	TokenSHA256 string `json:"token-sha256"`
 }
 
-// TLSFiles names the files of a certificate and its key; empty names turn TLS off.
+// TLSFiles holds the file names of a certificate and its key. If they are empty, TLS
+// is off.
 type TLSFiles struct {
 	Certificate string `json:"certificate"`
 	Key         string `json:"key"`
-	// Authority is the file with the certificates that peers are checked
-	// against; only the inner protocol uses it.
+	// Authority is the file with the CA certificates by which peers are verified.
+	// It is used only for the inner protocol, which the daemons speak with each
+	// other.
 	Authority string `json:"authority,omitempty"`
 }
 
@@ -28,7 +30,7 @@
 	return t.Certificate != ""
 }
 
-// Settings are the settings of one daemon process.
+// Settings holds the settings of one daemon process.
 type Settings struct {
 	VM            fleet.VMID       `json:"vm"`
 	Region        fleet.Region     `json:"region"`
@@ -40,37 +42,42 @@
 	AdminTLS      TLSFiles         `json:"admin-tls"`
 	InnerTLS      TLSFiles         `json:"inner-tls"`
 	PlatformURL   string           `json:"platform-url"`
-	// Seeds are inner addresses of peers that are asked when the platform is away.
+	// Seeds are the inner addresses of peers that are contacted when the platform is
+	// unavailable.
 	Seeds []string `json:"seeds"`
-	// FleetSecrets sign order tokens; the first signs, all are accepted.
+	// FleetSecrets are the keys for signing order tokens. New tokens are signed with
+	// the first one; tokens signed with any of them are valid.
 	FleetSecrets []Secret   `json:"fleet-secrets"`
 	Operators    []Operator `json:"operators"`
-	// Domain is the suffix of host names of the form <service>.<domain>.
+	// Domain is the suffix of the services' host names, <service>.<domain>.
 	Domain   string `json:"domain"`
 	LogLevel string `json:"log-level"`
-	// StoreReads and StoreWrites are the fleet's budgets in requests per second.
+	// StoreReads and StoreWrites are the rate limits of the whole fleet for requests
+	// to the store, in requests per second.
 	StoreReads  float64 `json:"store-reads"`
 	StoreWrites float64 `json:"store-writes"`
 	// MemoryLimit is the soft memory limit of the process in bytes.
 	MemoryLimit int64 `json:"memory-limit"`
-	// ShutdownLimit is the longest time that a shutdown waits for requests in progress.
+	// ShutdownLimit is the longest time for which a shutdown waits for requests in
+	// progress.
 	ShutdownLimit time.Duration `json:"-"`
 }
 
-// Secret is a key of at least 16 bytes, written in hex; it prints redacted.
+// Secret is a key of at least 16 bytes, written in hex in the settings file. It is
+// redacted when it is printed or encoded.
 type Secret []byte
 
-// String returns a fixed text in place of the secret.
+// String returns a fixed text instead of the secret.
 func (s Secret) String() string {
 	return "redacted"
 }
 
-// MarshalJSON encodes a fixed text in place of the secret.
+// MarshalJSON returns a fixed text instead of the secret.
 func (s Secret) MarshalJSON() ([]byte, error) {
 	return []byte(`"redacted"`), nil
 }
 
-// Self returns the VM that the settings describe.
+// Self returns the VM on which the daemon runs.
 func (s *Settings) Self() fleet.VM {
 	return fleet.VM{
 		ID:         s.VM,
@@ -90,7 +97,7 @@
 	minSecretBytes       = 16
 )
 
-// Defaults returns settings with every optional key at its default.
+// Defaults returns settings with the default values of the optional keys.
 func Defaults() *Settings {
 	return &Settings{
 		LogLevel:      "info",
@@ -101,6 +108,7 @@
 	}
 }
 
+// parseSecret decodes a secret and reports whether it is long enough.
 func parseSecret(text string) (Secret, bool) {
 	b, err := hex.DecodeString(text)
 	return b, err == nil && len(b) >= minSecretBytes
