--- a/core/store/client.go
+++ b/core/store/client.go
@@ -31,7 +31,7 @@
 	// fleetRates are the rate limits of the whole fleet, for reads and for writes.
 	fleetRates [2]float64
 
-	readLimit, writeLimit            *rateLimiter
+	readLimit, writeLimit            *tokenBucket
 	table, tableWrites, objects, vms *breaker
 }
 
@@ -75,8 +75,8 @@
 	for _, o := range opts {
 		o(c)
 	}
-	c.readLimit = newRateLimiter(c.fleetRates[0], c.daemons)
-	c.writeLimit = newRateLimiter(c.fleetRates[1], c.daemons)
+	c.readLimit = newTokenBucket(c.fleetRates[0], c.daemons)
+	c.writeLimit = newTokenBucket(c.fleetRates[1], c.daemons)
 	return c
 }
 
