--- a/core/config/load.go
+++ b/core/config/load.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// checkPairs reports keys that are set without a key that they require.
+// checkPairs reports pairs of TLS keys of which only one is set.
 func (p *parser) checkPairs() {
 	p.checkPair("caller-tls-certificate", "caller-tls-key")
 	p.checkPair("admin-tls-certificate", "admin-tls-key")
--- a/core/config/settings.go
+++ b/core/config/settings.go
@@ -32,16 +32,18 @@
 
 // Settings holds the settings of one daemon process.
 type Settings struct {
-	VM            fleet.VMID       `json:"vm"`
-	Region        fleet.Region     `json:"region"`
-	DataCentre    fleet.DataCentre `json:"data-centre"`
-	CallerAddress string           `json:"caller-address"`
-	InnerAddress  string           `json:"inner-address"`
-	AdminAddress  string           `json:"admin-address"`
-	CallerTLS     TLSFiles         `json:"caller-tls"`
-	AdminTLS      TLSFiles         `json:"admin-tls"`
-	InnerTLS      TLSFiles         `json:"inner-tls"`
-	PlatformURL   string           `json:"platform-url"`
+	VM         fleet.VMID       `json:"vm"`
+	Region     fleet.Region     `json:"region"`
+	DataCentre fleet.DataCentre `json:"data-centre"`
+	// CallerAddress, InnerAddress and AdminAddress are the addresses on which the
+	// daemon serves callers, other daemons and the administration API.
+	CallerAddress string   `json:"caller-address"`
+	InnerAddress  string   `json:"inner-address"`
+	AdminAddress  string   `json:"admin-address"`
+	CallerTLS     TLSFiles `json:"caller-tls"`
+	AdminTLS      TLSFiles `json:"admin-tls"`
+	InnerTLS      TLSFiles `json:"inner-tls"`
+	PlatformURL   string   `json:"platform-url"`
 	// Seeds are the inner addresses of peers that are contacted when the platform is
 	// unavailable.
 	Seeds []string `json:"seeds"`
--- a/core/settle/follower.go
+++ b/core/settle/follower.go
@@ -76,13 +76,14 @@
 	ready       bool
 	reason      string
 	peerAnswers int
-	// peerWait is the wait after a request that brought nothing usable, until
-	// peerRetryAt; 0 stands for no wait.
+	// peerWait is the wait after a request to the peers that returned no usable
+	// revision; peerRetryAt is its end. 0 stands for no wait.
 	peerWait    time.Duration
 	peerRetryAt time.Time
-	// backoff gives the waits after store errors.
+	// backoff determines the waits after store errors.
 	backoff *backoff.ExponentialBackOff
-	due     *dueSnapshot
+	// due is the snapshot object to be written next; nil if there is none.
+	due *dueSnapshot
 }
 
 // FollowerOption configures a Follower.
@@ -132,12 +133,14 @@
 	return f
 }
 
+// emptyRevision returns revision 0, which has an empty document.
 func emptyRevision() *Applied {
 	doc := tree.New()
 	catalog, _ := doc.Compile()
 	return &Applied{Doc: doc, Catalog: catalog}
 }
 
+// newBackoff returns an exponential backoff without jitter.
 func newBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = initialBackoff
@@ -168,8 +171,9 @@
 // State returns the state of the follower. The caller must not modify it.
 func (f *Follower) State() *FollowerState { return f.state.Load() }
 
-// Hear tells the follower that a peer holds the revision. If it is higher than any
-// revision reported before, the follower polls immediately.
+// Hear tells the follower that a peer holds the revision. If it is higher than the
+// held one and any reported before, the follower polls the store immediately; after
+// a store error it only queries the peers.
 func (f *Follower) Hear(r Revision) {
 	if f.raisePeerRevision(r) && r > f.held.Load().Revision {
 		select {
@@ -193,6 +197,7 @@
 	}
 }
 
+// run polls until ctx ends.
 func (f *Follower) run(ctx context.Context) {
 	defer close(f.done)
 	next := time.Now()
--- a/core/settle/follower_test.go
+++ b/core/settle/follower_test.go
@@ -77,6 +77,7 @@
 	return r
 }
 
+// queueLength returns the effective queue length of the test service.
 func queueLength(a *Applied) int {
 	svc, _ := a.Catalog.Service("stock")
 	return svc.Policy.QueueLength
@@ -135,12 +136,12 @@
 		synctest.Wait()
 		g.Expect(p.puts).To(gomega.Equal(1))
 		_, before := p.counts()
-		late := startFollower(t, p, 2)
+		behind := startFollower(t, p, 2)
 		synctest.Wait()
-		g.Expect(late.Current().Revision).To(gomega.Equal(Revision(301)))
+		g.Expect(behind.Current().Revision).To(gomega.Equal(Revision(301)))
 		_, after := p.counts()
 		g.Expect(after - before).To(gomega.Equal(1))
-		g.Expect(queueLength(late.Current())).To(gomega.Equal(queueLength(writer.Current())))
+		g.Expect(queueLength(behind.Current())).To(gomega.Equal(queueLength(writer.Current())))
 		// Without the snapshot object, all deltas are read.
 		p.edit(func() { p.objects = map[string][]byte{} })
 		withoutSnapshot := startFollower(t, p, 3)
@@ -188,6 +189,7 @@
 	return head.Revision
 }
 
+// deltaJSON returns the value of a revision row.
 func deltaJSON(g gomega.Gomega, r Revision, ops ...tree.Op) []byte {
 	raw, err := json.Marshal(Delta{Revision: r, Change: "direct", Author: "ana", Ops: ops})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -354,7 +356,7 @@
 		peers       int
 		dataCentres int
 		seeds       int
-		away        time.Duration
+		outage      time.Duration
 		ready       bool
 	}{
 		{"no peer", 0, 1, 0, 0, false},
@@ -376,7 +378,7 @@
 				}
 				synctest.Wait()
 				p.setDown(true)
-				time.Sleep(c.away)
+				time.Sleep(c.outage)
 				f := startFollower(t, p, 9, WithPeers(answeringPeers(g, c.dataCentres, c.seeds > 0, peers...), c.seeds))
 				synctest.Wait()
 				g.Expect(f.State().Ready).To(gomega.Equal(c.ready), f.State().Reason)
--- a/core/settle/history.go
+++ b/core/settle/history.go
@@ -15,7 +15,7 @@
 const bootstrapChangeID = "bootstrap"
 
 // Bootstrap writes the document as revision 1 if there are no settings yet. It
-// returns the head revision and whether this call wrote it, possibly by an
+// returns the head revision and whether this call wrote it, which includes an
 // attempt whose reply was lost. The document must name the owners.
 func (l *Changelog) Bootstrap(ctx context.Context, doc *tree.Doc, author string) (Revision, bool, error) {
 	ops := tree.Changes(tree.New(), doc)
@@ -53,6 +53,7 @@
 	return 0, false, ambiguous.orElse(writeErr)
 }
 
+// bootstrapTx returns the transaction that creates the head row and revision 1.
 func bootstrapTx(ops []tree.Op, author string) (store.Tx, error) {
 	head, headErr := json.Marshal(Head{Revision: 1, Change: bootstrapChangeID})
 	delta, deltaErr := json.Marshal(Delta{Revision: 1, Change: bootstrapChangeID, Author: author, At: now(), Ops: ops})
--- a/core/settle/peers.go
+++ b/core/settle/peers.go
@@ -18,7 +18,8 @@
 	// maxColdStartHeadAge is the maximum age of a peer's head read at which this
 	// peer alone allows a start without the store.
 	maxColdStartHeadAge = 30 * time.Second
-	// maxPeerWait is the longest wait between requests that bring nothing usable.
+	// maxPeerWait is the longest wait between requests that return no usable
+	// revision.
 	maxPeerWait = time.Minute
 )
 
--- a/core/settle/reader.go
+++ b/core/settle/reader.go
@@ -33,7 +33,7 @@
 	// scanPageSize is the maximum number of revision rows that one scan returns.
 	scanPageSize = 64
 	// maxSnapshotBytes limits the size of a decompressed snapshot. At the planned
-	// scale a snapshot has about 2 MB.
+	// scale a snapshot is about 2 MB long.
 	maxSnapshotBytes = 64 << 20
 )
 
--- a/core/store/breaker.go
+++ b/core/store/breaker.go
@@ -135,7 +135,7 @@
 	return b.closedAt
 }
 
-func (b *breaker) snapshot() Status {
+func (b *breaker) currentStatus() Status {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.status
--- a/core/store/client.go
+++ b/core/store/client.go
@@ -91,7 +91,7 @@
 
 // Dump returns the state of the client.
 func (c *Client) Dump() Dump {
-	return Dump{Table: c.table.snapshot(), Writes: c.tableWrites.snapshot(), Objects: c.objects.snapshot(), VMs: c.vms.snapshot()}
+	return Dump{Table: c.table.currentStatus(), Writes: c.tableWrites.currentStatus(), Objects: c.objects.currentStatus(), VMs: c.vms.currentStatus()}
 }
 
 // Close closes the idle connections.
--- a/core/store/types.go
+++ b/core/store/types.go
@@ -61,7 +61,8 @@
 	Version uint64 `json:"version"`
 	// Full is set if Live is the complete list, because the requested version is
 	// too old for a list of changes.
-	Full bool         `json:"full,omitempty"`
+	Full bool `json:"full,omitempty"`
+	// Live holds the VMs that were added or changed, Gone those that were removed.
 	Live []fleet.VM   `json:"live"`
 	Gone []fleet.VMID `json:"gone,omitempty"`
 }
