--- a/core/store/breaker.go
+++ b/core/store/breaker.go
@@ -28,9 +28,9 @@
 	backoffFactor = 2
 )
 
-// Status is the state of the requests to one component of the platform, as shown in
-// the state dump.
-type Status struct {
+// BreakerStatus is the status of a breaker and of the requests that it admitted, as
+// shown in the state dump.
+type BreakerStatus struct {
 	LastSuccess time.Time `json:"last-success"`
 	LastError   string    `json:"last-error,omitempty"`
 	LastErrorAt time.Time `json:"last-error-at"`
@@ -55,7 +55,7 @@
 	trialInFlight bool
 	backoff       *backoff.ExponentialBackOff
 	closedAt      time.Time
-	status        Status
+	status        BreakerStatus
 }
 
 func newBreaker(maxInterval time.Duration) *breaker {
@@ -135,7 +135,7 @@
 	return b.closedAt
 }
 
-func (b *breaker) currentStatus() Status {
+func (b *breaker) currentStatus() BreakerStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.status
--- a/core/store/client.go
+++ b/core/store/client.go
@@ -80,18 +80,18 @@
 	return c
 }
 
-// Dump is the state of the client as shown in the state dump. Table is the state of
-// table reads.
-type Dump struct {
-	Table   Status `json:"table"`
-	Writes  Status `json:"table-writes"`
-	Objects Status `json:"objects"`
-	VMs     Status `json:"vms"`
+// ClientState is the state of the client as shown in the state dump. Table is the
+// status of table reads.
+type ClientState struct {
+	Table       BreakerStatus `json:"table"`
+	TableWrites BreakerStatus `json:"table-writes"`
+	Objects     BreakerStatus `json:"objects"`
+	VMs         BreakerStatus `json:"vms"`
 }
 
 // Dump returns the state of the client.
-func (c *Client) Dump() Dump {
-	return Dump{Table: c.table.currentStatus(), Writes: c.tableWrites.currentStatus(), Objects: c.objects.currentStatus(), VMs: c.vms.currentStatus()}
+func (c *Client) Dump() ClientState {
+	return ClientState{Table: c.table.currentStatus(), TableWrites: c.tableWrites.currentStatus(), Objects: c.objects.currentStatus(), VMs: c.vms.currentStatus()}
 }
 
 // Close closes the idle connections.
