--- a/core/place/map.go
+++ b/core/place/map.go
@@ -29,8 +29,8 @@
 	start, end int
 }
 
-func (s indexRange) size() int {
-	return s.end - s.start
+func (r indexRange) size() int {
+	return r.end - r.start
 }
 
 // NewMap returns a map of the VMs that are not leaving. If an id occurs twice in a
