--- a/core/order/bench_test.go
+++ b/core/order/bench_test.go
@@ -14,7 +14,7 @@
 // benchManager returns a manager and b.N requests with keys under its tokens.
 func benchManager(b *testing.B, own bool) (*crew, *Manager, []Request) {
 	c := newCrew()
-	d := c.join("vm-0123", WithRecords(1<<30), WithKept(1<<40, 64<<10))
+	d := c.join("vm-0123", WithMaxRecords(1<<30), WithMaxKeptBytes(1<<40, 64<<10))
 	list := make([]Request, b.N)
 	token, err := d.Token("reservas", ModeHome)
 	if err != nil {
--- a/core/order/claim.go
+++ b/core/order/claim.go
@@ -14,23 +14,25 @@
 	"wisteriarelay.example/core/store"
 )
 
-// ClaimRow is the value of the row orders/<workspace>/<key hash>. A claim is
-// inserted by its holder, who alone changes it later, once, and nobody
-// deletes it. It is therefore a grant like a release by a home daemon.
+// ClaimRow is the value of the row orders/<workspace>/<key hash> in the table
+// service. The incarnation that inserts it is its owner, and only the owner
+// changes it later, once, to record the outcome. Nobody deletes it. A claim
+// therefore permits a single run, like a grant from a token's issuer.
 type ClaimRow struct {
-	// ID is unique to the attempt that inserted the row.
-	ID     string `cbor:"1,keyasint"`
-	Holder Grant  `cbor:"2,keyasint"`
-	Digest Hash   `cbor:"3,keyasint"`
+	// ID is unique to the copy of the order whose insert created the row.
+	ID string `cbor:"1,keyasint"`
+	// Grant names the owner, and the epoch of its ledger that has the key.
+	Grant  Grant `cbor:"2,keyasint"`
+	Digest Hash  `cbor:"3,keyasint"`
 	// State is StateRunning from the claim to the outcome, then StateRun,
-	// StateRunDropped, StateUnknown or StateNotRun. A tombstone is inserted
-	// with StateNotRun.
+	// StateRunDropped, StateUnknown or StateNotRun. A row that is inserted with
+	// StateNotRun is a tombstone: it closes a key that no copy has claimed.
 	State State `cbor:"4,keyasint"`
-	// Response is kept with StateRun if it is small.
+	// Response is set with StateRun; a larger response leads to StateRunDropped.
 	Response *Response `cbor:"5,keyasint,omitempty"`
 }
 
-// Validate checks the row.
+// Validate returns a MessageInvalid error if the row is inconsistent.
 func (c *ClaimRow) Validate() error {
 	switch c.State {
 	case StateRunning, StateRun, StateRunDropped, StateUnknown, StateNotRun:
@@ -40,36 +42,38 @@
 	if c.ID == "" || c.Digest.IsZero() && c.State != StateNotRun {
 		return fault.New(fault.MessageInvalid, "claim without id or digest")
 	}
-	if err := validParts(c.State, c.Response, nil); err != nil {
+	if err := validatePayload(c.State, c.Response, nil); err != nil {
 		return err
 	}
-	return c.Holder.Validate()
+	return c.Grant.Validate()
 }
 
-// UnmarshalCBOR decodes and checks a row.
+// UnmarshalCBOR decodes and validates a row.
 func (c *ClaimRow) UnmarshalCBOR(data []byte) error {
 	type plain ClaimRow
 	return decode(data, (*plain)(c), c.Validate)
 }
 
 const (
-	// defaultRowResponse is the size up to which a response is kept in the
-	// claim row, where it outlives its daemon.
-	defaultRowResponse = 2 << 10
-	// maxOutcomes bounds the outcomes that wait for the store. An outcome that
-	// is dropped leaves its row as a claim, which is answered by the holder's
-	// ledger and with unknown after that.
-	maxOutcomes    = 8192
-	outcomeTimeout = 5 * time.Second
-	claimIDBytes   = 8
+	// defaultMaxRowResponse is the size up to which a response is kept in its
+	// claim row, where it is still available after its daemon has ended.
+	defaultMaxRowResponse = 2 << 10
+	// maxWaitingOutcomes limits the outcomes that wait for the store. If an
+	// outcome is dropped, its row stays in StateRunning. Repeats of the order are
+	// then decided by the ledger of the row's owner, and get the outcome unknown
+	// once that ledger is gone.
+	maxWaitingOutcomes = 8192
+	outcomeTimeout     = 5 * time.Second
+	claimIDBytes       = 8
 )
 
-// Claims holds callers' own keys as rows of the table service.
+// Claims stores claims as rows of the table service, for caller-chosen keys and
+// for tokens with ModeClaim.
 type Claims struct {
-	table       store.Table
-	rowResponse int64
-	wake        chan struct{}
-	// random fills claim ids; the property test replaces it.
+	table          store.Table
+	maxRowResponse int64
+	wake           chan struct{}
+	// random fills claim ids; the property test replaces it to be reproducible.
 	random func([]byte) (int, error)
 
 	mu      sync.Mutex
@@ -78,17 +82,17 @@
 	written uint64
 }
 
-// outcomeWrite is an outcome that waits for the store.
+// outcomeWrite is a claim row with its outcome, waiting to be written to the store.
 type outcomeWrite struct {
 	key string
 	row ClaimRow
 }
 
-func newClaims(table store.Table, rowResponse int64) *Claims {
-	return &Claims{table: table, rowResponse: rowResponse, wake: make(chan struct{}, 1), random: rand.Read}
+func newClaims(table store.Table, maxRowResponse int64) *Claims {
+	return &Claims{table: table, maxRowResponse: maxRowResponse, wake: make(chan struct{}, 1), random: rand.Read}
 }
 
-func claimKey(workspace fleet.WorkspaceID, key Hash) string {
+func claimRowKey(workspace fleet.WorkspaceID, key Hash) string {
 	return "orders/" + string(workspace) + "/" + hex.EncodeToString(key[:])
 }
 
@@ -98,18 +102,19 @@
 	return hex.EncodeToString(b[:])
 }
 
-// insert writes a new row. It returns nil if the row stands, StoreConflict if
-// another row stands in its place for good, and any other kind if that isn't known.
+// insert writes a new row. It returns nil if the row was inserted, StoreConflict
+// if the key already has another row, and an error of any other kind if neither
+// is established.
 func (c *Claims) insert(ctx context.Context, key string, row ClaimRow) error {
 	value, err := cbor.Marshal(row)
 	if err != nil {
 		return fault.Wrap(err, fault.Internal, "encode a claim")
 	}
 	tx := store.Tx{ID: row.ID, Conds: []store.Cond{{Key: key}}, Puts: []store.Put{{Key: key, Value: value}}}
-	return store.ApplyOnce(ctx, c.table, tx, store.Marker{Key: key, Mine: row.sameID})
+	return store.ApplyOnce(ctx, c.table, tx, store.Marker{Key: key, Mine: row.hasSameID})
 }
 
-func (c *ClaimRow) sameID(value []byte) bool {
+func (c *ClaimRow) hasSameID(value []byte) bool {
 	var other ClaimRow
 	return cbor.Unmarshal(value, &other) == nil && other.ID == c.ID
 }
@@ -126,11 +131,11 @@
 	return claim, nil
 }
 
-// settle hands an outcome to the run loop. The holder's ledger answers for the
-// key until the outcome is written.
-func (c *Claims) settle(key string, row ClaimRow, outcome fault.Outcome, res *Response) {
+// enqueueOutcome queues an outcome for the run loop. Until it is written, the
+// ledger of the row's owner answers queries about the key.
+func (c *Claims) enqueueOutcome(key string, row ClaimRow, outcome fault.Outcome, res *Response) {
 	switch {
-	case outcome == fault.Run && res != nil && res.Size() <= c.rowResponse:
+	case outcome == fault.Run && res != nil && res.Size() <= c.maxRowResponse:
 		row.State, row.Response = StateRun, res
 	case outcome == fault.Run:
 		row.State = StateRunDropped
@@ -141,7 +146,7 @@
 	}
 	c.mu.Lock()
 	c.waiting = append(c.waiting, outcomeWrite{key, row})
-	if len(c.waiting) > maxOutcomes {
+	if len(c.waiting) > maxWaitingOutcomes {
 		c.waiting = c.waiting[1:]
 		c.dropped++
 	}
@@ -152,7 +157,7 @@
 	}
 }
 
-// run writes outcomes until ctx ends.
+// run writes queued outcomes until ctx ends.
 func (c *Claims) run(ctx context.Context) {
 	for {
 		select {
@@ -164,11 +169,11 @@
 	}
 }
 
-// flush writes the waiting outcomes, with growing waits while the store is
-// away, until none is left or ctx ends.
+// flush writes the queued outcomes until none is left or ctx ends. It retries
+// with backoff while the store is unavailable.
 func (c *Claims) flush(ctx context.Context) error {
 	for attempt := 0; ; attempt++ {
-		o, ok := c.next()
+		o, ok := c.firstWaiting()
 		if !ok {
 			return nil
 		}
@@ -182,14 +187,14 @@
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
-			return fault.Wrap(ctx.Err(), fault.StoreUnavailable, "outcomes of orders not written")
+			return fault.Wrap(ctx.Err(), fault.StoreUnavailable, "queued outcomes of orders not written to the store")
 		}
 	}
 }
 
-// write puts an outcome without a condition: only the holder of a claim writes
-// its outcome, after its insert is known to stand, and always the same one, so
-// that a late repeat changes nothing.
+// write puts an outcome without a condition. Only the owner of a claim writes its
+// outcome, only after the insert has succeeded, and always the same outcome, so
+// that a write that takes effect late changes nothing.
 func (c *Claims) write(ctx context.Context, o outcomeWrite) error {
 	value, err := cbor.Marshal(o.row)
 	if err != nil {
@@ -200,7 +205,7 @@
 	return c.table.Apply(ctx, store.Tx{ID: o.row.ID + "/outcome", Puts: []store.Put{{Key: o.key, Value: value}}})
 }
 
-func (c *Claims) next() (outcomeWrite, bool) {
+func (c *Claims) firstWaiting() (outcomeWrite, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.waiting) == 0 {
@@ -209,7 +214,7 @@
 	return c.waiting[0], true
 }
 
-// remove takes a written outcome off the queue; it may have been dropped meanwhile.
+// remove removes a written outcome from the queue, unless it was dropped meanwhile.
 func (c *Claims) remove(o outcomeWrite) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/core/order/decision.go
+++ b/core/order/decision.go
@@ -7,10 +7,10 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Verdict is what may be done with one copy of an order.
+// Verdict says what happens with one copy of an order.
 type Verdict uint8
 
-// The verdicts. Only VerdictRun allows the request to be sent.
+// The verdicts. Only VerdictRun permits sending the request to a target.
 const (
 	VerdictUnknown Verdict = iota
 	VerdictRun
@@ -32,60 +32,63 @@
 	return verdictNames[v]
 }
 
-// Request is one copy of an order.
+// Request describes one copy of an order: its first request or a repeat with the
+// same key.
 type Request struct {
 	// Key is the value of the Idempotency-Key header.
 	Key       string
 	Service   fleet.ServiceID
 	Workspace fleet.WorkspaceID
-	// Digest may be missing only if Carried is false; no response is returned then.
+	// Digest is the digest of the request. It may be zero only if Carried is
+	// false; the decision then has no response.
 	Digest Hash
 	Mode   fleet.OrderKeyMode
-	// Carried says that this daemon can run requests of the service. If it is
-	// false the key is closed as not run where that is possible.
+	// Carried says that this daemon may run the order. If it is false, the key
+	// is closed as not run, provided that no copy ran or may still run.
 	Carried bool
 }
 
 // Decision is the verdict on one copy of an order.
 type Decision struct {
 	Verdict Verdict
-	// Response comes with VerdictReplay, if it is still kept.
+	// Response is the first response, set with VerdictReplay if it is still kept.
 	Response *Response
-	// Fault is the error for the caller; nil with VerdictRun and with a Response.
+	// Fault is the error for the caller. It is nil with VerdictRun and if there
+	// is a Response.
 	Fault *fault.Error
-	// Ticket comes with VerdictRun; its Finish is called once.
+	// Ticket is set with VerdictRun. The caller must call its Finish once.
 	Ticket Ticket
 }
 
-// Ticket is the right to run an order once. The zero ticket stands for an
-// order without a key.
+// Ticket is the permission to run an order once. The zero Ticket is for an order
+// without a key, whose outcome is not recorded.
 type Ticket struct {
 	manager *Manager
 	key     Hash
 	epoch   uint32
-	claim   *heldClaim
+	claim   *openClaim
 }
 
-// heldClaim is a claim of this incarnation that waits for its outcome.
-type heldClaim struct {
+// openClaim is a claim row that this incarnation owns and that has no outcome yet.
+type openClaim struct {
 	key string
 	row ClaimRow
 }
 
-// Finish records the outcome of the order, and its response with outcome run.
-// NotRun may be stated only if no byte of the request can have been acted on;
-// it closes the key for good.
+// Finish records the outcome of the order and, with fault.Run, its response. The
+// outcome may be fault.NotRun only if it is certain that the target did not act
+// on any part of the request; the key can then never be used again.
 func (t Ticket) Finish(outcome fault.Outcome, res *Response) {
 	if t.manager == nil {
 		return
 	}
 	t.manager.ledger.finish(t.epoch, t.key, outcome, res)
 	if t.claim != nil {
-		t.manager.claims.settle(t.claim.key, t.claim.row, outcome, res)
+		t.manager.claims.enqueueOutcome(t.claim.key, t.claim.row, outcome, res)
 	}
 }
 
-// decide returns the decision for a reply that allows no run.
+// decide returns the decision for a reply that does not permit the copy to run.
 func decide(r OrderReply) Decision {
 	switch r.State {
 	case StateAsking, StateRunning:
@@ -117,6 +120,6 @@
 	return Decision{Verdict: VerdictInvalid, Fault: fault.From(err)}
 }
 
-// AskHome sends an ask to the daemon that runs as the incarnation and returns
-// its reply, or an error if no reply came.
-type AskHome func(ctx context.Context, to fleet.Incarnation, ask OrderAsk) (OrderReply, error)
+// QueryFunc sends a query to the daemon with the given incarnation and returns
+// its reply, or an error if there was none.
+type QueryFunc func(ctx context.Context, to fleet.Incarnation, query OrderAsk) (OrderReply, error)
--- a/core/order/fuzz_test.go
+++ b/core/order/fuzz_test.go
@@ -9,7 +9,7 @@
 )
 
 // FuzzParseKey guards against a panic in the parser, and against a token that
-// is accepted although its text was not signed.
+// is accepted although its text was not hasValidMAC.
 func FuzzParseKey(f *testing.F) {
 	s, err := NewSigner(testSecret)
 	if err != nil {
@@ -17,7 +17,7 @@
 	}
 	// The processes of a fuzz run have to issue the same token.
 	s.random = func(b []byte) (int, error) { return len(b), nil }
-	token, err := s.Issue(Token{Service: "reservas", Home: "vm1.0123456789abcdef", Epoch: 3, Mode: ModeHome})
+	token, err := s.Issue(Token{Service: "reservas", Issuer: "vm1.0123456789abcdef", Epoch: 3, Mode: ModeHome})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -26,7 +26,7 @@
 	}
 	f.Fuzz(func(t *testing.T, value string) {
 		k, err := s.ParseKey(value)
-		if err != nil || k.Own {
+		if err != nil || k.CallerChosen {
 			return
 		}
 		if issued, _, _ := strings.Cut(k.Text, "."); issued != token {
@@ -45,7 +45,7 @@
 		OrderReply{State: StateReleased, Grant: grant},
 		OrderReply{State: StateRun, Response: response("x")},
 		LedgerPart{Ledger: "vm1.0123456789abcdef", Parts: 1, First: 1, Last: 2, Records: []Record{{Epoch: 1, Key: key, State: StateNotRun}}},
-		ClaimRow{ID: "1", Holder: *grant, Digest: key, State: StateRunning},
+		ClaimRow{ID: "1", Grant: *grant, Digest: key, State: StateRunning},
 	} {
 		b, err := cbor.Marshal(m)
 		if err != nil {
--- a/core/order/handover.go
+++ b/core/order/handover.go
@@ -14,37 +14,39 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// partBytes is the size at which a part of an exported ledger ends.
-const partBytes = 256 << 10
+// maxPartBytes limits the estimated size of the records in one part of an
+// exported ledger; a part with a single record may exceed it.
+const maxPartBytes = 256 << 10
 
-// exportKept bounds the responses in one export. A daemon is replaced 4.5 times
-// a day (3,100 of 690); two copies of 4 MiB each time are 0.44 KB/s on average,
-// of 5 KB/s for control.
-const exportKept = 4 << 20
+// maxExportedResponseBytes limits the size of the responses in one export. A
+// daemon is replaced 4.5 times a day (3,100 replacements of 690 daemons), and
+// each time two copies of up to 4 MiB are sent. That is 0.44 KB/s on average, of
+// the 5 KB/s that are available for control traffic.
+const maxExportedResponseBytes = 4 << 20
 
-// recordBytes is the size of an encoded record without its response, roughly.
-const recordBytes = 64
+// estimatedRecordBytes is the approximate encoded size of a record without its response.
+const estimatedRecordBytes = 64
 
-// seal closes the open epoch for good. Reservations are removed, so that no
-// grant to this incarnation is used any more.
+// seal closes the open epoch and opens no other. It removes the reservations, so
+// that no grant to this incarnation can be used any more.
 func (l *Ledger) seal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.current.Load() == 0 {
+	if l.openEpoch.Load() == 0 {
 		return
 	}
-	l.current.Store(0)
-	l.epochs[len(l.epochs)-1].closed = time.Now()
+	l.openEpoch.Store(0)
+	l.epochs[len(l.epochs)-1].closedAt = time.Now()
 	for i := range l.shards {
-		l.shards[i].close()
-		l.records.Add(-l.shards[i].removeAsking())
+		l.shards[i].closeEpoch()
+		l.records.Add(-l.shards[i].removeReservations())
 	}
 }
 
-func (s *shard) removeAsking() (removed int64) {
+func (s *shard) removeReservations() (removed int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, t := range s.tables {
+	for _, t := range s.epochs {
 		for key, r := range t.records {
 			if r.state == StateAsking {
 				delete(t.records, key)
@@ -55,8 +57,8 @@
 	return removed
 }
 
-// export seals the ledger and returns its records. A record that is still
-// running is exported as unknown, because its outcome will not reach the holders.
+// export seals the ledger and returns its records in parts. A running order is
+// exported with StateUnknown, because its outcome will not reach the importers.
 func (l *Ledger) export() []LedgerPart {
 	l.seal()
 	l.mu.Lock()
@@ -66,15 +68,15 @@
 	for i := range l.shards {
 		records = l.shards[i].export(records)
 	}
-	return LedgerPart{Ledger: l.self, First: first, Last: last, Keep: l.keep}.cut(records)
+	return LedgerPart{Ledger: l.self, First: first, Last: last, Keep: l.retention}.split(records)
 }
 
 func (s *shard) export(into []Record) []Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, t := range s.tables {
+	for _, t := range s.epochs {
 		for key, r := range t.records {
-			out := Record{Epoch: t.number, Key: key, Digest: r.digest, State: r.state, Response: r.res, Grant: r.grant}
+			out := Record{Epoch: t.number, Key: key, Digest: r.digest, State: r.state, Response: r.response, Grant: r.grant}
 			if r.state == StateRunning {
 				out.State = StateUnknown
 			}
@@ -84,18 +86,19 @@
 	return into
 }
 
-// cut returns the records of one ledger in parts, in order.
-func (p LedgerPart) cut(records []Record) []LedgerPart {
+// split distributes the records of one ledger over parts, ordered by epoch and
+// key. The parts are copies of p with consecutive part numbers.
+func (p LedgerPart) split(records []Record) []LedgerPart {
 	slices.SortFunc(records, func(a, b Record) int {
 		return cmp.Or(cmp.Compare(a.Epoch, b.Epoch), bytes.Compare(a.Key[:], b.Key[:]))
 	})
-	dropOlder(records)
+	dropOldResponses(records)
 	var id [8]byte
 	_, _ = rand.Read(id[:])
 	p.Export = binary.LittleEndian.Uint64(id[:])
 	var list []LedgerPart
 	for len(records) > 0 || len(list) == 0 {
-		n := partLength(records)
+		n := nextPartLength(records)
 		p.Records, records = records[:n:n], records[n:]
 		list = append(list, p)
 	}
@@ -105,163 +108,169 @@
 	return list
 }
 
-// dropOlder removes the responses of the older epochs above exportKept.
-func dropOlder(records []Record) {
-	kept := int64(0)
+// dropOldResponses keeps responses of the newest epochs up to a total of
+// maxExportedResponseBytes and removes the others.
+func dropOldResponses(records []Record) {
+	keptBytes := int64(0)
 	for i := len(records) - 1; i >= 0; i-- {
 		r := &records[i]
 		if r.Response == nil {
 			continue
 		}
-		if kept += r.Response.Size(); kept > exportKept {
+		if keptBytes += r.Response.Size(); keptBytes > maxExportedResponseBytes {
 			r.State, r.Response = StateRunDropped, nil
 		}
 	}
 }
 
-// partLength returns how many of the records go into the next part.
-func partLength(records []Record) int {
+// nextPartLength returns how many records the next part takes.
+func nextPartLength(records []Record) int {
 	size := int64(0)
 	for i, r := range records {
-		size += recordBytes
+		size += estimatedRecordBytes
 		if r.Response != nil {
 			size += r.Response.Size()
 		}
-		if size > partBytes && i > 0 {
+		if size > maxPartBytes && i > 0 {
 			return i
 		}
 	}
 	return len(records)
 }
 
-// holdings are the closed ledgers that other incarnations handed over.
-type holdings struct {
-	maxRecords, maxKept int64
+// importedLedgers holds the sealed ledgers that other incarnations handed over
+// before they left.
+type importedLedgers struct {
+	maxRecords, maxKeptBytes int64
 
-	mu      sync.Mutex
-	ledgers map[fleet.Incarnation]*held
-	records int64
-	kept    int64
+	mu        sync.Mutex
+	ledgers   map[fleet.Incarnation]*importedLedger
+	records   int64
+	keptBytes int64
 }
 
-// held is one ledger that was handed over, or the parts of it that arrived.
-type held struct {
-	export      uint64
-	first, last uint32
-	until       time.Time
-	missing     map[int]bool
-	records     map[heldKey]record
-	kept        int64
+// importedLedger is a ledger that was handed over, with the parts that have
+// arrived so far.
+type importedLedger struct {
+	exportID              uint64
+	firstEpoch, lastEpoch uint32
+	expiresAt             time.Time
+	missingParts          map[int]bool
+	records               map[recordKey]record
+	keptBytes             int64
 }
 
-type heldKey struct {
+type recordKey struct {
 	epoch uint32
 	key   Hash
 }
 
-// add takes over one part. Parts of another export of the same ledger replace
-// an incomplete one, since they are cut in another way; a complete one stays.
-func (h *holdings) add(p LedgerPart, now time.Time) error {
+// add stores one part of a ledger. Two exports of a ledger may distribute its
+// records differently, so a part of another export replaces an incomplete
+// ledger. A complete ledger stays as it is.
+func (h *importedLedgers) add(p LedgerPart, now time.Time) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	l := h.ledgers[p.Ledger]
-	if l != nil && l.export != p.Export && len(l.missing) > 0 {
+	if l != nil && l.exportID != p.Export && len(l.missingParts) > 0 {
 		h.removeLocked(p.Ledger)
 		l = nil
 	}
 	if l == nil {
-		l = newHeld(p, now)
+		l = newImportedLedger(p, now)
 		h.ledgers[p.Ledger] = l
 	}
-	if l.export != p.Export || !l.missing[p.Part] {
+	if l.exportID != p.Export || !l.missingParts[p.Part] {
 		return nil
 	}
 	if h.records+int64(len(p.Records)) > h.maxRecords {
 		return fault.New(fault.QueueFull, "no room for %d records of %q", len(p.Records), p.Ledger)
 	}
-	delete(l.missing, p.Part)
+	delete(l.missingParts, p.Part)
 	for _, r := range p.Records {
 		h.addRecord(l, r)
 	}
 	return nil
 }
 
-func newHeld(p LedgerPart, now time.Time) *held {
-	l := &held{export: p.Export, first: p.First, last: p.Last, until: now.Add(p.Keep), missing: map[int]bool{}, records: map[heldKey]record{}}
+func newImportedLedger(p LedgerPart, now time.Time) *importedLedger {
+	l := &importedLedger{exportID: p.Export, firstEpoch: p.First, lastEpoch: p.Last, expiresAt: now.Add(p.Keep), missingParts: map[int]bool{}, records: map[recordKey]record{}}
 	for i := range p.Parts {
-		l.missing[i] = true
+		l.missingParts[i] = true
 	}
 	return l
 }
 
-func (h *holdings) addRecord(l *held, r Record) {
-	in := record{digest: r.Digest, state: r.State, res: r.Response, grant: r.Grant}
-	if in.res != nil && h.kept+in.res.Size() > h.maxKept {
-		in.state, in.res = StateRunDropped, nil
+func (h *importedLedgers) addRecord(l *importedLedger, r Record) {
+	in := record{digest: r.Digest, state: r.State, response: r.Response, grant: r.Grant}
+	if in.response != nil && h.keptBytes+in.response.Size() > h.maxKeptBytes {
+		in.state, in.response = StateRunDropped, nil
 	}
-	if in.res != nil {
-		h.kept += in.res.Size()
-		l.kept += in.res.Size()
+	if in.response != nil {
+		h.keptBytes += in.response.Size()
+		l.keptBytes += in.response.Size()
 	}
-	l.records[heldKey{r.Epoch, r.Key}] = in
+	l.records[recordKey{r.Epoch, r.Key}] = in
 	h.records++
 }
 
-// answer replies for a ledger that was handed over. An unseen key was not run
-// only if all parts arrived and the epoch is one of the closed ones.
-func (h *holdings) answer(a OrderAsk) OrderReply {
+// answer replies to a query about a ledger that was handed over. A key without a
+// record is known to be not run only if all parts have arrived and its epoch is
+// one of those that the ledger covers.
+func (h *importedLedgers) answer(q OrderAsk) OrderReply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	l := h.ledgers[a.Ledger]
+	l := h.ledgers[q.Ledger]
 	if l == nil {
 		return OrderReply{State: StateNotHeld}
 	}
-	if r, ok := l.records[heldKey{a.Epoch, a.Key}]; ok {
-		return r.checked(a.Digest).reply(a.Digest)
+	if r, ok := l.records[recordKey{q.Epoch, q.Key}]; ok {
+		return r.forDigest(q.Digest).reply(q.Digest)
 	}
 	switch {
-	case len(l.missing) > 0:
+	case len(l.missingParts) > 0:
 		return OrderReply{State: StateNotHeld}
-	case a.Epoch < l.first || a.Epoch > l.last:
+	case q.Epoch < l.firstEpoch || q.Epoch > l.lastEpoch:
 		return OrderReply{State: StateUnknown}
 	default:
 		return OrderReply{State: StateNotRun}
 	}
 }
 
-// expire drops the ledgers whose time is over.
-func (h *holdings) expire(now time.Time) {
+// expire removes the ledgers whose retention time is over.
+func (h *importedLedgers) expire(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for inc, l := range h.ledgers {
-		if now.After(l.until) {
+		if now.After(l.expiresAt) {
 			h.removeLocked(inc)
 		}
 	}
 }
 
-func (h *holdings) removeLocked(inc fleet.Incarnation) {
+func (h *importedLedgers) removeLocked(inc fleet.Incarnation) {
 	l := h.ledgers[inc]
 	delete(h.ledgers, inc)
 	h.records -= int64(len(l.records))
-	h.kept -= l.kept
+	h.keptBytes -= l.keptBytes
 }
 
-// export returns the complete ledgers, for a holder that leaves itself.
-func (h *holdings) export(now time.Time) []LedgerPart {
+// export returns the complete ledgers in parts. A daemon that leaves hands them
+// over together with its own ledger.
+func (h *importedLedgers) export(now time.Time) []LedgerPart {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var all []LedgerPart
 	for _, inc := range slices.Sorted(maps.Keys(h.ledgers)) {
 		l := h.ledgers[inc]
-		if len(l.missing) > 0 || !now.Before(l.until) {
+		if len(l.missingParts) > 0 || !now.Before(l.expiresAt) {
 			continue
 		}
 		var records []Record
 		for k, r := range l.records {
-			records = append(records, Record{Epoch: k.epoch, Key: k.key, Digest: r.digest, State: r.state, Response: r.res, Grant: r.grant})
+			records = append(records, Record{Epoch: k.epoch, Key: k.key, Digest: r.digest, State: r.state, Response: r.response, Grant: r.grant})
 		}
-		all = append(all, LedgerPart{Ledger: inc, First: l.first, Last: l.last, Keep: l.until.Sub(now)}.cut(records)...)
+		all = append(all, LedgerPart{Ledger: inc, First: l.firstEpoch, Last: l.lastEpoch, Keep: l.expiresAt.Sub(now)}.split(records)...)
 	}
 	return all
 }
--- a/core/order/hash.go
+++ b/core/order/hash.go
@@ -10,10 +10,11 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// hashSize is 128 bits: no two of 2^40 keys share a hash with a probability above 2^-48.
+// hashSize is 128 bits. The probability that any two of 2^40 keys have the same
+// hash is then below 2^-48.
 const hashSize = 16
 
-// Hash identifies a key, or the content of a request, by a truncated SHA-256.
+// Hash is a truncated SHA-256 that identifies a key or the content of a request.
 type Hash [hashSize]byte
 
 // IsZero reports whether the hash is not set.
@@ -21,7 +22,7 @@
 	return h == Hash{}
 }
 
-// UnmarshalCBOR decodes a hash and checks its length.
+// UnmarshalCBOR decodes a hash and validates its length.
 func (h *Hash) UnmarshalCBOR(data []byte) error {
 	var b []byte
 	if err := cbor.Unmarshal(data, &b); err != nil {
@@ -34,14 +35,14 @@
 	return nil
 }
 
-// Digester computes the digest of a request while its body is read. Two copies
-// of an order have the same digest only if workspace, method, path with query
-// and body are equal.
+// Digester computes the digest of a request, to which the body can be written in
+// pieces. Two requests have the same digest only if their workspace, method, path
+// with query, and body are equal.
 type Digester struct {
 	h hash.Hash
 }
 
-// NewDigester returns a digester for a request without its body.
+// NewDigester returns a digester that covers the request apart from its body.
 func NewDigester(workspace fleet.WorkspaceID, method, path string) Digester {
 	d := Digester{h: sha256.New()}
 	for _, part := range []string{string(workspace), method, path} {
@@ -51,21 +52,22 @@
 	return d
 }
 
-// Write adds bytes of the body; it never fails.
+// Write adds bytes of the body. It never returns an error.
 func (d Digester) Write(p []byte) (int, error) {
 	return d.h.Write(p)
 }
 
-// Sum returns the digest.
+// Sum returns the digest of the request with the body written so far.
 func (d Digester) Sum() Hash {
 	var sum [sha256.Size]byte
 	return Hash(d.h.Sum(sum[:0])[:hashSize])
 }
 
-// hashParts hashes the parts, each ended by a zero byte, which no part contains.
+// hashParts hashes the parts, each followed by a zero byte. No part contains a
+// zero byte, so different lists of parts give different input.
 func hashParts(parts ...string) Hash {
-	var room [512]byte
-	b := room[:0]
+	var buf [512]byte
+	b := buf[:0]
 	for _, p := range parts {
 		b = append(append(b, p...), 0)
 	}
--- a/core/order/key.go
+++ b/core/order/key.go
@@ -7,45 +7,47 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Key is a checked Idempotency-Key.
+// Key is a parsed Idempotency-Key. It is either a token with a suffix that the
+// caller appended or a text that the caller chose entirely.
 type Key struct {
 	// Text is the key without quotes.
 	Text string
-	// Own says that the caller chose the whole key; Token is empty then.
-	Own   bool
-	Token Token
+	// CallerChosen says that the caller chose the whole key; Token is then empty.
+	CallerChosen bool
+	Token        Token
 }
 
 const (
-	maxSuffix = 64
-	// maxOwnKey bounds callers' own keys; UUIDs need 36 characters.
-	maxOwnKey = 255
+	maxKeySuffix = 64
+	// maxCallerKey is the largest length of a caller-chosen key; a UUID has 36 characters.
+	maxCallerKey = 255
 )
 
-// ParseKey checks the value of an Idempotency-Key header, with or without its
-// quotes. It returns OrderKeyMissing for an empty value and OrderKeyInvalid
-// for one that is malformed or that the signer doesn't know.
+// ParseKey parses the value of an Idempotency-Key header, with or without quotes.
+// It returns OrderKeyMissing for an empty value, and OrderKeyInvalid for a
+// malformed one or a token with a signature that the signer can't verify.
 func (s *Signer) ParseKey(value string) (Key, error) {
 	text := unquote(value)
 	if text == "" {
 		return Key{}, fault.New(fault.OrderKeyMissing, "no Idempotency-Key")
 	}
-	if !isKeyText(text) {
+	if !hasValidKeyChars(text) {
 		return Key{}, fault.New(fault.OrderKeyInvalid, "character that a key may not hold")
 	}
-	if isOtherFormat(text) {
-		// A daemon of a later release may accept it.
+	if hasOtherTokenVersion(text) {
+		// A daemon of a later release may accept this format and run the order,
+		// so the outcome is unknown.
 		return Key{}, fault.New(fault.OrderKeyInvalid, "token of another format").WithOutcome(fault.Unknown)
 	}
 	if !strings.HasPrefix(text, tokenPrefix) {
-		if len(text) > maxOwnKey {
-			return Key{}, fault.New(fault.OrderKeyInvalid, "key of %d characters, at most %d are allowed", len(text), maxOwnKey)
+		if len(text) > maxCallerKey {
+			return Key{}, fault.New(fault.OrderKeyInvalid, "key of %d characters, at most %d are allowed", len(text), maxCallerKey)
 		}
-		return Key{Text: text, Own: true}, nil
+		return Key{Text: text, CallerChosen: true}, nil
 	}
 	token, suffix, ok := strings.Cut(text, ".")
-	if !ok || suffix == "" || len(suffix) > maxSuffix {
-		return Key{}, fault.New(fault.OrderKeyInvalid, "a token needs a suffix of 1 to %d characters", maxSuffix)
+	if !ok || suffix == "" || len(suffix) > maxKeySuffix {
+		return Key{}, fault.New(fault.OrderKeyInvalid, "a token needs a suffix of 1 to %d characters", maxKeySuffix)
 	}
 	t, err := s.Verify(token)
 	if err != nil {
@@ -54,8 +56,9 @@
 	return Key{Text: text, Token: t}, nil
 }
 
-// isOtherFormat recognises tokens of earlier and later formats, "w0~" to "w9~".
-func isOtherFormat(text string) bool {
+// hasOtherTokenVersion reports whether the text starts like a token of an earlier
+// or later format, with "w0~" to "w9~" but not tokenPrefix.
+func hasOtherTokenVersion(text string) bool {
 	return len(text) >= len(tokenPrefix) && text[0] == 'w' && text[1] >= '0' && text[1] <= '9' && text[2] == '~' &&
 		!strings.HasPrefix(text, tokenPrefix)
 }
@@ -67,9 +70,9 @@
 	return value
 }
 
-// isKeyText admits visible ASCII but for the quote and the backslash, which
-// would need escapes.
-func isKeyText(text string) bool {
+// hasValidKeyChars reports whether the text consists of visible ASCII characters
+// other than the quote and the backslash, which would need escapes.
+func hasValidKeyChars(text string) bool {
 	for i := range len(text) {
 		c := text[i]
 		if c <= ' ' || c > '~' || c == '"' || c == '\\' {
@@ -79,10 +82,10 @@
 	return true
 }
 
-// hash returns the name of the key in ledgers and claims. A caller's own key
-// is known only within its workspace and service.
+// hash returns the hash that identifies the key in ledgers and claims. A
+// caller-chosen key is separate for each workspace and service.
 func (k *Key) hash(workspace fleet.WorkspaceID, service fleet.ServiceID) Hash {
-	if k.Own {
+	if k.CallerChosen {
 		return hashParts("own", string(workspace), string(service), k.Text)
 	}
 	return hashParts("token", k.Text)
--- a/core/order/ledger.go
+++ b/core/order/ledger.go
@@ -11,84 +11,94 @@
 )
 
 const (
-	// shardCount spreads the lock of the ledger; a power of two.
+	// shardCount is the number of shards, each with its own lock to reduce
+	// contention; a power of two.
 	shardCount = 16
-	// defaultRecords and defaultKept keep the ledger under a quarter of the
-	// 256 MB of a daemon: up to 130 B a record (BenchmarkOwnToken), 17 MB, and
-	// 32 MiB of responses.
-	defaultRecords = 131072
-	defaultKept    = 32 << 20
-	// defaultResponse is the largest response that is kept.
-	defaultResponse = 64 << 10
-	defaultEpoch    = 10 * time.Minute
-	defaultKeep     = time.Hour
-	// defaultLeastKeep is the time after which a full ledger forgets a closed
-	// epoch early; a repeat is then answered with unknown, which is always safe.
-	defaultLeastKeep = 10 * time.Minute
-	tickEvery        = time.Second
+	// defaultMaxRecords and defaultMaxKeptBytes keep the ledger below a quarter
+	// of a daemon's 256 MB of memory: 17 MB for records of up to 130 B
+	// (BenchmarkOwnToken) and 32 MiB for responses.
+	defaultMaxRecords   = 131072
+	defaultMaxKeptBytes = 32 << 20
+	// defaultMaxResponseBytes is the size of the largest response that is kept.
+	defaultMaxResponseBytes = 64 << 10
+	defaultEpochDuration    = 10 * time.Minute
+	defaultRetention        = time.Hour
+	// defaultMinRetention is the time after which a full ledger discards a closed
+	// epoch early. A repeat of an order in it then gets the outcome unknown,
+	// which is always safe.
+	defaultMinRetention = 10 * time.Minute
+	tickInterval        = time.Second
 )
 
-// Ledger holds, in memory, what became of the keys whose right to run lies or
-// lay with this incarnation.
+// Ledger records in memory the state of each key that this incarnation may run
+// or was once allowed to run.
+//
+// Time is divided into numbered epochs. A key under a token belongs to the epoch
+// in which the token was issued. Only the newest epoch is open for new keys. A
+// closed epoch keeps its records for the retention time and is then discarded.
 type Ledger struct {
-	self                       fleet.Incarnation
-	maxRecords                 int64
-	maxKept                    int64
-	maxResponse                int64
-	epochTime, keep, leastKeep time.Duration
+	self             fleet.Incarnation
+	maxRecords       int64
+	maxKeptBytes     int64
+	maxResponseBytes int64
 
-	records atomic.Int64
-	kept    atomic.Int64
-	// current is the number of the open epoch, 0 once the ledger is sealed.
-	current atomic.Uint32
+	epochDuration, retention, minRetention time.Duration
+
+	records   atomic.Int64
+	keptBytes atomic.Int64
+	// openEpoch is the number of the open epoch, 0 once the ledger is sealed.
+	openEpoch atomic.Uint32
 
 	mu     sync.Mutex
-	epochs []epoch
+	epochs []epochTimes
 	shards [shardCount]shard
 }
 
-// epoch is one remembered epoch; the last one is open unless the ledger is sealed.
-type epoch struct {
-	number           uint32
-	openedAt, closed time.Time
+// epochTimes states when a retained epoch was opened and closed. The newest
+// epoch is open, with a zero closedAt, unless the ledger is sealed.
+type epochTimes struct {
+	number             uint32
+	openedAt, closedAt time.Time
 }
 
-// LedgerOption changes a Ledger.
+// LedgerOption configures a Ledger.
 type LedgerOption func(*Ledger)
 
-// WithRecords sets the largest number of records.
-func WithRecords(n int) LedgerOption {
+// WithMaxRecords limits the number of records.
+func WithMaxRecords(n int) LedgerOption {
 	return func(l *Ledger) { l.maxRecords = int64(n) }
 }
 
-// WithKept sets the bytes of kept responses, of all and of one.
-func WithKept(all, one int64) LedgerOption {
-	return func(l *Ledger) { l.maxKept, l.maxResponse = all, one }
+// WithMaxKeptBytes limits the size of the kept responses in bytes: of all of
+// them together and of each one.
+func WithMaxKeptBytes(total, each int64) LedgerOption {
+	return func(l *Ledger) { l.maxKeptBytes, l.maxResponseBytes = total, each }
 }
 
-// WithEpoch sets how long an epoch stays open, how long its records are kept
-// after that, and how long at the least when the ledger is full.
-func WithEpoch(open, keep, leastKeep time.Duration) LedgerOption {
-	return func(l *Ledger) { l.epochTime, l.keep, l.leastKeep = open, keep, leastKeep }
+// WithEpochDurations sets how long an epoch stays open, how long its records are
+// retained after that, and how long they are retained at least when the ledger
+// is full.
+func WithEpochDurations(open, retention, minRetention time.Duration) LedgerOption {
+	return func(l *Ledger) { l.epochDuration, l.retention, l.minRetention = open, retention, minRetention }
 }
 
 // NewLedger returns the empty ledger of an incarnation, with epoch 1 open.
 func NewLedger(self fleet.Incarnation, opts ...LedgerOption) *Ledger {
 	l := &Ledger{
 		self:       self,
-		maxRecords: defaultRecords, maxKept: defaultKept, maxResponse: defaultResponse,
-		epochTime: defaultEpoch, keep: defaultKeep, leastKeep: defaultLeastKeep,
+		maxRecords: defaultMaxRecords, maxKeptBytes: defaultMaxKeptBytes, maxResponseBytes: defaultMaxResponseBytes,
+		epochDuration: defaultEpochDuration, retention: defaultRetention, minRetention: defaultMinRetention,
 	}
 	for _, o := range opts {
 		o(l)
 	}
-	l.rollLocked(time.Now())
+	l.openNextEpochLocked(time.Now())
 	return l
 }
 
-// run closes and forgets epochs on time until ctx ends.
+// run closes epochs and discards expired ones until ctx ends.
 func (l *Ledger) run(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -103,37 +113,39 @@
 func (l *Ledger) tick(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if last := l.epochs[len(l.epochs)-1]; last.closed.IsZero() && now.Sub(last.openedAt) >= l.epochTime {
-		l.rollLocked(now)
+	if last := l.epochs[len(l.epochs)-1]; last.closedAt.IsZero() && now.Sub(last.openedAt) >= l.epochDuration {
+		l.openNextEpochLocked(now)
 	}
-	l.forgetLocked(now, l.keep)
+	l.discardExpiredLocked(now, l.retention)
 }
 
-// rollLocked closes the open epoch and opens the next one; a new ledger opens epoch 1.
-func (l *Ledger) rollLocked(now time.Time) {
-	number := l.current.Load() + 1
+// openNextEpochLocked closes the open epoch, if there is one, and opens the next
+// one. The first epoch of a ledger is 1.
+func (l *Ledger) openNextEpochLocked(now time.Time) {
+	number := l.openEpoch.Load() + 1
 	if number > 1 {
-		l.epochs[len(l.epochs)-1].closed = now
+		l.epochs[len(l.epochs)-1].closedAt = now
 	}
-	l.epochs = append(l.epochs, epoch{number: number, openedAt: now})
+	l.epochs = append(l.epochs, epochTimes{number: number, openedAt: now})
 	for i := range l.shards {
-		l.shards[i].roll(number)
+		l.shards[i].openNextEpoch(number)
 	}
-	l.current.Store(number)
+	l.openEpoch.Store(number)
 }
 
-// forgetLocked drops the closed epochs that are older than keep.
-func (l *Ledger) forgetLocked(now time.Time, keep time.Duration) {
-	for len(l.epochs) > 1 && !l.epochs[0].closed.IsZero() && now.Sub(l.epochs[0].closed) >= keep {
-		l.forgetOldestLocked()
+// discardExpiredLocked discards the epochs that were closed at least the
+// retention time ago.
+func (l *Ledger) discardExpiredLocked(now time.Time, retention time.Duration) {
+	for len(l.epochs) > 1 && !l.epochs[0].closedAt.IsZero() && now.Sub(l.epochs[0].closedAt) >= retention {
+		l.discardOldestEpochLocked()
 	}
 }
 
-func (l *Ledger) forgetOldestLocked() {
+func (l *Ledger) discardOldestEpochLocked() {
 	for i := range l.shards {
-		records, kept := l.shards[i].forgetOldest()
+		records, keptBytes := l.shards[i].discardOldestEpoch()
 		l.records.Add(-int64(records))
-		l.kept.Add(-kept)
+		l.keptBytes.Add(-keptBytes)
 	}
 	l.epochs = l.epochs[1:]
 }
@@ -142,35 +154,36 @@
 	return l.records.Load() >= l.maxRecords
 }
 
-// makeRoom is called when the ledger is full. It forgets closed epochs that
-// were kept for the least time. If that isn't enough and the numbered epoch is
-// open, it closes it, so that an unseen key of it is known to be not run.
-func (l *Ledger) makeRoom(number uint32) {
+// reclaimSpace is called when the ledger is full. It discards closed epochs that
+// were retained for minRetention. If that isn't enough and the given epoch is
+// open, it closes that epoch, so that a key without a record in it is known to
+// be not run.
+func (l *Ledger) reclaimSpace(epoch uint32) {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for l.full() && len(l.epochs) > 1 && now.Sub(l.epochs[0].closed) >= l.leastKeep {
-		l.forgetOldestLocked()
+	for l.full() && len(l.epochs) > 1 && now.Sub(l.epochs[0].closedAt) >= l.minRetention {
+		l.discardOldestEpochLocked()
 	}
-	if l.full() && number != 0 && number == l.current.Load() {
-		l.rollLocked(now)
+	if l.full() && epoch != 0 && epoch == l.openEpoch.Load() {
+		l.openNextEpochLocked(now)
 	}
 }
 
-// issueEpoch returns the epoch for a new token. It fails with NotReady once
-// the ledger is sealed and with QueueFull while it is full.
-func (l *Ledger) issueEpoch() (uint32, error) {
+// epochForToken returns the epoch for a new token. It returns NotReady once the
+// ledger is sealed and QueueFull while it is full.
+func (l *Ledger) epochForToken() (uint32, error) {
 	if l.full() {
-		l.makeRoom(0)
+		l.reclaimSpace(0)
 	}
 	if l.full() {
-		return 0, fault.New(fault.QueueFull, "the ledger holds %d orders", l.records.Load()).WithRetryAfter(tickEvery)
+		return 0, fault.New(fault.QueueFull, "the ledger holds %d orders", l.records.Load()).WithRetryAfter(tickInterval)
 	}
-	number := l.current.Load()
-	if number == 0 {
+	epoch := l.openEpoch.Load()
+	if epoch == 0 {
 		return 0, fault.New(fault.NotReady, "this daemon is leaving")
 	}
-	return number, nil
+	return epoch, nil
 }
 
 func (l *Ledger) shard(key Hash) *shard {
@@ -178,42 +191,44 @@
 }
 
 // begin admits a key under a token of this incarnation, or returns its record.
-// StateRunning with admitted means that the caller alone may run it. A key
-// that isn't to be run is closed instead.
-func (l *Ledger) begin(number uint32, key, digest Hash, run bool) (r record, admitted bool) {
+// If admitted is true, the caller, and nobody else, may run the order. With
+// mayRun false, an unseen key is closed instead.
+func (l *Ledger) begin(epoch uint32, key, digest Hash, mayRun bool) (r record, admitted bool) {
 	s := l.shard(key)
 	for {
 		full := l.full()
 		s.mu.Lock()
-		r, ok := s.find(number, key, digest)
+		r, ok := s.find(epoch, key, digest)
 		if ok || !full {
-			r, admitted = s.admit(l, ok, r, key, digest, run)
+			r, admitted = s.admit(l, ok, r, key, digest, mayRun)
 			s.mu.Unlock()
 			return r, admitted
 		}
 		s.mu.Unlock()
-		l.makeRoom(number)
+		l.reclaimSpace(epoch)
 	}
 }
 
-// reserve records that a copy of another home's key, or of a caller's own key,
-// asks for the right to run here. It returns the open epoch of the reservation,
-// or the record that a remembered epoch already holds. Without a record and
-// with epoch 0 the ledger can't take the key.
-func (l *Ledger) reserve(key, digest Hash) (r record, known bool, number uint32) {
+// reserve records that a copy of an order waits for the permission to run here.
+// Its key is not in the ledger's authority: another incarnation issued the
+// token, or the key is claimed in the table service. reserve returns the open
+// epoch, which holds the reservation, or the record that a retained epoch
+// already has for the key. With known false and epoch 0 there is neither, since
+// the ledger is full or sealed.
+func (l *Ledger) reserve(key, digest Hash) (r record, known bool, epoch uint32) {
 	if l.full() {
-		l.makeRoom(0)
+		l.reclaimSpace(0)
 	}
 	full := l.full()
 	s := l.shard(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := len(s.tables) - 1; i >= 0; i-- {
-		if r, ok := s.tables[i].records[key]; ok {
-			return r.checked(digest), true, 0
+	for i := len(s.epochs) - 1; i >= 0; i-- {
+		if r, ok := s.epochs[i].records[key]; ok {
+			return r.forDigest(digest), true, 0
 		}
 	}
-	t := s.last()
+	t := s.newest()
 	if t.closed || full {
 		return record{}, false, 0
 	}
@@ -221,12 +236,13 @@
 	return record{}, false, t.number
 }
 
-// drop removes a reservation that came to nothing.
-func (l *Ledger) drop(number uint32, key Hash) {
+// cancelReservation removes the reservation of a copy that did not get the
+// permission to run.
+func (l *Ledger) cancelReservation(epoch uint32, key Hash) {
 	s := l.shard(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.table(number)
+	t := s.epochRecords(epoch)
 	if t == nil || t.records[key].state != StateAsking {
 		return
 	}
@@ -234,13 +250,14 @@
 	l.records.Add(-1)
 }
 
-// take uses the right to run that was granted to this incarnation in an epoch.
-// The reservation is either of that epoch and becomes the running record, or
-// of a later one and is dropped: the grant then dates from an earlier ask whose
-// reply was lost, and the granted epoch decides.
-func (l *Ledger) take(reserved, granted uint32, key, digest Hash) (r record, admitted bool) {
+// useGrant starts an order under a grant to this incarnation for the epoch
+// granted. If the reservation is in that epoch, it becomes the running record.
+// If it is in a later epoch, the grant comes from an earlier query whose reply
+// was lost; the reservation is then cancelled, and the record of the granted
+// epoch decides.
+func (l *Ledger) useGrant(reserved, granted uint32, key, digest Hash) (r record, admitted bool) {
 	if reserved != granted {
-		l.drop(reserved, key)
+		l.cancelReservation(reserved, key)
 	}
 	s := l.shard(key)
 	s.mu.Lock()
@@ -248,23 +265,24 @@
 	r, ok := s.find(granted, key, digest)
 	if ok && r.state == StateAsking && reserved == granted {
 		r.state = StateRunning
-		s.table(granted).records[key] = r
+		s.epochRecords(granted).records[key] = r
 		return r, true
 	}
 	if !ok {
-		// The granted epoch is open but holds no reservation. No sequence of
-		// calls leads here; unknown is safe.
+		// The granted epoch is open but has no reservation. No sequence of
+		// calls leads here; StateUnknown is the safe result.
 		r = record{state: StateUnknown}
 	}
 	return r, false
 }
 
-// finish records the first outcome of an admitted key.
-func (l *Ledger) finish(number uint32, key Hash, outcome fault.Outcome, res *Response) {
+// finish records the outcome of a running order. It has no effect if the order
+// already has an outcome or its epoch was discarded.
+func (l *Ledger) finish(epoch uint32, key Hash, outcome fault.Outcome, res *Response) {
 	s := l.shard(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.table(number)
+	t := s.epochRecords(epoch)
 	if t == nil {
 		return
 	}
@@ -275,8 +293,8 @@
 	switch outcome {
 	case fault.Run:
 		r.state = StateRunDropped
-		if res != nil && res.Size() <= l.maxResponse {
-			r.state, r.res = StateRun, res
+		if res != nil && res.Size() <= l.maxResponseBytes {
+			r.state, r.response = StateRun, res
 		}
 	case fault.NotRun:
 		r.state = StateNotRun
@@ -284,24 +302,24 @@
 		r.state = StateUnknown
 	}
 	t.records[key] = r
-	if r.res != nil {
-		s.keep(l, t, key, res.Size())
+	if r.response != nil {
+		s.keepResponse(l, t, key, res.Size())
 	}
 }
 
-// answer replies to an ask about this ledger.
-func (l *Ledger) answer(a OrderAsk) OrderReply {
-	s := l.shard(a.Key)
+// answer replies to a query about this ledger.
+func (l *Ledger) answer(q OrderAsk) OrderReply {
+	s := l.shard(q.Key)
 	for {
 		full := l.full()
 		s.mu.Lock()
-		r, ok := s.find(a.Epoch, a.Key, a.Digest)
-		if ok || !full || a.Want == WantLook {
-			r = s.settle(l, ok, r, a)
+		r, ok := s.find(q.Epoch, q.Key, q.Digest)
+		if ok || !full || q.Want == WantLook {
+			r = s.applyQuery(l, ok, r, q)
 			s.mu.Unlock()
-			return r.reply(a.Digest)
+			return r.reply(q.Digest)
 		}
 		s.mu.Unlock()
-		l.makeRoom(a.Epoch)
+		l.reclaimSpace(q.Epoch)
 	}
 }
--- a/core/order/ledger_test.go
+++ b/core/order/ledger_test.go
@@ -28,11 +28,11 @@
 		d.Start(ctx)
 		ran, unseen := request(tokenKey(d, "1"), "a"), request(tokenKey(d, "2"), "a")
 		d.Begin(ctx, ran).Ticket.Finish(fault.Run, response("booked"))
-		time.Sleep(defaultEpoch + time.Minute)
+		time.Sleep(defaultEpochDuration + time.Minute)
 		g.Expect(d.Begin(ctx, unseen)).To(verdict(VerdictNotRun))
 		g.Expect(d.Begin(ctx, ran)).To(replay("booked"))
 		g.Expect(d.Dump().Epoch).To(BeEquivalentTo(2))
-		time.Sleep(defaultKeep)
+		time.Sleep(defaultRetention)
 		g.Expect(d.Begin(ctx, ran)).To(verdict(VerdictUnknown))
 		g.Expect(d.Begin(ctx, unseen)).To(verdict(VerdictUnknown))
 		g.Expect(d.Dump().Records).To(BeZero())
@@ -47,7 +47,7 @@
 		g := NewWithT(t)
 		RegisterTestingT(t)
 		ctx := context.Background()
-		d := newCrew().join("home", WithRecords(10), WithKept(shardCount*1000, 500))
+		d := newCrew().join("home", WithMaxRecords(10), WithMaxKeptBytes(shardCount*1000, 500))
 		key := tokenKey(d, "")
 		suffixed := func(i int) Request { return request(strings.Replace(key, `."`, fmt.Sprint(".", i, `"`), 1), "a") }
 		for i := range 10 {
@@ -57,7 +57,7 @@
 		g.Expect(d.Begin(ctx, request("own", "a"))).To(verdict(VerdictNotRun))
 		_, err := d.Token("reservas", ModeHome)
 		g.Expect(fault.Is(err, fault.QueueFull)).To(BeTrue())
-		time.Sleep(defaultLeastKeep)
+		time.Sleep(defaultMinRetention)
 		g.Expect(d.Begin(ctx, request(tokenKey(d, "1"), "a"))).To(verdict(VerdictRun))
 		g.Expect(d.Begin(ctx, suffixed(10))).To(verdict(VerdictUnknown))
 		g.Expect(d.Dump().Records).To(BeEquivalentTo(1))
@@ -71,7 +71,7 @@
 	RegisterTestingT(t)
 	ctx := context.Background()
 	const bound = shardCount * 1000
-	d := newCrew().join("home", WithKept(bound, 500))
+	d := newCrew().join("home", WithMaxKeptBytes(bound, 500))
 	var all []Request
 	for range 300 {
 		r := request(tokenKey(d, "1"), "a")
@@ -143,19 +143,19 @@
 	g := NewWithT(t)
 	next := []byte("fedcba9876543210")
 	issuer, _ := NewSigner(testSecret)
-	key, err := issuer.Issue(Token{Service: "reservas", Home: "vm.0123456789abcdef", Epoch: 1 << 30, Mode: ModeHome})
+	key, err := issuer.Issue(Token{Service: "reservas", Issuer: "vm.0123456789abcdef", Epoch: 1 << 30, Mode: ModeHome})
 	g.Expect(err).NotTo(HaveOccurred())
 	other, _ := NewSigner(next, testSecret)
 	k, err := other.ParseKey(key + ".1")
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(k.Token.Home).To(BeEquivalentTo("vm.0123456789abcdef"))
+	g.Expect(k.Token.Issuer).To(BeEquivalentTo("vm.0123456789abcdef"))
 	g.Expect(other.Rotate(next)).To(Succeed())
 	_, err = other.ParseKey(key + ".1")
 	g.Expect(fault.From(err).Outcome).To(Equal(fault.Unknown))
 	g.Expect(other.Rotate([]byte("short"))).NotTo(Succeed())
 	// Ids of 72 bytes together are the longest that fit into 150 characters.
 	id := strings.Repeat("x", 36)
-	text, err := issuer.Issue(Token{Service: fleet.ServiceID(id), Home: fleet.Incarnation(id + ".0123456789abcdef"), Epoch: 1, Mode: ModeHome})
+	text, err := issuer.Issue(Token{Service: fleet.ServiceID(id), Issuer: fleet.Incarnation(id + ".0123456789abcdef"), Epoch: 1, Mode: ModeHome})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(len(text)).To(BeNumerically("<=", 150))
 }
--- a/core/order/manager.go
+++ b/core/order/manager.go
@@ -9,55 +9,59 @@
 	"wisteriarelay.example/core/store"
 )
 
-// Manager decides for each copy of an order whether it may run at this daemon.
+// Manager decides for each copy of an order whether this daemon may run it.
 type Manager struct {
 	self     fleet.Incarnation
 	signer   *Signer
 	ledger   *Ledger
 	claims   *Claims
-	holdings holdings
-	ask      AskHome
-	holders  func(gone fleet.Incarnation) []fleet.Incarnation
-	timeout  time.Duration
+	imported importedLedgers
+	// queryPeer queries another incarnation.
+	queryPeer QueryFunc
+	// importers returns the incarnations that may have imported a ledger.
+	importers    func(owner fleet.Incarnation) []fleet.Incarnation
+	queryTimeout time.Duration
 
-	table       store.Table
-	rowResponse int64
+	table          store.Table
+	maxRowResponse int64
 }
 
-// Option changes a Manager.
+// Option configures a Manager.
 type Option func(*Manager)
 
-// defaultAskTimeout bounds the asks of one copy, all together: the round trip
-// between regions and two more tries fit well.
-const defaultAskTimeout = 2 * time.Second
+// defaultQueryTimeout limits the total time of the queries for one copy of an
+// order. A round trip between regions and two more attempts fit into it.
+const defaultQueryTimeout = 2 * time.Second
 
-// WithAskHome sets the function that asks other daemons; without it every
-// other daemon is unreachable.
-func WithAskHome(ask AskHome) Option {
-	return func(m *Manager) { m.ask = ask }
+// WithAskHome sets the function that queries other daemons. Without it, every
+// other daemon counts as unreachable.
+func WithAskHome(queryPeer QueryFunc) Option {
+	return func(m *Manager) { m.queryPeer = queryPeer }
 }
 
-// WithHolders sets the function that returns the incarnations that may hold
-// the ledger of one that left, best first. An incarnation that doesn't hold it
-// says so and does no harm.
-func WithHolders(holders func(gone fleet.Incarnation) []fleet.Incarnation) Option {
-	return func(m *Manager) { m.holders = holders }
+// WithHolders sets the function that returns the incarnations that may have
+// imported the ledger of an incarnation that left, the most likely first. It may
+// include others: an incarnation without the ledger replies with StateNotHeld.
+func WithHolders(importers func(owner fleet.Incarnation) []fleet.Incarnation) Option {
+	return func(m *Manager) { m.importers = importers }
 }
 
-// WithTable sets the table service for claims; without it callers' own keys
-// are answered with unknown.
+// WithTable sets the table service for claims. Without it, orders with a
+// caller-chosen key are not run and get the outcome unknown.
 func WithTable(t store.Table) Option {
 	return func(m *Manager) { m.table = t }
 }
 
-// WithRowResponse sets the size up to which responses are kept in claim rows.
-func WithRowResponse(bytes int64) Option {
-	return func(m *Manager) { m.rowResponse = bytes }
+// WithMaxRowResponse sets the size in bytes up to which a response is kept in its
+// claim row.
+func WithMaxRowResponse(bytes int64) Option {
+	return func(m *Manager) { m.maxRowResponse = bytes }
 }
 
-// WithAskTimeout sets the time for asking other daemons and the table about one copy.
-func WithAskTimeout(t time.Duration) Option {
-	return func(m *Manager) { m.timeout = t }
+// WithQueryTimeout limits the time for the queries to other daemons about one
+// copy of an order, and the time for its requests to the table service.
+func WithQueryTimeout(t time.Duration) Option {
+	return func(m *Manager) { m.queryTimeout = t }
 }
 
 // WithLedger replaces the ledger.
@@ -68,33 +72,33 @@
 // NewManager returns the manager of an incarnation.
 func NewManager(self fleet.Incarnation, signer *Signer, opts ...Option) *Manager {
 	m := &Manager{
-		self:    self,
-		signer:  signer,
-		ledger:  NewLedger(self),
-		table:   unavailable(),
-		ask:     unreachable,
-		holders: func(fleet.Incarnation) []fleet.Incarnation { return nil },
-		timeout: defaultAskTimeout,
-
-		rowResponse: defaultRowResponse,
+		self:         self,
+		signer:       signer,
+		ledger:       NewLedger(self),
+		table:        tableUnavailable(),
+		queryPeer:    peerUnreachable,
+		importers:    func(fleet.Incarnation) []fleet.Incarnation { return nil },
+		queryTimeout: defaultQueryTimeout,
+
+		maxRowResponse: defaultMaxRowResponse,
 	}
 	for _, o := range opts {
 		o(m)
 	}
-	m.claims = newClaims(m.table, m.rowResponse)
-	m.holdings = holdings{
-		maxRecords: m.ledger.maxRecords,
-		maxKept:    m.ledger.maxKept / 2,
-		ledgers:    map[fleet.Incarnation]*held{},
+	m.claims = newClaims(m.table, m.maxRowResponse)
+	m.imported = importedLedgers{
+		maxRecords:   m.ledger.maxRecords,
+		maxKeptBytes: m.ledger.maxKeptBytes / 2,
+		ledgers:      map[fleet.Incarnation]*importedLedger{},
 	}
 	return m
 }
 
-func unreachable(_ context.Context, to fleet.Incarnation, _ OrderAsk) (OrderReply, error) {
+func peerUnreachable(_ context.Context, to fleet.Incarnation, _ OrderAsk) (OrderReply, error) {
 	return OrderReply{}, fault.New(fault.PeerUnreachable, "%s", to)
 }
 
-func unavailable() store.Table {
+func tableUnavailable() store.Table {
 	err := fault.New(fault.StoreUnavailable, "no table service is set")
 	return store.Table{
 		Get:   func(context.Context, string) (store.Row, error) { return store.Row{}, err },
@@ -103,39 +107,40 @@
 	}
 }
 
-// Start closes epochs and writes outcomes in the background until ctx ends.
+// Start maintains the ledgers and writes outcomes of claims in the background
+// until ctx ends.
 func (m *Manager) Start(ctx context.Context) {
 	go m.ledger.run(ctx)
 	go m.claims.run(ctx)
 	go m.run(ctx)
 }
 
-// run drops ledgers that were handed over long ago.
+// run removes imported ledgers whose retention time is over.
 func (m *Manager) run(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			m.holdings.expire(time.Now())
+			m.imported.expire(time.Now())
 		}
 	}
 }
 
-// Token issues a token for the service with this incarnation as its home. It
-// fails with NotReady while the daemon leaves and QueueFull while its ledger is full.
-func (m *Manager) Token(service fleet.ServiceID, mode Mode) (string, error) {
-	number, err := m.ledger.issueEpoch()
+// Token issues a token for the service. It returns NotReady once the daemon is
+// leaving and QueueFull while its ledger is full.
+func (m *Manager) Token(service fleet.ServiceID, mode TokenMode) (string, error) {
+	epoch, err := m.ledger.epochForToken()
 	if err != nil {
 		return "", err
 	}
-	return m.signer.Issue(Token{Service: service, Home: m.self, Epoch: number, Mode: mode})
+	return m.signer.Issue(Token{Service: service, Issuer: m.self, Epoch: epoch, Mode: mode})
 }
 
-// Begin decides on one copy of an order. With VerdictRun the caller sends the
-// request and then calls Finish of the ticket.
+// Begin decides on one copy of an order. After VerdictRun the caller sends the
+// request to a target and then calls the ticket's Finish.
 func (m *Manager) Begin(ctx context.Context, r Request) Decision {
 	if r.Key == "" && r.Mode == fleet.KeyOptional {
 		if !r.Carried {
@@ -150,48 +155,49 @@
 	if err != nil {
 		return invalid(err)
 	}
-	if !key.Own && key.Token.Service != r.Service {
-		// Every daemon refuses the request, so that it is certain not to run.
+	if !key.CallerChosen && key.Token.Service != r.Service {
+		// Every daemon refuses a token of another service, so this request
+		// certainly does not run.
 		return invalid(fault.New(fault.OrderKeyInvalid, "the token is for service %q", key.Token.Service))
 	}
-	c := copyOf{manager: m, req: r, hash: key.hash(r.Workspace, r.Service), token: key.Token}
+	a := admission{manager: m, req: r, hash: key.hash(r.Workspace, r.Service), token: key.Token}
 	switch {
-	case key.Own || key.Token.Mode == ModeClaim:
-		return c.beginClaim(ctx)
-	case key.Token.Home == m.self:
-		return c.beginOwn(ctx)
+	case key.CallerChosen || key.Token.Mode == ModeClaim:
+		return a.beginClaim(ctx)
+	case key.Token.Issuer == m.self:
+		return a.beginLocal(ctx)
 	default:
-		return c.beginForeign(ctx)
+		return a.beginRemote(ctx)
 	}
 }
 
-// Close decides on a copy that is not to be run here, for example because it
-// is rejected early. Its verdict is not-run only if no copy ran or will run.
+// Close decides on a copy that must not run here, for example because it was
+// rejected early. The verdict is VerdictNotRun only if no copy ran or will run.
 func (m *Manager) Close(ctx context.Context, r Request) Decision {
 	r.Carried = false
 	return m.Begin(ctx, r)
 }
 
-// Answer replies to the ask of another daemon.
-func (m *Manager) Answer(a OrderAsk) OrderReply {
-	if a.Validate() != nil {
+// Answer replies to the query of another daemon.
+func (m *Manager) Answer(q OrderAsk) OrderReply {
+	if q.Validate() != nil {
 		return OrderReply{State: StateNotHeld}
 	}
-	if a.Ledger == m.self {
-		return m.ledger.answer(a)
+	if q.Ledger == m.self {
+		return m.ledger.answer(q)
 	}
-	return m.holdings.answer(a)
+	return m.imported.answer(q)
 }
 
-// Export closes all epochs for good and returns the ledger in parts, together
-// with the ledgers that this daemon holds for others.
+// Export seals the ledger, after which no epoch is open, and returns it in parts,
+// together with the ledgers that were imported from others.
 func (m *Manager) Export() []LedgerPart {
-	return append(m.ledger.export(), m.holdings.export(time.Now())...)
+	return append(m.ledger.export(), m.imported.export(time.Now())...)
 }
 
-// Import takes over one part of the ledger of a daemon that leaves. It fails
-// with QueueFull if there is no room; unseen keys of that ledger are then
-// answered with unknown.
+// Import stores one part of the ledger of a daemon that leaves. It returns
+// QueueFull if there is no room for its records. The ledger then stays incomplete,
+// and keys without a record in it get the outcome unknown.
 func (m *Manager) Import(p LedgerPart) error {
 	if err := p.Validate(); err != nil {
 		return err
@@ -199,10 +205,11 @@
 	if p.Ledger == m.self {
 		return nil
 	}
-	return m.holdings.add(p, time.Now())
+	return m.imported.add(p, time.Now())
 }
 
-// Flush writes the outcomes that wait for the store; it is called before exit.
+// Flush writes the queued outcomes of claims to the store; it is called before
+// the process exits.
 func (m *Manager) Flush(ctx context.Context) error {
 	return m.claims.flush(ctx)
 }
--- a/core/order/message.go
+++ b/core/order/message.go
@@ -9,27 +9,31 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// State is the state of a key in a ledger, as it is also stated in replies.
+// State is the state of a key in a ledger or a claim row, and in replies to queries.
 type State uint8
 
-// The states. docs/orders.md states what each allows to tell a caller, and
-// why it is certain; in short:
+// The states, and what a caller may be told in each of them. docs/orders.md gives
+// the reasons in full.
 //
-//   - StateUnseen: the key may still run here; nothing may be told but unknown.
-//   - StateAsking: a copy waits for the right to run here; told in-progress.
-//   - StateRunning: a copy has the right to run and may be at a target; told
-//     in-progress. Only one copy gets there, since the state is set under the
-//     lock of the shard and never left for StateUnseen.
-//   - StateRun, StateRunDropped: the target's complete response was seen; told
-//     run, with the response while it is kept. Final.
-//   - StateUnknown: the request was sent and its outcome was never learned; told
-//     unknown. Final, so that no copy runs.
-//   - StateNotRun: no copy ran, and none will, since every copy has to pass this
-//     record; told not-run. Final.
-//   - StateReleased: the right to run went, once and for good, to one other
-//     incarnation, which alone may say more.
-//   - StateMismatch: the key belongs to another request. Told as a mismatch.
-//   - StateNotHeld: the asked daemon doesn't hold the ledger; no statement.
+//   - StateUnseen: there is no record of the key and the order may still run
+//     here. The only safe outcome is unknown.
+//   - StateAsking: the key is reserved by a copy that waits for the permission to
+//     run here. Repeats get in-progress.
+//   - StateRunning: a copy has the permission to run and may have been sent to a
+//     target. Repeats get in-progress. Only one copy gets the permission, since
+//     the state is set under the lock of the shard and never goes back to
+//     StateUnseen.
+//   - StateRun, StateRunDropped: the complete response of the target was received.
+//     Repeats get the outcome run, with the response while it is kept. Final.
+//   - StateUnknown: the request may have been sent, and its outcome was never
+//     learned. Repeats get unknown. Final, so that no further copy runs.
+//   - StateNotRun: no copy ran, and none will, since every copy is checked against
+//     this record. Repeats get not-run. Final.
+//   - StateReleased: the permission to run was granted to one other incarnation,
+//     once and irrevocably. Only that incarnation knows more.
+//   - StateMismatch: the key belongs to another request, which the caller is told.
+//   - StateNotHeld: the queried daemon doesn't have the ledger, so the reply says
+//     nothing about the key.
 const (
 	StateUnseen State = iota
 	StateAsking
@@ -56,11 +60,11 @@
 	return stateNames[s]
 }
 
-// Want is what an ask does with a key that the asked ledger has not seen.
+// Want says what a query does if the ledger has no record of the key.
 type Want uint8
 
-// The wants. WantLook changes nothing, WantRelease gives the right to run to
-// the asker, WantClose closes the key as not run.
+// The values of Want. WantLook changes nothing, WantRelease grants the querier
+// the permission to run, and WantClose closes the key as not run.
 const (
 	WantLook Want = iota
 	WantRelease
@@ -68,14 +72,14 @@
 	wantCount
 )
 
-// Field is one header field of a kept response.
+// Field is one header field of a Response.
 type Field struct {
 	Name  string `cbor:"1,keyasint"`
 	Value string `cbor:"2,keyasint"`
 }
 
-// Response is the complete response of a target, kept for repeats. It is not
-// changed once it is handed to Finish.
+// Response is the complete response of a target, kept to be replayed to repeats.
+// It must not be changed after it was passed to Ticket.Finish.
 type Response struct {
 	Status int     `cbor:"1,keyasint"`
 	Header []Field `cbor:"2,keyasint,omitempty"`
@@ -84,12 +88,13 @@
 
 const (
 	minStatus, maxStatus = 100, 599
-	// responseOverhead is the memory of a kept response besides its texts.
+	// responseOverhead and fieldOverhead are the memory in bytes that a response
+	// and each of its header fields take in addition to their strings.
 	responseOverhead = 96
 	fieldOverhead    = 32
 )
 
-// Size returns the memory that the response takes, in bytes.
+// Size returns the approximate memory that the response takes in bytes.
 func (r *Response) Size() int64 {
 	n := responseOverhead + len(r.Body)
 	for _, f := range r.Header {
@@ -98,7 +103,7 @@
 	return int64(n)
 }
 
-// Validate checks the response.
+// Validate returns a MessageInvalid error if the response is invalid.
 func (r *Response) Validate() error {
 	if r.Status < minStatus || r.Status > maxStatus {
 		return fault.New(fault.MessageInvalid, "response with status %d", r.Status)
@@ -106,13 +111,13 @@
 	return nil
 }
 
-// Grant is the right to run a key, given to one epoch of one incarnation.
+// Grant is the permission to run an order, given to one epoch of one incarnation.
 type Grant struct {
 	Holder fleet.Incarnation `cbor:"1,keyasint"`
 	Epoch  uint32            `cbor:"2,keyasint"`
 }
 
-// Validate checks the grant.
+// Validate returns a MessageInvalid error if the grant is invalid.
 func (g *Grant) Validate() error {
 	if g.Holder.VM() == "" || g.Epoch == 0 {
 		return fault.New(fault.MessageInvalid, "grant to incarnation %q, epoch %d", g.Holder, g.Epoch)
@@ -120,63 +125,64 @@
 	return nil
 }
 
-// OrderAsk asks about a key in the ledger of one incarnation.
+// OrderAsk is a query about a key in the ledger of one incarnation.
 type OrderAsk struct {
-	// Ledger and Epoch name the ledger's owner and the epoch that holds the key.
+	// Ledger is the incarnation that owns the ledger, Epoch the epoch of the key in it.
 	Ledger fleet.Incarnation `cbor:"1,keyasint"`
 	Epoch  uint32            `cbor:"2,keyasint"`
 	Key    Hash              `cbor:"3,keyasint"`
-	// Digest is the request's; without it no response is returned.
+	// Digest is the digest of the request. Without it the reply has no response.
 	Digest Hash `cbor:"4,keyasint"`
 	Want   Want `cbor:"5,keyasint"`
-	// Asker receives the right to run with WantRelease.
+	// Asker is the grant that WantRelease records for the querier.
 	Asker *Grant `cbor:"6,keyasint,omitempty"`
 }
 
-// Validate checks the ask.
-func (a *OrderAsk) Validate() error {
-	if a.Ledger.VM() == "" || a.Epoch == 0 || a.Key.IsZero() || a.Want >= wantCount {
-		return fault.New(fault.MessageInvalid, "ask for ledger %q, epoch %d, want %d", a.Ledger, a.Epoch, a.Want)
+// Validate returns a MessageInvalid error if the query is invalid.
+func (q *OrderAsk) Validate() error {
+	if q.Ledger.VM() == "" || q.Epoch == 0 || q.Key.IsZero() || q.Want >= wantCount {
+		return fault.New(fault.MessageInvalid, "ask for ledger %q, epoch %d, want %d", q.Ledger, q.Epoch, q.Want)
 	}
-	if a.Want != WantRelease {
+	if q.Want != WantRelease {
 		return nil
 	}
-	if a.Asker == nil || a.Digest.IsZero() {
+	if q.Asker == nil || q.Digest.IsZero() {
 		return fault.New(fault.MessageInvalid, "ask for a release without asker or digest")
 	}
-	return a.Asker.Validate()
+	return q.Asker.Validate()
 }
 
-// UnmarshalCBOR decodes and checks an ask.
-func (a *OrderAsk) UnmarshalCBOR(data []byte) error {
+// UnmarshalCBOR decodes and validates a query.
+func (q *OrderAsk) UnmarshalCBOR(data []byte) error {
 	type plain OrderAsk
-	return decode(data, (*plain)(a), a.Validate)
+	return decode(data, (*plain)(q), q.Validate)
 }
 
-// OrderReply answers an OrderAsk.
+// OrderReply is the reply to an OrderAsk.
 type OrderReply struct {
 	State State `cbor:"1,keyasint"`
-	// Response comes with StateRun, Grant with StateReleased.
+	// Response is set with StateRun only, Grant with StateReleased only.
 	Response *Response `cbor:"2,keyasint,omitempty"`
 	Grant    *Grant    `cbor:"3,keyasint,omitempty"`
 }
 
-// Validate checks the reply.
+// Validate returns a MessageInvalid error if the reply is invalid.
 func (r *OrderReply) Validate() error {
 	if r.State >= stateCount || r.State == StateAsking {
 		return fault.New(fault.MessageInvalid, "reply with state %d", r.State)
 	}
-	return validParts(r.State, r.Response, r.Grant)
+	return validatePayload(r.State, r.Response, r.Grant)
 }
 
-// UnmarshalCBOR decodes and checks a reply.
+// UnmarshalCBOR decodes and validates a reply.
 func (r *OrderReply) UnmarshalCBOR(data []byte) error {
 	type plain OrderReply
 	return decode(data, (*plain)(r), r.Validate)
 }
 
-// validParts checks that a response and a grant stand exactly with their states.
-func validParts(s State, r *Response, g *Grant) error {
+// validatePayload validates the response and the grant. A response must be present
+// with StateRun and only then, a grant with StateReleased and only then.
+func validatePayload(s State, r *Response, g *Grant) error {
 	if (s == StateRun) != (r != nil) || (s == StateReleased) != (g != nil) {
 		return fault.New(fault.MessageInvalid, "state %s with response %t, grant %t", s, r != nil, g != nil)
 	}
@@ -189,7 +195,7 @@
 	return nil
 }
 
-// Record is one exported record of a ledger.
+// Record is one record of an exported ledger.
 type Record struct {
 	Epoch    uint32    `cbor:"1,keyasint"`
 	Key      Hash      `cbor:"2,keyasint"`
@@ -199,7 +205,8 @@
 	Grant    *Grant    `cbor:"6,keyasint,omitempty"`
 }
 
-// Validate checks the record; only final states are exported.
+// Validate returns a MessageInvalid error if the record is invalid. Only records
+// with final states are exported.
 func (r *Record) Validate() error {
 	switch r.State {
 	case StateRun, StateRunDropped, StateUnknown, StateNotRun, StateReleased:
@@ -209,29 +216,30 @@
 	if r.Epoch == 0 || r.Key.IsZero() {
 		return fault.New(fault.MessageInvalid, "exported record without epoch or key")
 	}
-	return validParts(r.State, r.Response, r.Grant)
+	return validatePayload(r.State, r.Response, r.Grant)
 }
 
-// LedgerPart is one part of the closed ledger of an incarnation that leaves.
+// LedgerPart is one part of the exported ledger of an incarnation that leaves.
 type LedgerPart struct {
 	Ledger fleet.Incarnation `cbor:"1,keyasint"`
-	// Part counts from 0 to Parts-1.
+	// Part is the index of the part, from 0 to Parts-1.
 	Part  int `cbor:"2,keyasint"`
 	Parts int `cbor:"3,keyasint"`
-	// First and Last are the remembered epochs; earlier ones are forgotten.
+	// First and Last are the oldest and the newest epoch in the ledger. Epochs
+	// before First were discarded.
 	First uint32 `cbor:"4,keyasint"`
 	Last  uint32 `cbor:"5,keyasint"`
-	// Keep is the time for which the records are to be kept.
+	// Keep is the time for which the importer retains the records.
 	Keep    time.Duration `cbor:"6,keyasint"`
 	Records []Record      `cbor:"7,keyasint"`
-	// Export is the same in all parts of one export.
+	// Export identifies the export; it is the same in all of its parts.
 	Export uint64 `cbor:"8,keyasint"`
 }
 
-// maxParts bounds the parts of one ledger.
+// maxParts limits the number of parts of one ledger.
 const maxParts = 4096
 
-// Validate checks the part and its records.
+// Validate returns a MessageInvalid error if the part or one of its records is invalid.
 func (p *LedgerPart) Validate() error {
 	if p.Ledger.VM() == "" || p.Part < 0 || p.Part >= p.Parts || p.Parts > maxParts {
 		return fault.New(fault.MessageInvalid, "part %d of %d of ledger %q", p.Part, p.Parts, p.Ledger)
@@ -251,27 +259,27 @@
 	return nil
 }
 
-// UnmarshalCBOR decodes and checks a part.
+// UnmarshalCBOR decodes and validates a part.
 func (p *LedgerPart) UnmarshalCBOR(data []byte) error {
 	type plain LedgerPart
 	return decode(data, (*plain)(p), p.Validate)
 }
 
-var decoding = newDecoding()
+var decMode = newDecMode()
 
-// maxElements bounds the lists of one message.
+// maxElements limits the number of elements in each list of a message.
 const maxElements = 1 << 17
 
-func newDecoding() cbor.DecMode {
+func newDecMode() cbor.DecMode {
 	m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: maxElements, MaxNestedLevels: 8}.DecMode()
 	if err != nil {
-		panic(err) // The options are constants.
+		panic(err) // Impossible: the options are constant.
 	}
 	return m
 }
 
 func decode(data []byte, into any, validate func() error) error {
-	if err := decoding.Unmarshal(data, into); err != nil {
+	if err := decMode.Unmarshal(data, into); err != nil {
 		return fault.Wrap(err, fault.MessageInvalid, "order message")
 	}
 	return validate()
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -78,7 +78,7 @@
 	}
 	inc := fleet.NewIncarnation(vm)
 	d := NewManager(inc, s, WithLedger(NewLedger(inc, opts...)), WithTable(c.platform.Table()),
-		WithAskHome(c.ask), WithHolders(c.others), WithAskTimeout(time.Second))
+		WithAskHome(c.ask), WithHolders(c.others), WithQueryTimeout(time.Second))
 	c.managers[inc] = d
 	return d
 }
--- a/core/order/parallel_test.go
+++ b/core/order/parallel_test.go
@@ -28,9 +28,9 @@
 	for i, k := range r.keys {
 		switch i {
 		case len(r.keys) / 2:
-			r.manager.ledger.tick(time.Now().Add(defaultEpoch))
+			r.manager.ledger.tick(time.Now().Add(defaultEpochDuration))
 		case len(r.keys) * 3 / 4:
-			r.manager.ledger.tick(time.Now().Add(defaultEpoch + defaultKeep))
+			r.manager.ledger.tick(time.Now().Add(defaultEpochDuration + defaultRetention))
 		}
 		r.gates[i].Done()
 		r.gates[i].Wait()
@@ -48,7 +48,7 @@
 	g := NewWithT(t)
 	RegisterTestingT(t)
 	c := newCrew()
-	managers := []*Manager{c.join("a", WithKept(shardCount*500, 400)), c.join("b"), c.join("c")}
+	managers := []*Manager{c.join("a", WithMaxKeptBytes(shardCount*500, 400)), c.join("b"), c.join("c")}
 	const keys, rivals = 300, 12
 	var list []string
 	for i := range keys {
--- a/core/order/shard.go
+++ b/core/order/shard.go
@@ -2,24 +2,25 @@
 
 import "sync"
 
-// record is what a ledger knows of one key.
+// record is the entry of a ledger for one key.
 type record struct {
-	digest Hash
-	state  State
-	res    *Response
-	grant  *Grant
+	digest   Hash
+	state    State
+	response *Response
+	grant    *Grant
 }
 
-// checked returns the record as a request with the digest may see it.
-func (r record) checked(digest Hash) record {
+// forDigest returns the record for a request with the given digest. If the key
+// belongs to another request, it returns a record with StateMismatch.
+func (r record) forDigest(digest Hash) record {
 	if !digest.IsZero() && !r.digest.IsZero() && digest != r.digest {
 		return record{state: StateMismatch}
 	}
 	return r
 }
 
-// reply returns the record for an asker, without a response if the asker
-// doesn't prove by its digest that it has the same request.
+// reply returns the reply to a query. It contains the response only if the
+// digest shows that the querier has the same request.
 func (r record) reply(digest Hash) OrderReply {
 	switch r.state {
 	case StateAsking:
@@ -29,93 +30,96 @@
 			return OrderReply{State: StateRunDropped}
 		}
 	}
-	return OrderReply{State: r.state, Response: r.res, Grant: r.grant}
+	return OrderReply{State: r.state, Response: r.response, Grant: r.grant}
 }
 
-// table holds the records of one epoch in one shard.
-type table struct {
-	number  uint32
-	closed  bool
-	records map[Hash]record
-	kept    int64
+// epochRecords holds the records of one epoch in one shard.
+type epochRecords struct {
+	number    uint32
+	closed    bool
+	records   map[Hash]record
+	keptBytes int64
 }
 
-// keptRef names a record with a kept response.
-type keptRef struct {
-	key    Hash
-	number uint32
+// responseRef identifies a record whose response is kept.
+type responseRef struct {
+	key   Hash
+	epoch uint32
 }
 
-// shard holds a part of the records, by key. Its methods need its lock, but
-// for roll, close, forgetOldest, removeAsking and export, which take it.
+// shard holds the records of a part of the keys. The caller of a method must
+// hold mu, except for openNextEpoch, closeEpoch, discardOldestEpoch,
+// removeReservations, export and countStates, which lock it themselves.
 type shard struct {
-	mu     sync.Mutex
-	tables []*table
-	// queue lists the kept responses, oldest first, and kept sums their bytes.
-	queue []keptRef
-	kept  int64
-}
-
-// roll closes the open epoch and opens the next one in one step, so that no
-// copy meets a shard without an open epoch.
-func (s *shard) roll(number uint32) {
+	mu sync.Mutex
+	// epochs lists the retained epochs, oldest first, with consecutive numbers.
+	epochs []*epochRecords
+	// keptResponses lists the records whose responses are kept, oldest first;
+	// keptBytes is the sum of their sizes.
+	keptResponses []responseRef
+	keptBytes     int64
+}
+
+// openNextEpoch closes the open epoch and opens the next one under a single
+// lock, so that no copy of an order finds the shard without an open epoch.
+func (s *shard) openNextEpoch(number uint32) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.tables) > 0 {
-		s.last().closed = true
+	if len(s.epochs) > 0 {
+		s.newest().closed = true
 	}
-	s.tables = append(s.tables, &table{number: number, records: map[Hash]record{}})
+	s.epochs = append(s.epochs, &epochRecords{number: number, records: map[Hash]record{}})
 }
 
-func (s *shard) close() {
+func (s *shard) closeEpoch() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last().closed = true
+	s.newest().closed = true
 }
 
-// forgetOldest drops the oldest epoch and returns the number of its records
-// and the bytes of its kept responses.
-func (s *shard) forgetOldest() (records int, kept int64) {
+// discardOldestEpoch removes the oldest epoch. It returns the number of its
+// records and the size of its kept responses in bytes.
+func (s *shard) discardOldestEpoch() (records int, keptBytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.tables[0]
-	s.tables = append([]*table(nil), s.tables[1:]...)
-	s.kept -= t.kept
-	queue := make([]keptRef, 0, len(s.queue))
-	for _, ref := range s.queue {
-		if ref.number != t.number {
-			queue = append(queue, ref)
+	t := s.epochs[0]
+	s.epochs = append([]*epochRecords(nil), s.epochs[1:]...)
+	s.keptBytes -= t.keptBytes
+	remaining := make([]responseRef, 0, len(s.keptResponses))
+	for _, ref := range s.keptResponses {
+		if ref.epoch != t.number {
+			remaining = append(remaining, ref)
 		}
 	}
-	s.queue = queue
-	return len(t.records), t.kept
+	s.keptResponses = remaining
+	return len(t.records), t.keptBytes
 }
 
-func (s *shard) last() *table {
-	return s.tables[len(s.tables)-1]
+func (s *shard) newest() *epochRecords {
+	return s.epochs[len(s.epochs)-1]
 }
 
-// table returns the table of a remembered epoch, or nil.
-func (s *shard) table(number uint32) *table {
-	first := s.tables[0].number
-	if number < first || number > s.last().number {
+// epochRecords returns the records of an epoch, or nil if the epoch is not retained.
+func (s *shard) epochRecords(epoch uint32) *epochRecords {
+	first := s.epochs[0].number
+	if epoch < first || epoch > s.newest().number {
 		return nil
 	}
-	return s.tables[number-first]
+	return s.epochs[epoch-first]
 }
 
-// find returns the record of a key, checked against the digest. For a key
-// without a record it answers by the state of the epoch: unknown if the epoch
-// is forgotten, since a copy may have run in it; not-run if it is closed, since
-// no copy was admitted and none will be. It returns false for an unseen key of
-// the open epoch.
-func (s *shard) find(number uint32, key, digest Hash) (record, bool) {
-	t := s.table(number)
+// find returns the record of a key as it applies to a request with the digest.
+// For a key without a record the state of the epoch decides: StateUnknown if
+// the epoch was discarded, since a copy may have run in it; StateNotRun if it
+// is closed, since no copy was admitted and none will be. It returns false for
+// a key without a record in the open epoch.
+func (s *shard) find(epoch uint32, key, digest Hash) (record, bool) {
+	t := s.epochRecords(epoch)
 	if t == nil {
 		return record{state: StateUnknown}, true
 	}
 	if r, ok := t.records[key]; ok {
-		return r.checked(digest), true
+		return r.forDigest(digest), true
 	}
 	if t.closed {
 		return record{state: StateNotRun}, true
@@ -123,63 +127,65 @@
 	return record{}, false
 }
 
-func (s *shard) insert(l *Ledger, t *table, key Hash, r record) {
+func (s *shard) insert(l *Ledger, t *epochRecords, key Hash, r record) {
 	t.records[key] = r
 	l.records.Add(1)
 }
 
-// admit records the first copy of a key at its home.
-func (s *shard) admit(l *Ledger, known bool, r record, key, digest Hash, run bool) (record, bool) {
+// admit records the first copy of an order in the ledger of the token's issuer.
+// The returned bool reports whether the caller may run the order.
+func (s *shard) admit(l *Ledger, known bool, r record, key, digest Hash, mayRun bool) (record, bool) {
 	if known {
 		return r, false
 	}
 	r = record{state: StateNotRun, digest: digest}
-	if run {
+	if mayRun {
 		r.state = StateRunning
 	}
-	s.insert(l, s.last(), key, r)
-	return r, run
+	s.insert(l, s.newest(), key, r)
+	return r, mayRun
 }
 
-// settle does what an ask wants with an unseen key.
-func (s *shard) settle(l *Ledger, known bool, r record, a OrderAsk) record {
+// applyQuery records what the query requests for a key without a record: a
+// release to the querier, or a closed key. A known key keeps its record.
+func (s *shard) applyQuery(l *Ledger, known bool, r record, q OrderAsk) record {
 	if known {
 		return r
 	}
-	switch a.Want {
+	switch q.Want {
 	case WantRelease:
-		r = record{state: StateReleased, digest: a.Digest, grant: a.Asker}
+		r = record{state: StateReleased, digest: q.Digest, grant: q.Asker}
 	case WantClose:
-		r = record{state: StateNotRun, digest: a.Digest}
+		r = record{state: StateNotRun, digest: q.Digest}
 	default:
 		return record{state: StateUnseen}
 	}
-	s.insert(l, s.last(), a.Key, r)
+	s.insert(l, s.newest(), q.Key, r)
 	return r
 }
 
-// keep counts a kept response and drops the oldest ones above the shard's
-// share of the bound.
-func (s *shard) keep(l *Ledger, t *table, key Hash, size int64) {
-	s.queue = append(s.queue, keptRef{key, t.number})
-	s.count(l, t, size)
-	for s.kept > l.maxKept/shardCount && len(s.queue) > 0 {
-		s.dropOldest(l)
+// keepResponse adds a response to the kept ones. It drops the oldest of them
+// while the shard exceeds its share of the ledger's limit.
+func (s *shard) keepResponse(l *Ledger, t *epochRecords, key Hash, size int64) {
+	s.keptResponses = append(s.keptResponses, responseRef{key, t.number})
+	s.addKeptBytes(l, t, size)
+	for s.keptBytes > l.maxKeptBytes/shardCount && len(s.keptResponses) > 0 {
+		s.dropOldestResponse(l)
 	}
 }
 
-func (s *shard) count(l *Ledger, t *table, size int64) {
-	t.kept += size
-	s.kept += size
-	l.kept.Add(size)
+func (s *shard) addKeptBytes(l *Ledger, t *epochRecords, size int64) {
+	t.keptBytes += size
+	s.keptBytes += size
+	l.keptBytes.Add(size)
 }
 
-func (s *shard) dropOldest(l *Ledger) {
-	ref := s.queue[0]
-	s.queue = s.queue[1:]
-	t := s.table(ref.number)
+func (s *shard) dropOldestResponse(l *Ledger) {
+	ref := s.keptResponses[0]
+	s.keptResponses = s.keptResponses[1:]
+	t := s.epochRecords(ref.epoch)
 	r := t.records[ref.key]
-	s.count(l, t, -r.res.Size())
-	r.state, r.res = StateRunDropped, nil
+	s.addKeptBytes(l, t, -r.response.Size())
+	r.state, r.response = StateRunDropped, nil
 	t.records[ref.key] = r
 }
--- a/core/order/sim_test.go
+++ b/core/order/sim_test.go
@@ -146,8 +146,8 @@
 	signer, _ := NewSigner(testSecret)
 	signer.random = s.random
 	p := &proc{}
-	ledger := NewLedger(self, WithRecords(400), WithKept(24<<10, 2<<10), WithEpoch(2*time.Second, 12*time.Second, 2*time.Second))
-	p.manager = NewManager(self, signer, WithLedger(ledger), WithTable(s.table(p)), WithAskTimeout(simAsk), WithRowResponse(140),
+	ledger := NewLedger(self, WithMaxRecords(400), WithMaxKeptBytes(24<<10, 2<<10), WithEpochDurations(2*time.Second, 12*time.Second, 2*time.Second))
+	p.manager = NewManager(self, signer, WithLedger(ledger), WithTable(s.table(p)), WithQueryTimeout(simAsk), WithMaxRowResponse(140),
 		WithAskHome(func(ctx context.Context, to fleet.Incarnation, a OrderAsk) (OrderReply, error) {
 			return s.ask(ctx, p, to, a)
 		}),
@@ -182,7 +182,7 @@
 		sleep(c.ctx, 100*time.Millisecond)
 		c.proc.gate(c.ctx)
 		c.proc.manager.ledger.tick(time.Now())
-		c.proc.manager.holdings.expire(time.Now())
+		c.proc.manager.imported.expire(time.Now())
 	}
 }
 
