--- a/core/fault/doc.go
+++ b/core/fault/doc.go
@@ -1,3 +1,4 @@
-// Package fault holds the closed list of error kinds of wisteriarelay, the
-// table from kind to answer, and the outcome that an answer states.
+// Package fault defines the errors of wisteriarelay. Each Error has a Kind from a
+// fixed list, and a table gives the default HTTP response for each kind. An Error
+// also states the Outcome: whether a target ran the request.
 package fault
--- a/core/fault/error.go
+++ b/core/fault/error.go
@@ -7,23 +7,26 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Error is an error of the closed list with its detail.
+// Error is an error with a kind, an outcome and a detail for the caller.
 type Error struct {
-	Kind       Kind
-	Outcome    Outcome
-	Detail     string
+	Kind    Kind
+	Outcome Outcome
+	// Detail describes the error to the caller.
+	Detail string
+	// RetryAfter is the wait to advise before a retry; 0 selects the default.
 	RetryAfter time.Duration
-	// Retry replaces the advice of the table if it is set.
+	// Retry replaces the retry advice of the kind if it is set.
 	Retry Retry
+	// Cause is the wrapped error; it may be nil.
 	Cause error
 }
 
-// New returns an error of the kind with the outcome that the table gives it.
+// New returns an error of the kind with the kind's default outcome.
 func New(k Kind, format string, args ...any) *Error {
 	return &Error{Kind: k, Outcome: k.Answer().Outcome, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Wrap returns an error of the kind that keeps cause in its chain.
+// Wrap returns an error of the kind that wraps cause.
 func Wrap(cause error, k Kind, format string, args ...any) *Error {
 	e := New(k, format, args...)
 	e.Cause = cause
@@ -43,29 +46,29 @@
 	return e.Cause
 }
 
-// WithOutcome returns a copy of the error that states another outcome.
+// WithOutcome returns a copy of the error with another outcome.
 func (e *Error) WithOutcome(o Outcome) *Error {
 	c := *e
 	c.Outcome = o
 	return &c
 }
 
-// WithRetryAfter returns a copy of the error that advises a wait.
+// WithRetryAfter returns a copy of the error that advises a wait before a retry.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// WithRetry returns a copy of the error with other advice on trying again.
+// WithRetry returns a copy of the error with other retry advice.
 func (e *Error) WithRetry(r Retry) *Error {
 	c := *e
 	c.Retry = r
 	return &c
 }
 
-// From returns the first Error in the chain of err; any other error becomes
-// one of kind Internal with an unknown outcome.
+// From returns the first Error in the chain of err. Without one, it wraps err as
+// an Error of kind Internal, whose outcome is unknown.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -74,7 +77,7 @@
 	return Wrap(err, Internal, "unexpected error")
 }
 
-// Is reports whether the chain of err holds an Error of the kind.
+// Is reports whether the first Error in the chain of err is of the kind.
 func Is(err error, k Kind) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Kind == k
--- a/core/fault/kind.go
+++ b/core/fault/kind.go
@@ -2,10 +2,10 @@
 
 import "net/http"
 
-// Kind is one entry of the closed list of error kinds.
+// Kind is an error kind from a fixed list.
 type Kind uint8
 
-// The error kinds. The zero value stands for an error that carries no kind.
+// The error kinds. Internal, the zero value, is for errors without a kind.
 const (
 	Internal Kind = iota
 	BadRequest
@@ -53,10 +53,10 @@
 	kindCount
 )
 
-// Retry says whether and how a caller may try again.
+// Retry advises a caller whether and how to retry a request.
 type Retry string
 
-// The retry advice values as they stand in answers.
+// The retry advice, with its names in responses.
 const (
 	RetryNever   Retry = "never"
 	RetrySameKey Retry = "same-key"
@@ -65,8 +65,9 @@
 	RetryOther   Retry = "other-address"
 )
 
-// Answer is the row of the table that belongs to one kind.
+// Answer is the default response for errors of one kind.
 type Answer struct {
+	// Name is the kebab-case name of the kind.
 	Name    string
 	Title   string
 	Status  int
@@ -74,11 +75,12 @@
 	Retry   Retry
 }
 
-// statusClientClosed is the status logged, never sent, when the caller left
-// before its answer.
+// statusClientClosed is the status that is logged, but never sent, if the caller
+// closed its request before the response.
 const statusClientClosed = 499
 
-var answers = [kindCount]Answer{
+// defaultResponses is the table of default responses by kind.
+var defaultResponses = [kindCount]Answer{
 	Internal:           {"internal", "Internal error", http.StatusInternalServerError, Unknown, RetrySameKey},
 	BadRequest:         {"bad-request", "Malformed request", http.StatusBadRequest, NotRun, RetryNever},
 	RequestTooLarge:    {"request-too-large", "Request body too large", http.StatusRequestEntityTooLarge, NotRun, RetryNever},
@@ -124,13 +126,13 @@
 	MessageInvalid:     {"message-invalid", "Message is not valid", http.StatusBadRequest, NotRun, RetryNever},
 }
 
-// Answer returns the row of the table for the kind; an unlisted kind gets the
-// row of Internal.
+// Answer returns the default response for the kind, and that of Internal for a
+// kind outside the list.
 func (k Kind) Answer() Answer {
 	if k >= kindCount {
-		return answers[Internal]
+		return defaultResponses[Internal]
 	}
-	return answers[k]
+	return defaultResponses[k]
 }
 
 // String returns the kebab-case name of the kind.
@@ -138,7 +140,7 @@
 	return k.Answer().Name
 }
 
-// Kinds returns every kind of the closed list, in order.
+// Kinds returns all kinds in the order of their declaration.
 func Kinds() []Kind {
 	kinds := make([]Kind, 0, kindCount)
 	for k := range kindCount {
--- a/core/fault/problem.go
+++ b/core/fault/problem.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// problemType prefixes the names of error kinds to form the "type" member (RFC 9457).
-	problemType = "urn:wisteriarelay:problem:"
-	// defaultRetryAfter is advised where a later retry helps and nothing better is known.
+	// problemTypePrefix and the name of an error kind form the "type" member (RFC 9457).
+	problemTypePrefix = "urn:wisteriarelay:problem:"
+	// defaultRetryAfter is the wait advised with RetryLater if the error has none.
 	defaultRetryAfter = time.Second
 )
 
@@ -28,17 +28,17 @@
 	RequestID    string  `json:"request-id"`
 }
 
-// Problem returns the problem details of the error for the request.
+// Problem returns the problem details for the response to a failed request.
 func (e *Error) Problem(requestID string) Problem {
-	answer := e.Kind.Answer()
+	response := e.Kind.Answer()
 	p := Problem{
-		Type:      problemType + answer.Name,
-		Title:     answer.Title,
-		Status:    answer.Status,
+		Type:      problemTypePrefix + response.Name,
+		Title:     response.Title,
+		Status:    response.Status,
 		Detail:    e.Detail,
-		Kind:      answer.Name,
+		Kind:      response.Name,
 		Outcome:   e.Outcome,
-		Retry:     answer.Retry,
+		Retry:     response.Retry,
 		RequestID: requestID,
 	}
 	if e.Retry != "" {
@@ -55,8 +55,8 @@
 	return p
 }
 
-// WriteProblem sends body, which is a Problem or a struct that embeds it, with
-// the status and the advice of p.
+// WriteProblem sends body as the response, with the status and the Retry-After
+// header that p states. The body is p itself or a struct that embeds p.
 func WriteProblem(w http.ResponseWriter, p Problem, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
--- a/core/fleet/doc.go
+++ b/core/fleet/doc.go
@@ -1,3 +1,3 @@
-// Package fleet holds the domain types that the other packages share: VMs,
-// data centres, targets, services, routes and their policies.
+// Package fleet defines the types that the other packages share: VMs, data centres,
+// daemon incarnations, services with their targets, routes and policies.
 package fleet
--- a/core/fleet/ids.go
+++ b/core/fleet/ids.go
@@ -6,37 +6,39 @@
 	"strings"
 )
 
-// VMID names an entry VM.
+// VMID identifies a VM that runs a daemon.
 type VMID string
 
-// DataCentre names a data centre.
+// DataCentre identifies a data centre.
 type DataCentre string
 
-// Region names a region, a group of data centres.
+// Region identifies a region, which is a group of data centres.
 type Region string
 
-// ServiceID names a service; it is unique in the deployment.
+// ServiceID identifies a service; it is unique in the deployment.
 type ServiceID string
 
-// TargetID names a target; it is unique within its service.
+// TargetID identifies a target; it is unique within its service.
 type TargetID string
 
-// WorkspaceID names a workspace, the tenant on whose behalf a request is made.
+// WorkspaceID identifies a workspace, which is the tenant that a request belongs to.
 type WorkspaceID string
 
-// Incarnation names one run of a daemon process as "<vm id>.<16 hex digits>".
+// Incarnation identifies one run of a daemon process, from its start to its end,
+// as "<vm id>.<run id in 16 hex digits>".
 type Incarnation string
 
-const incarnationBytes = 8
+// runIDSize is the size of a run id in bytes.
+const runIDSize = 8
 
-// NewIncarnation returns a new unique incarnation for the VM.
+// NewIncarnation returns an incarnation of the VM with a random run id.
 func NewIncarnation(vm VMID) Incarnation {
-	var b [incarnationBytes]byte
+	var b [runIDSize]byte
 	_, _ = rand.Read(b[:])
 	return Incarnation(string(vm) + "." + hex.EncodeToString(b[:]))
 }
 
-// VM returns the VM on which the incarnation runs, or "" if it is malformed.
+// VM returns the VM on which the incarnation runs, or "" if i is malformed.
 func (i Incarnation) VM() VMID {
 	n := strings.LastIndexByte(string(i), '.')
 	if n < 0 {
--- a/core/fleet/run_test.go
+++ b/core/fleet/incarnation_test.go
@@ -8,7 +8,8 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Guards against an incarnation that changes when it travels as VM id and run number.
+// TestIncarnationRoundTrip guards against an incarnation that changes when it is
+// sent as VM id and run id.
 func TestIncarnationRoundTrip(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, i := range []fleet.Incarnation{"vm.a.000000000000000f", "vm-1.ffffffffffffffff", fleet.NewIncarnation("x")} {
--- a/core/fleet/vm.go
+++ b/core/fleet/vm.go
@@ -1,12 +1,16 @@
 package fleet
 
-// VM is one entry VM as the VM list and the peers know it.
+// VM describes a VM that runs a daemon, as listed by the platform and reported
+// between peers.
 type VM struct {
 	ID         VMID       `json:"id" cbor:"1,keyasint"`
 	Region     Region     `json:"region" cbor:"2,keyasint"`
 	DataCentre DataCentre `json:"data-centre" cbor:"3,keyasint"`
-	Caller     string     `json:"caller" cbor:"4,keyasint"`
-	Inner      string     `json:"inner" cbor:"5,keyasint"`
-	Admin      string     `json:"admin" cbor:"6,keyasint"`
-	Leaving    bool       `json:"leaving,omitempty" cbor:"7,keyasint,omitempty"`
+	// Caller, Inner and Admin are the daemon's addresses for callers, for peers
+	// and for the admin API.
+	Caller string `json:"caller" cbor:"4,keyasint"`
+	Inner  string `json:"inner" cbor:"5,keyasint"`
+	Admin  string `json:"admin" cbor:"6,keyasint"`
+	// Leaving says that the daemon shuts down or the VM is about to be removed.
+	Leaving bool `json:"leaving,omitempty" cbor:"7,keyasint,omitempty"`
 }
