--- a/core/order/fuzz_test.go
+++ b/core/order/fuzz_test.go
@@ -9,13 +9,13 @@
 )
 
 // FuzzParseKey guards against a panic in the parser, and against a token that
-// is accepted although its text was not hasValidMAC.
+// is accepted although it was not signed.
 func FuzzParseKey(f *testing.F) {
 	s, err := NewSigner(testSecret)
 	if err != nil {
 		f.Fatal(err)
 	}
-	// The processes of a fuzz run have to issue the same token.
+	// A constant nonce, because all processes of a fuzz run must issue the same token.
 	s.random = func(b []byte) (int, error) { return len(b), nil }
 	token, err := s.Issue(Token{Service: "reservas", Issuer: "vm1.0123456789abcdef", Epoch: 3, Mode: ModeHome})
 	if err != nil {
@@ -35,8 +35,8 @@
 	})
 }
 
-// FuzzMessages guards against a panic in the decoders, and against a message
-// that is accepted but doesn't survive its own encoding.
+// FuzzMessages guards against a panic in the decoders, and against an accepted
+// message that changes when it is encoded and decoded again.
 func FuzzMessages(f *testing.F) {
 	key := digest("key")
 	grant := &Grant{Holder: "vm1.0123456789abcdef", Epoch: 2}
@@ -54,14 +54,14 @@
 		f.Add(b)
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		again(t, b, &OrderAsk{}, &OrderAsk{})
-		again(t, b, &OrderReply{}, &OrderReply{})
-		again(t, b, &LedgerPart{}, &LedgerPart{})
-		again(t, b, &ClaimRow{}, &ClaimRow{})
+		checkRoundTrip(t, b, &OrderAsk{}, &OrderAsk{})
+		checkRoundTrip(t, b, &OrderReply{}, &OrderReply{})
+		checkRoundTrip(t, b, &LedgerPart{}, &LedgerPart{})
+		checkRoundTrip(t, b, &ClaimRow{}, &ClaimRow{})
 	})
 }
 
-func again(t *testing.T, b []byte, m, n any) {
+func checkRoundTrip(t *testing.T, b []byte, m, n any) {
 	if cbor.Unmarshal(b, m) != nil {
 		return
 	}
--- a/core/order/ledger_test.go
+++ b/core/order/ledger_test.go
@@ -15,8 +15,8 @@
 	"wisteriarelay.example/core/stand"
 )
 
-// TestEpochs guards against a ledger that grows for ever, and against a
-// definite statement about keys that it has forgotten.
+// TestEpochs guards against a ledger that grows without limit, and against a
+// definite outcome for keys whose records were discarded.
 func TestEpochs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -24,81 +24,81 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer synctest.Wait()
 		defer cancel()
-		d := newCrew().join("home")
-		d.Start(ctx)
-		ran, unseen := request(tokenKey(d, "1"), "a"), request(tokenKey(d, "2"), "a")
-		d.Begin(ctx, ran).Ticket.Finish(fault.Run, response("booked"))
+		m := newTestFleet().addManager("home")
+		m.Start(ctx)
+		ran, unseen := request(tokenKey(m, "1"), "a"), request(tokenKey(m, "2"), "a")
+		m.Begin(ctx, ran).Ticket.Finish(fault.Run, response("booked"))
 		time.Sleep(defaultEpochDuration + time.Minute)
-		g.Expect(d.Begin(ctx, unseen)).To(verdict(VerdictNotRun))
-		g.Expect(d.Begin(ctx, ran)).To(replay("booked"))
-		g.Expect(d.Dump().Epoch).To(BeEquivalentTo(2))
+		g.Expect(m.Begin(ctx, unseen)).To(verdict(VerdictNotRun))
+		g.Expect(m.Begin(ctx, ran)).To(replay("booked"))
+		g.Expect(m.Dump().Epoch).To(BeEquivalentTo(2))
 		time.Sleep(defaultRetention)
-		g.Expect(d.Begin(ctx, ran)).To(verdict(VerdictUnknown))
-		g.Expect(d.Begin(ctx, unseen)).To(verdict(VerdictUnknown))
-		g.Expect(d.Dump().Records).To(BeZero())
-		g.Expect(d.Dump().KeptBytes).To(BeZero())
+		g.Expect(m.Begin(ctx, ran)).To(verdict(VerdictUnknown))
+		g.Expect(m.Begin(ctx, unseen)).To(verdict(VerdictUnknown))
+		g.Expect(m.Dump().Records).To(BeZero())
+		g.Expect(m.Dump().KeptBytes).To(BeZero())
 	})
 }
 
-// TestFullLedger guards against a ledger that passes its bounds, that runs an
-// order without a record, or that stays full while it may forget.
+// TestFullLedger guards against a ledger that exceeds its limits, that runs an
+// order without a record, or that stays full although it may discard an epoch.
 func TestFullLedger(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		RegisterTestingT(t)
 		ctx := context.Background()
-		d := newCrew().join("home", WithMaxRecords(10), WithMaxKeptBytes(shardCount*1000, 500))
-		key := tokenKey(d, "")
+		m := newTestFleet().addManager("home", WithMaxRecords(10), WithMaxKeptBytes(shardCount*1000, 500))
+		key := tokenKey(m, "")
 		suffixed := func(i int) Request { return request(strings.Replace(key, `."`, fmt.Sprint(".", i, `"`), 1), "a") }
 		for i := range 10 {
-			g.Expect(d.Begin(ctx, suffixed(i))).To(verdict(VerdictRun))
+			g.Expect(m.Begin(ctx, suffixed(i))).To(verdict(VerdictRun))
 		}
-		g.Expect(d.Begin(ctx, suffixed(10))).To(verdict(VerdictNotRun))
-		g.Expect(d.Begin(ctx, request("own", "a"))).To(verdict(VerdictNotRun))
-		_, err := d.Token("reservas", ModeHome)
+		g.Expect(m.Begin(ctx, suffixed(10))).To(verdict(VerdictNotRun))
+		g.Expect(m.Begin(ctx, request("own", "a"))).To(verdict(VerdictNotRun))
+		_, err := m.Token("reservas", ModeHome)
 		g.Expect(fault.Is(err, fault.QueueFull)).To(BeTrue())
 		time.Sleep(defaultMinRetention)
-		g.Expect(d.Begin(ctx, request(tokenKey(d, "1"), "a"))).To(verdict(VerdictRun))
-		g.Expect(d.Begin(ctx, suffixed(10))).To(verdict(VerdictUnknown))
-		g.Expect(d.Dump().Records).To(BeEquivalentTo(1))
+		g.Expect(m.Begin(ctx, request(tokenKey(m, "1"), "a"))).To(verdict(VerdictRun))
+		g.Expect(m.Begin(ctx, suffixed(10))).To(verdict(VerdictUnknown))
+		g.Expect(m.Dump().Records).To(BeEquivalentTo(1))
 	})
 }
 
-// TestKeptBytes guards against kept responses above the bound, and against a
-// record that is lost together with its response.
+// TestKeptBytes guards against kept responses that exceed the limit, and against a
+// record that is dropped together with its response.
 func TestKeptBytes(t *testing.T) {
 	g := NewWithT(t)
 	RegisterTestingT(t)
 	ctx := context.Background()
 	const bound = shardCount * 1000
-	d := newCrew().join("home", WithMaxKeptBytes(bound, 500))
+	m := newTestFleet().addManager("home", WithMaxKeptBytes(bound, 500))
 	var all []Request
 	for range 300 {
-		r := request(tokenKey(d, "1"), "a")
+		r := request(tokenKey(m, "1"), "a")
 		all = append(all, r)
-		d.Begin(ctx, r).Ticket.Finish(fault.Run, response(strings.Repeat("x", 200)))
-		g.Expect(d.Dump().KeptBytes).To(BeNumerically("<=", bound))
+		m.Begin(ctx, r).Ticket.Finish(fault.Run, response(strings.Repeat("x", 200)))
+		g.Expect(m.Dump().KeptBytes).To(BeNumerically("<=", bound))
 	}
-	big := request(tokenKey(d, "1"), "a")
-	d.Begin(ctx, big).Ticket.Finish(fault.Run, response(strings.Repeat("x", 600)))
+	big := request(tokenKey(m, "1"), "a")
+	m.Begin(ctx, big).Ticket.Finish(fault.Run, response(strings.Repeat("x", 600)))
 	for _, r := range append(all, big) {
-		g.Expect(d.Begin(ctx, r)).To(verdict(VerdictReplay))
+		g.Expect(m.Begin(ctx, r)).To(verdict(VerdictReplay))
 	}
-	g.Expect(d.Begin(ctx, big).Fault.Kind).To(Equal(fault.OrderAnswerDropped))
-	g.Expect(d.Dump().States).To(HaveKeyWithValue("run", BeNumerically(">", 20)))
+	g.Expect(m.Begin(ctx, big).Fault.Kind).To(Equal(fault.OrderAnswerDropped))
+	g.Expect(m.Dump().States).To(HaveKeyWithValue("run", BeNumerically(">", 20)))
 }
 
-// TestExportBound guards against a hand-over that takes more than its share of
-// the network, and against a record that is lost with its response.
+// TestExportBound guards against a handover that exceeds its share of the network
+// bandwidth, and against a record that is dropped together with its response.
 func TestExportBound(t *testing.T) {
 	g := NewWithT(t)
 	RegisterTestingT(t)
-	d := newCrew().join("home")
+	m := newTestFleet().addManager("home")
 	for range 100 {
-		d.Begin(context.Background(), request(tokenKey(d, "1"), "a")).Ticket.Finish(fault.Run, response(strings.Repeat("x", 60<<10)))
+		m.Begin(context.Background(), request(tokenKey(m, "1"), "a")).Ticket.Finish(fault.Run, response(strings.Repeat("x", 60<<10)))
 	}
 	size, records, replays := 0, 0, 0
-	for _, p := range d.Export() {
+	for _, p := range m.Export() {
 		g.Expect(p.Validate()).To(Succeed())
 		records += len(p.Records)
 		for _, r := range p.Records {
@@ -113,32 +113,34 @@
 	g.Expect(replays).To(BeNumerically(">", 60))
 }
 
-// TestOutcomeRetry guards against an outcome that is lost in an outage: after
-// the holder is gone its row must still tell the response.
+// TestOutcomeRetry guards against an outcome that is lost during an outage of the
+// table service. Once it is over, the claim row must have the response, also after
+// the owner of the claim has gone.
 func TestOutcomeRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer synctest.Wait()
 		defer cancel()
-		c := newCrew()
-		home, other := c.join("home"), c.join("other")
-		home.Start(ctx)
-		d := home.Begin(ctx, request("own", "a"))
-		c.platform.Misbehave(stand.PlatformFaults{TableDown: true})
+		f := newTestFleet()
+		owner, other := f.addManager("home"), f.addManager("other")
+		owner.Start(ctx)
+		d := owner.Begin(ctx, request("own", "a"))
+		f.platform.Misbehave(stand.PlatformFaults{TableDown: true})
 		d.Ticket.Finish(fault.Run, response("booked"))
 		time.Sleep(time.Hour)
-		g.Expect(home.Dump().OutcomesWaiting).To(Equal(1))
-		c.platform.Misbehave(stand.PlatformFaults{})
+		g.Expect(owner.Dump().OutcomesWaiting).To(Equal(1))
+		f.platform.Misbehave(stand.PlatformFaults{})
 		time.Sleep(5 * time.Second)
-		g.Expect(home.Dump().OutcomesWaiting).To(BeZero())
-		c.leave(home)
+		g.Expect(owner.Dump().OutcomesWaiting).To(BeZero())
+		f.removeManager(owner)
 		g.Expect(other.Begin(ctx, request("own", "a"))).To(replay("booked"))
 	})
 }
 
-// TestSecrets guards against a rotation that refuses tokens under way, and
-// against not-run for a signature that only this daemon doesn't know.
+// TestSecrets guards against a rotation of the secrets that rejects tokens in use,
+// and against the outcome not-run for a signature that this daemon can't verify
+// but another may.
 func TestSecrets(t *testing.T) {
 	g := NewWithT(t)
 	next := []byte("fedcba9876543210")
@@ -153,7 +155,7 @@
 	_, err = other.ParseKey(key + ".1")
 	g.Expect(fault.From(err).Outcome).To(Equal(fault.Unknown))
 	g.Expect(other.Rotate([]byte("short"))).NotTo(Succeed())
-	// Ids of 72 bytes together are the longest that fit into 150 characters.
+	// Ids of 72 bytes together are the longest for a token of 150 characters.
 	id := strings.Repeat("x", 36)
 	text, err := issuer.Issue(Token{Service: fleet.ServiceID(id), Issuer: fleet.Incarnation(id + ".0123456789abcdef"), Epoch: 1, Mode: ModeHome})
 	g.Expect(err).NotTo(HaveOccurred())
--- a/core/order/slope_test.go
+++ b/core/order/order_bench_test.go
@@ -10,7 +10,7 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-func slopeManager(b *testing.B) *Manager {
+func newBenchmarkManager(b *testing.B) *Manager {
 	s, err := NewSigner(testSecret)
 	if err != nil {
 		b.Fatal(err)
@@ -18,21 +18,21 @@
 	return NewManager(fleet.NewIncarnation("vm"), s)
 }
 
-// BenchmarkNewToken measures an order token.
+// BenchmarkNewToken measures the issue of an order token.
 func BenchmarkNewToken(b *testing.B) {
-	d := slopeManager(b)
+	m := newBenchmarkManager(b)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := d.Token("reservas", ModeHome); err != nil {
+		if _, err := m.Token("reservas", ModeHome); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// runOrder runs the order with the number under a token and keeps an answer of 200 B.
-func runOrder(b *testing.B, d *Manager, token string, n int) {
+// runOrder runs order number n under a token and keeps a response of 200 B.
+func runOrder(b *testing.B, m *Manager, token string, n int) {
 	r := Request{Key: fmt.Sprintf(`"%s.%d"`, token, n), Service: "reservas", Workspace: "w", Digest: Hash{1}, Carried: true}
-	decision := d.Begin(context.Background(), r)
+	decision := m.Begin(context.Background(), r)
 	if decision.Verdict != VerdictRun {
 		b.Fatal(decision.Verdict)
 	}
@@ -41,41 +41,41 @@
 
 // BenchmarkOrderLife measures Begin and Finish of a new order.
 func BenchmarkOrderLife(b *testing.B) {
-	d := slopeManager(b)
-	token, _ := d.Token("reservas", ModeHome)
+	m := newBenchmarkManager(b)
+	token, _ := m.Token("reservas", ModeHome)
 	b.ReportAllocs()
 	n := 0
 	for b.Loop() {
 		if n++; n%100_000 == 0 {
-			d = slopeManager(b)
-			token, _ = d.Token("reservas", ModeHome)
+			m = newBenchmarkManager(b)
+			token, _ = m.Token("reservas", ModeHome)
 		}
-		runOrder(b, d, token, n)
+		runOrder(b, m, token, n)
 	}
 }
 
-// BenchmarkRecordHeap reports the heap of a ledger by number of orders with
-// answers of 200 B.
+// BenchmarkRecordHeap reports the heap memory of a ledger per order, for several
+// numbers of orders with responses of 200 B.
 func BenchmarkRecordHeap(b *testing.B) {
 	for _, orders := range []int{10_000, 50_000, 100_000} {
 		b.Run(fmt.Sprint("orders=", orders), func(b *testing.B) {
 			held := 0.0
 			for b.Loop() {
-				d := slopeManager(b)
-				token, _ := d.Token("reservas", ModeHome)
-				before := slopeHeap()
+				m := newBenchmarkManager(b)
+				token, _ := m.Token("reservas", ModeHome)
+				before := heapSize()
 				for n := range orders {
-					runOrder(b, d, token, n)
+					runOrder(b, m, token, n)
 				}
-				held = slopeHeap() - before
-				runtime.KeepAlive(d)
+				held = heapSize() - before
+				runtime.KeepAlive(m)
 			}
 			b.ReportMetric(held/float64(orders), "heap-bytes/order")
 		})
 	}
 }
 
-func slopeHeap() float64 {
+func heapSize() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -22,38 +22,39 @@
 
 var testSecret = []byte("0123456789abcdef0123456789abcdef")
 
-// crew is a small fleet whose managers ask each other through encoded messages.
-type crew struct {
+// testFleet is a fleet of managers that query each other with encoded messages.
+type testFleet struct {
 	platform *stand.Platform
 	managers map[fleet.Incarnation]*Manager
-	// cut holds the incarnations that can't be reached.
-	cut map[fleet.Incarnation]bool
-	// lose is the number of next asks that arrive while their reply is lost.
-	lose int
+	// unreachable holds the incarnations whose queries fail.
+	unreachable map[fleet.Incarnation]bool
+	// lostReplies is the number of next queries that arrive but whose reply is lost.
+	lostReplies int
 }
 
-func newCrew() *crew {
-	return &crew{platform: stand.NewPlatform(), managers: map[fleet.Incarnation]*Manager{}, cut: map[fleet.Incarnation]bool{}}
+func newTestFleet() *testFleet {
+	return &testFleet{platform: stand.NewPlatform(), managers: map[fleet.Incarnation]*Manager{}, unreachable: map[fleet.Incarnation]bool{}}
 }
 
-func (c *crew) ask(_ context.Context, to fleet.Incarnation, ask OrderAsk) (OrderReply, error) {
-	d := c.managers[to]
-	if d == nil || c.cut[to] {
+func (f *testFleet) query(_ context.Context, to fleet.Incarnation, query OrderAsk) (OrderReply, error) {
+	m := f.managers[to]
+	if m == nil || f.unreachable[to] {
 		return OrderReply{}, fault.New(fault.PeerUnreachable, "%s", to)
 	}
 	var in OrderAsk
-	recode(ask, &in)
-	reply := d.Answer(in)
-	if c.lose > 0 {
-		c.lose--
+	reencode(query, &in)
+	reply := m.Answer(in)
+	if f.lostReplies > 0 {
+		f.lostReplies--
 		return OrderReply{}, fault.New(fault.PeerUnreachable, "reply of %s lost", to)
 	}
 	var out OrderReply
-	recode(reply, &out)
+	reencode(reply, &out)
 	return out, nil
 }
 
-func recode(from, to any) {
+// reencode copies from into to through its encoding.
+func reencode(from, to any) {
 	b, err := cbor.Marshal(from)
 	if err == nil {
 		err = cbor.Unmarshal(b, to)
@@ -63,28 +64,28 @@
 	}
 }
 
-func (c *crew) others(fleet.Incarnation) []fleet.Incarnation {
+func (f *testFleet) allIncarnations(fleet.Incarnation) []fleet.Incarnation {
 	var list []fleet.Incarnation
-	for inc := range c.managers {
+	for inc := range f.managers {
 		list = append(list, inc)
 	}
 	return list
 }
 
-func (c *crew) join(vm fleet.VMID, opts ...LedgerOption) *Manager {
+func (f *testFleet) addManager(vm fleet.VMID, opts ...LedgerOption) *Manager {
 	s, err := NewSigner(testSecret)
 	if err != nil {
 		panic(err)
 	}
 	inc := fleet.NewIncarnation(vm)
-	d := NewManager(inc, s, WithLedger(NewLedger(inc, opts...)), WithTable(c.platform.Table()),
-		WithAskHome(c.ask), WithHolders(c.others), WithQueryTimeout(time.Second))
-	c.managers[inc] = d
-	return d
+	m := NewManager(inc, s, WithLedger(NewLedger(inc, opts...)), WithTable(f.platform.Table()),
+		WithAskHome(f.query), WithHolders(f.allIncarnations), WithQueryTimeout(time.Second))
+	f.managers[inc] = m
+	return m
 }
 
-func (c *crew) leave(d *Manager) {
-	delete(c.managers, d.self)
+func (f *testFleet) removeManager(m *Manager) {
+	delete(f.managers, m.self)
 }
 
 func digest(body string) Hash {
@@ -97,8 +98,8 @@
 	return Request{Key: key, Service: "reservas", Workspace: "w", Digest: digest(body), Carried: true}
 }
 
-func tokenKey(d *Manager, suffix string) string {
-	t, err := d.Token("reservas", ModeHome)
+func tokenKey(m *Manager, suffix string) string {
+	t, err := m.Token("reservas", ModeHome)
 	Expect(err).NotTo(HaveOccurred())
 	return `"` + t + "." + suffix + `"`
 }
@@ -117,19 +118,20 @@
 
 var _ = Describe("Manager", func() {
 	ctx := context.Background()
-	var c *crew
-	var home, other, third *Manager
+	var f *testFleet
+	var issuer, other, third *Manager
 	BeforeEach(func() {
-		c = newCrew()
-		home, other, third = c.join("home"), c.join("other"), c.join("third")
+		f = newTestFleet()
+		issuer, other, third = f.addManager("home"), f.addManager("other"), f.addManager("third")
 	})
 
-	// Each kind of key goes through the same life, at its own daemon and at others.
+	// Each kind of key behaves in the same way, at the issuer of the token and at
+	// other daemons.
 	for name, newKey := range map[string]func() string{
-		"token key":        func() string { return tokenKey(home, "1") },
-		"caller's own key": func() string { return "own-key" },
+		"token key":         func() string { return tokenKey(issuer, "1") },
+		"caller-chosen key": func() string { return "own-key" },
 		"token in mode claim": func() string {
-			t, err := home.Token("reservas", ModeClaim)
+			t, err := issuer.Token("reservas", ModeClaim)
 			Expect(err).NotTo(HaveOccurred())
 			return t + ".1"
 		},
@@ -139,132 +141,132 @@
 			BeforeEach(func() { r = request(newKey(), "a") })
 
 			It("runs once and replays the first response everywhere", func() {
-				d := home.Begin(ctx, r)
+				d := issuer.Begin(ctx, r)
 				Expect(d).To(verdict(VerdictRun))
-				Expect(home.Begin(ctx, r)).To(verdict(VerdictInProgress))
+				Expect(issuer.Begin(ctx, r)).To(verdict(VerdictInProgress))
 				Expect(other.Begin(ctx, r)).To(verdict(VerdictInProgress))
 				d.Ticket.Finish(fault.Run, response("booked"))
-				Expect(home.Flush(ctx)).To(Succeed())
-				Expect(home.Begin(ctx, r)).To(replay("booked"))
+				Expect(issuer.Flush(ctx)).To(Succeed())
+				Expect(issuer.Begin(ctx, r)).To(replay("booked"))
 				Expect(other.Begin(ctx, r)).To(replay("booked"))
 				Expect(other.Close(ctx, r)).To(replay("booked"))
 				Expect(other.Begin(ctx, request(r.Key, "b"))).To(verdict(VerdictMismatch))
 			})
 
 			It("gives no response to a copy without a digest", func() {
-				home.Begin(ctx, r).Ticket.Finish(fault.Run, response("booked"))
+				issuer.Begin(ctx, r).Ticket.Finish(fault.Run, response("booked"))
 				r.Digest = Hash{}
-				for _, d := range []*Manager{home, other} {
-					Expect(d.Close(ctx, r)).To(And(verdict(VerdictReplay), HaveField("Response", BeNil())))
+				for _, m := range []*Manager{issuer, other} {
+					Expect(m.Close(ctx, r)).To(And(verdict(VerdictReplay), HaveField("Response", BeNil())))
 				}
 			})
 
 			It("keeps not-run final", func() {
-				home.Begin(ctx, r).Ticket.Finish(fault.NotRun, nil)
-				for _, d := range []*Manager{home, other} {
-					Expect(d.Begin(ctx, r)).To(And(verdict(VerdictNotRun), HaveField("Fault.Kind", fault.OrderClosed)))
+				issuer.Begin(ctx, r).Ticket.Finish(fault.NotRun, nil)
+				for _, m := range []*Manager{issuer, other} {
+					Expect(m.Begin(ctx, r)).To(And(verdict(VerdictNotRun), HaveField("Fault.Kind", fault.OrderClosed)))
 				}
 			})
 
 			It("keeps unknown final", func() {
-				home.Begin(ctx, r).Ticket.Finish(fault.Unknown, nil)
-				for _, d := range []*Manager{home, other} {
-					Expect(d.Begin(ctx, r)).To(verdict(VerdictUnknown))
+				issuer.Begin(ctx, r).Ticket.Finish(fault.Unknown, nil)
+				for _, m := range []*Manager{issuer, other} {
+					Expect(m.Begin(ctx, r)).To(verdict(VerdictUnknown))
 				}
 			})
 
-			It("runs at another daemon that asks first, and only there", func() {
+			It("runs only at another daemon if that receives the first copy", func() {
 				d := other.Begin(ctx, r)
 				Expect(d).To(verdict(VerdictRun))
-				Expect(home.Begin(ctx, r)).To(verdict(VerdictInProgress))
+				Expect(issuer.Begin(ctx, r)).To(verdict(VerdictInProgress))
 				Expect(third.Begin(ctx, r)).To(verdict(VerdictInProgress))
 				d.Ticket.Finish(fault.Run, response("booked"))
 				Expect(third.Begin(ctx, r)).To(replay("booked"))
-				Expect(home.Begin(ctx, r)).To(replay("booked"))
+				Expect(issuer.Begin(ctx, r)).To(replay("booked"))
 			})
 
-			It("closes the key at a daemon that doesn't carry the service", func() {
+			It("closes the key at a daemon that may not run it", func() {
 				Expect(other.Close(ctx, r)).To(verdict(VerdictNotRun))
-				Expect(home.Begin(ctx, r)).To(verdict(VerdictNotRun))
+				Expect(issuer.Begin(ctx, r)).To(verdict(VerdictNotRun))
 				Expect(third.Begin(ctx, r)).To(verdict(VerdictNotRun))
 			})
 
-			It("doesn't run it while the authority can't be asked", func() {
-				c.cut[home.self] = true
-				c.platform.Misbehave(stand.PlatformFaults{TableDown: true})
+			It("doesn't run it while issuer and table service are unreachable", func() {
+				f.unreachable[issuer.self] = true
+				f.platform.Misbehave(stand.PlatformFaults{TableDown: true})
 				Expect(other.Begin(ctx, r)).To(And(verdict(VerdictUnknown), HaveField("Fault.Outcome", fault.Unknown)))
 				Expect(other.Close(ctx, r)).To(verdict(VerdictUnknown))
 			})
 
-			It("is answered by those who took over the ledger", func() {
-				d := home.Begin(ctx, r)
+			It("is decided by the imported ledger once the issuer has left", func() {
+				d := issuer.Begin(ctx, r)
 				d.Ticket.Finish(fault.Run, response("booked"))
-				for _, p := range home.Export() {
+				for _, p := range issuer.Export() {
 					var in LedgerPart
-					recode(p, &in)
+					reencode(p, &in)
 					Expect(other.Import(in)).To(Succeed())
 				}
-				c.leave(home)
+				f.removeManager(issuer)
 				Expect(other.Begin(ctx, r)).To(replay("booked"))
 				Expect(third.Begin(ctx, r)).To(replay("booked"))
 			})
 		})
 	}
 
-	It("runs an order whose release was lost on its way, at the same daemon", func() {
-		r := request(tokenKey(home, "1"), "a")
-		c.lose = 1
+	It("runs an order whose grant was lost in transit, at the same daemon", func() {
+		r := request(tokenKey(issuer, "1"), "a")
+		f.lostReplies = 1
 		Expect(other.Begin(ctx, r)).To(verdict(VerdictUnknown))
 		Expect(other.Begin(ctx, r)).To(verdict(VerdictRun))
 		Expect(other.Begin(ctx, r)).To(verdict(VerdictInProgress))
 	})
 
-	It("closes a released key whose holder never learned of it", func() {
-		r := request(tokenKey(home, "1"), "a")
-		c.lose = 1
+	It("closes a released key whose grantee never received the grant", func() {
+		r := request(tokenKey(issuer, "1"), "a")
+		f.lostReplies = 1
 		Expect(other.Begin(ctx, r)).To(verdict(VerdictUnknown))
 		Expect(third.Begin(ctx, r)).To(verdict(VerdictNotRun))
 		Expect(other.Begin(ctx, r)).To(verdict(VerdictNotRun))
 	})
 
-	It("says unknown for a key whose home is gone without a hand-over", func() {
-		r := request(tokenKey(home, "1"), "a")
-		c.leave(home)
+	It("returns unknown for a key whose issuer ended without a handover", func() {
+		r := request(tokenKey(issuer, "1"), "a")
+		f.removeManager(issuer)
 		Expect(other.Begin(ctx, r)).To(verdict(VerdictUnknown))
 	})
 
-	It("refuses unseen keys of a ledger that was handed over, and issues no token any more", func() {
-		r := request(tokenKey(home, "1"), "a")
-		for _, p := range home.Export() {
+	It("closes keys without a record in a ledger that was handed over, and issues no more tokens", func() {
+		r := request(tokenKey(issuer, "1"), "a")
+		for _, p := range issuer.Export() {
 			Expect(other.Import(p)).To(Succeed())
 		}
-		Expect(home.Begin(ctx, r)).To(verdict(VerdictNotRun))
+		Expect(issuer.Begin(ctx, r)).To(verdict(VerdictNotRun))
 		Expect(third.Begin(ctx, r)).To(verdict(VerdictNotRun))
-		_, err := home.Token("reservas", ModeHome)
+		_, err := issuer.Token("reservas", ModeHome)
 		Expect(fault.Is(err, fault.NotReady)).To(BeTrue())
 	})
 
-	It("says nothing about unseen keys until all parts arrived", func() {
-		r := request(tokenKey(home, "1"), "a")
-		parts := home.Export()
+	It("returns unknown for keys without a record until all parts have arrived", func() {
+		r := request(tokenKey(issuer, "1"), "a")
+		parts := issuer.Export()
 		parts[0].Parts = 2
 		Expect(other.Import(parts[0])).To(Succeed())
-		c.leave(home)
+		f.removeManager(issuer)
 		Expect(third.Begin(ctx, r)).To(verdict(VerdictUnknown))
 	})
 
-	It("treats orders without a key by the route", func() {
-		Expect(home.Begin(ctx, request("", "a"))).To(HaveField("Fault.Kind", fault.OrderKeyMissing))
+	It("handles orders without a key according to the route", func() {
+		Expect(issuer.Begin(ctx, request("", "a"))).To(HaveField("Fault.Kind", fault.OrderKeyMissing))
 		r := request("", "a")
 		r.Mode = fleet.KeyOptional
-		d := home.Begin(ctx, r)
+		d := issuer.Begin(ctx, r)
 		Expect(d).To(verdict(VerdictRun))
 		d.Ticket.Finish(fault.Run, nil)
 	})
 
-	It("refuses the token of another service", func() {
-		r := request(tokenKey(home, "1"), "a")
+	It("rejects the token of another service", func() {
+		r := request(tokenKey(issuer, "1"), "a")
 		r.Service = "catalogo"
-		Expect(home.Begin(ctx, r)).To(And(verdict(VerdictInvalid), HaveField("Fault.Outcome", fault.NotRun)))
+		Expect(issuer.Begin(ctx, r)).To(And(verdict(VerdictInvalid), HaveField("Fault.Outcome", fault.NotRun)))
 	})
 })
--- a/core/order/parallel_test.go
+++ b/core/order/parallel_test.go
@@ -13,17 +13,18 @@
 	"wisteriarelay.example/core/fault"
 )
 
-// rival sends copies of the same keys as the other rivals, at once.
-type rival struct {
+// competitor sends copies of the same orders as the other competitors, at the
+// same time.
+type competitor struct {
 	manager *Manager
 	keys    []string
 	runs    []atomic.Int32
-	// gates lets the rivals start on each key together.
-	gates []sync.WaitGroup
-	all   *sync.WaitGroup
+	// barriers makes the competitors start on each key together.
+	barriers []sync.WaitGroup
+	all      *sync.WaitGroup
 }
 
-func (r *rival) run() {
+func (r *competitor) run() {
 	defer r.all.Done()
 	for i, k := range r.keys {
 		switch i {
@@ -32,8 +33,8 @@
 		case len(r.keys) * 3 / 4:
 			r.manager.ledger.tick(time.Now().Add(defaultEpochDuration + defaultRetention))
 		}
-		r.gates[i].Done()
-		r.gates[i].Wait()
+		r.barriers[i].Done()
+		r.barriers[i].Wait()
 		if d := r.manager.Begin(context.Background(), request(k, "a")); d.Verdict == VerdictRun {
 			r.runs[i].Add(1)
 			d.Ticket.Finish(fault.Run, response("booked"))
@@ -41,28 +42,28 @@
 	}
 }
 
-// TestParallel guards against a lock that admits two copies that arrive in the
-// same instant, at the same or at different daemons, while epochs close and
-// responses are dropped.
+// TestParallel guards against missing synchronization that admits two copies of an
+// order. The copies arrive at the same time, at the same or at different daemons,
+// while epochs close and responses are dropped.
 func TestParallel(t *testing.T) {
 	g := NewWithT(t)
 	RegisterTestingT(t)
-	c := newCrew()
-	managers := []*Manager{c.join("a", WithMaxKeptBytes(shardCount*500, 400)), c.join("b"), c.join("c")}
-	const keys, rivals = 300, 12
+	f := newTestFleet()
+	managers := []*Manager{f.addManager("a", WithMaxKeptBytes(shardCount*500, 400)), f.addManager("b"), f.addManager("c")}
+	const keys, competitors = 300, 12
 	var list []string
 	for i := range keys {
 		list = append(list, tokenKey(managers[0], "1"), fmt.Sprint("own", i))
 	}
 	runs := make([]atomic.Int32, len(list))
-	gates := make([]sync.WaitGroup, len(list))
-	for i := range gates {
-		gates[i].Add(rivals)
+	barriers := make([]sync.WaitGroup, len(list))
+	for i := range barriers {
+		barriers[i].Add(competitors)
 	}
 	var all sync.WaitGroup
-	for i := range rivals {
+	for i := range competitors {
 		all.Add(1)
-		go (&rival{managers[i%3], list, runs, gates, &all}).run()
+		go (&competitor{managers[i%3], list, runs, barriers, &all}).run()
 	}
 	all.Wait()
 	total := 0
--- a/core/order/sim_test.go
+++ b/core/order/sim_test.go
@@ -17,84 +17,86 @@
 )
 
 const (
-	simSlots  = 5
-	simActors = 24
-	// simGrain spaces the wake-up times of the actors, so that no two wake at
-	// the same instant and the same seed gives the same run.
-	simGrain = 100 * time.Microsecond
-	simAsk   = 200 * time.Millisecond
+	simVMs     = 5
+	simCallers = 24
+	// wakeInterval is the granularity of wake-up times. Each goroutine adds its
+	// own offset to them, so that no two wake at the same instant and the same
+	// seed gives the same run.
+	wakeInterval    = 100 * time.Microsecond
+	simQueryTimeout = 200 * time.Millisecond
 )
 
-// simOrder is one key with what the targets and the callers saw of it.
+// simOrder is one order with what targets and callers have observed of it.
 type simOrder struct {
-	key    string
-	home   fleet.Incarnation
-	runs   int
-	body   string // body of the copy that ran
-	done   bool   // a complete response was seen
-	notRun string // who told a caller not-run
+	key        string
+	issuer     fleet.Incarnation
+	runs       int
+	body       string // body of the copy that ran
+	responded  bool   // a complete response was received
+	notRunFrom string // the daemon that told a caller not-run
 }
 
-// proc is one daemon process.
-type proc struct {
+// process is one daemon process.
+type process struct {
 	manager *Manager
 	dead    atomic.Bool
 	paused  atomic.Int64 // end of the pause in Unix nanoseconds
 	stop    context.CancelFunc
 }
 
-func (p *proc) pauseLeft() time.Duration {
+func (p *process) remainingPause() time.Duration {
 	return max(time.Until(time.Unix(0, p.paused.Load())), 0)
 }
 
-// gate holds the process while it is paused.
-func (p *proc) gate(ctx context.Context) {
-	for d := p.pauseLeft(); d > 0 && !p.dead.Load(); d = p.pauseLeft() {
+// waitWhilePaused blocks while the process is paused.
+func (p *process) waitWhilePaused(ctx context.Context) {
+	for d := p.remainingPause(); d > 0 && !p.dead.Load(); d = p.remainingPause() {
 		sleep(ctx, d)
 	}
 }
 
-// waker is the context key of the number of the goroutine that sleeps.
-type waker struct{}
+// sleeperKey is the context key of the goroutine's id, which is its wake-up offset
+// in nanoseconds.
+type sleeperKey struct{}
 
-func numbered(id int) context.Context {
-	return context.WithValue(context.Background(), waker{}, id)
+func withSleeperID(id int) context.Context {
+	return context.WithValue(context.Background(), sleeperKey{}, id)
 }
 
-// sleep wakes at an instant at which no other goroutine wakes.
+// sleep sleeps for about d and wakes at an instant at which no other goroutine wakes.
 func sleep(ctx context.Context, d time.Duration) {
-	id, _ := ctx.Value(waker{}).(int)
-	wake := time.Now().Add(d).Truncate(simGrain).Add(simGrain + time.Duration(id))
+	id, _ := ctx.Value(sleeperKey{}).(int)
+	wake := time.Now().Add(d).Truncate(wakeInterval).Add(wakeInterval + time.Duration(id))
 	time.Sleep(time.Until(wake))
 }
 
-// sim is a fleet with callers, a platform and a network that all fail. Only
-// one goroutine runs at a time, since their wake-up times differ; the lock is
-// for the race detector.
+// sim simulates a fleet whose daemons, callers, platform and network all fail.
+// Only one goroutine runs at a time, since their wake-up times differ; the lock
+// is for the race detector.
 type sim struct {
-	mu       sync.Mutex
-	rng      *rand.Rand
-	platform *stand.Platform
-	slots    [simSlots]*proc
-	all      map[fleet.Incarnation]*proc
-	orders   []*simOrder
-	loss     float64
-	cut      map[[2]fleet.Incarnation]bool
-	ops      int
-	maxOps   int
-	next     int
-	verdicts [verdictCount]int
-	handed   int
-	failures []string
-}
-
-func newSim(seed uint64, ops int) *sim {
+	mu            sync.Mutex
+	rng           *rand.Rand
+	platform      *stand.Platform
+	processes     [simVMs]*process
+	byIncarnation map[fleet.Incarnation]*process
+	orders        []*simOrder
+	loss          float64
+	brokenLinks   map[[2]fleet.Incarnation]bool
+	copies        int
+	maxCopies     int
+	started       int
+	verdicts      [verdictCount]int
+	importedParts int
+	violations    []string
+}
+
+func newSim(seed uint64, copies int) *sim {
 	s := &sim{
 		rng: rand.New(rand.NewPCG(seed, 7)), platform: stand.NewPlatform(stand.WithSeed(seed)),
-		all: map[fleet.Incarnation]*proc{}, cut: map[[2]fleet.Incarnation]bool{}, maxOps: ops,
+		byIncarnation: map[fleet.Incarnation]*process{}, brokenLinks: map[[2]fleet.Incarnation]bool{}, maxCopies: copies,
 	}
-	for i := range s.slots {
-		s.boot(i)
+	for i := range s.processes {
+		s.startProcess(i)
 	}
 	return s
 }
@@ -107,8 +109,8 @@
 	return copy(b, word[:]), nil
 }
 
-func (s *sim) upTo(d time.Duration) time.Duration {
-	return time.Duration(s.intN(int(d/simGrain))+1) * simGrain
+func (s *sim) randomDuration(d time.Duration) time.Duration {
+	return time.Duration(s.intN(int(d/wakeInterval))+1) * wakeInterval
 }
 
 func (s *sim) intN(n int) int {
@@ -122,83 +124,83 @@
 	return s.intN(parts) < int(p*parts)
 }
 
-// slot returns a random slot and its process.
-func (s *sim) slot() (int, *proc) {
-	i := s.intN(simSlots)
+// randomVM returns the number of a random VM and its current process.
+func (s *sim) randomVM() (int, *process) {
+	i := s.intN(simVMs)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return i, s.slots[i]
+	return i, s.processes[i]
 }
 
-func (s *sim) find(inc fleet.Incarnation) *proc {
+func (s *sim) find(inc fleet.Incarnation) *process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.all[inc]
+	return s.byIncarnation[inc]
 }
 
-// boot starts a new process on a slot.
-func (s *sim) boot(slot int) {
+// startProcess starts a new process on a VM, in place of its current one.
+func (s *sim) startProcess(vm int) {
 	s.mu.Lock()
-	s.next++
-	id := s.next
+	s.started++
+	id := s.started
 	s.mu.Unlock()
-	self := fleet.Incarnation(fmt.Sprintf("vm%d.%016x", slot, id))
+	self := fleet.Incarnation(fmt.Sprintf("vm%d.%016x", vm, id))
 	signer, _ := NewSigner(testSecret)
 	signer.random = s.random
-	p := &proc{}
+	p := &process{}
 	ledger := NewLedger(self, WithMaxRecords(400), WithMaxKeptBytes(24<<10, 2<<10), WithEpochDurations(2*time.Second, 12*time.Second, 2*time.Second))
-	p.manager = NewManager(self, signer, WithLedger(ledger), WithTable(s.table(p)), WithQueryTimeout(simAsk), WithMaxRowResponse(140),
-		WithAskHome(func(ctx context.Context, to fleet.Incarnation, a OrderAsk) (OrderReply, error) {
-			return s.ask(ctx, p, to, a)
+	p.manager = NewManager(self, signer, WithLedger(ledger), WithTable(s.table(p)), WithQueryTimeout(simQueryTimeout), WithMaxRowResponse(140),
+		WithAskHome(func(ctx context.Context, to fleet.Incarnation, q OrderAsk) (OrderReply, error) {
+			return s.query(ctx, p, to, q)
 		}),
-		WithHolders(func(fleet.Incarnation) []fleet.Incarnation { return s.living() }))
+		WithHolders(func(fleet.Incarnation) []fleet.Incarnation { return s.currentIncarnations() }))
 	p.manager.claims.random = s.random
-	ctx, stop := context.WithCancel(numbered(simActors + 2*id))
+	ctx, stop := context.WithCancel(withSleeperID(simCallers + 2*id))
 	p.stop = stop
 	s.mu.Lock()
-	s.slots[slot], s.all[self] = p, p
+	s.processes[vm], s.byIncarnation[self] = p, p
 	s.mu.Unlock()
 	go p.manager.claims.run(ctx)
-	go (&clock{p, numbered(simActors + 2*id + 1)}).run()
+	go (&epochTicker{p, withSleeperID(simCallers + 2*id + 1)}).run()
 }
 
-func (s *sim) living() (list []fleet.Incarnation) {
+func (s *sim) currentIncarnations() (list []fleet.Incarnation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, p := range s.slots {
+	for _, p := range s.processes {
 		list = append(list, p.manager.self)
 	}
 	return list
 }
 
-// clock closes the epochs of a process that isn't paused.
-type clock struct {
-	proc *proc
-	ctx  context.Context
+// epochTicker advances the ledgers of a process while it is not paused.
+type epochTicker struct {
+	process *process
+	ctx     context.Context
 }
 
-func (c *clock) run() {
-	for !c.proc.dead.Load() {
-		sleep(c.ctx, 100*time.Millisecond)
-		c.proc.gate(c.ctx)
-		c.proc.manager.ledger.tick(time.Now())
-		c.proc.manager.imported.expire(time.Now())
+func (t *epochTicker) run() {
+	for !t.process.dead.Load() {
+		sleep(t.ctx, 100*time.Millisecond)
+		t.process.waitWhilePaused(t.ctx)
+		t.process.manager.ledger.tick(time.Now())
+		t.process.manager.imported.expire(time.Now())
 	}
 }
 
-// table is the platform as a process meets it, with some latency. The process
-// may be paused before and after each of its requests.
-func (s *sim) table(p *proc) store.Table {
+// table returns the table service as a process reaches it, with some latency. The
+// process may be paused before and after each of its requests.
+func (s *sim) table(p *process) store.Table {
 	t := s.platform.Table()
 	return store.Table{
 		Get: func(ctx context.Context, key string) (store.Row, error) {
-			s.travel(ctx, p)
-			defer s.travel(ctx, p)
+			s.delayRequest(ctx, p)
+			defer s.delayRequest(ctx, p)
 			return t.Get(ctx, key)
 		},
 		Apply: func(ctx context.Context, tx store.Tx) error {
-			s.travel(ctx, p)
-			defer s.travel(ctx, p)
+			s.delayRequest(ctx, p)
+			defer s.delayRequest(ctx, p)
 			if p.dead.Load() {
 				return fault.New(fault.StoreUnavailable, "the process has ended")
 			}
@@ -207,104 +209,105 @@
 	}
 }
 
-// travel is the latency of one way to or from the platform.
-func (s *sim) travel(ctx context.Context, p *proc) {
+// delayRequest waits for the network latency in one direction between a process
+// and the platform.
+func (s *sim) delayRequest(ctx context.Context, p *process) {
 	sleep(ctx, 0)
 	if !p.dead.Load() {
-		sleep(ctx, s.upTo(5*time.Millisecond))
-		p.gate(ctx)
+		sleep(ctx, s.randomDuration(5*time.Millisecond))
+		p.waitWhilePaused(ctx)
 	}
 }
 
-// ask carries a message through a network that delays and loses it. A message
-// may take effect after its sender gave up.
-func (s *sim) ask(ctx context.Context, from *proc, to fleet.Incarnation, a OrderAsk) (OrderReply, error) {
-	from.gate(ctx)
-	defer from.gate(ctx)
+// query sends a query through a network that delays and loses messages. A query
+// may take effect after its sender has given up.
+func (s *sim) query(ctx context.Context, from *process, to fleet.Incarnation, q OrderAsk) (OrderReply, error) {
+	from.waitWhilePaused(ctx)
+	defer from.waitWhilePaused(ctx)
 	lost := fault.New(fault.PeerUnreachable, "%s", to)
-	delay := s.upTo(20 * time.Millisecond)
-	if s.chance(s.lossNow()) {
-		delay = s.upTo(2 * simAsk)
+	delay := s.randomDuration(20 * time.Millisecond)
+	if s.chance(s.currentLoss()) {
+		delay = s.randomDuration(2 * simQueryTimeout)
 	}
 	if p := s.find(to); p != nil {
-		// A paused process takes the message when it resumes.
-		delay += p.pauseLeft()
+		// A paused process receives the query when it resumes.
+		delay += p.remainingPause()
 	}
 	if deadline, _ := ctx.Deadline(); time.Until(deadline) < delay {
-		time.AfterFunc(delay, func() { s.deliver(from.manager.self, to, a) })
+		time.AfterFunc(delay, func() { s.deliver(from.manager.self, to, q) })
 		sleep(ctx, time.Until(deadline))
 		return OrderReply{}, lost
 	}
 	sleep(ctx, delay)
-	reply := s.deliver(from.manager.self, to, a)
-	if reply.State == StateNotHeld || s.isCut(to, from.manager.self) || s.chance(s.lossNow()) {
+	reply := s.deliver(from.manager.self, to, q)
+	if reply.State == StateNotHeld || s.isLinkBroken(to, from.manager.self) || s.chance(s.currentLoss()) {
 		return OrderReply{}, lost
 	}
-	sleep(ctx, s.upTo(20*time.Millisecond))
+	sleep(ctx, s.randomDuration(20*time.Millisecond))
 	return reply, nil
 }
 
-func (s *sim) lossNow() float64 {
+func (s *sim) currentLoss() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.loss
 }
 
-func (s *sim) isCut(from, to fleet.Incarnation) bool {
+func (s *sim) isLinkBroken(from, to fleet.Incarnation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.cut[[2]fleet.Incarnation{from, to}]
+	return s.brokenLinks[[2]fleet.Incarnation{from, to}]
 }
 
-func (s *sim) deliver(from, to fleet.Incarnation, a OrderAsk) (out OrderReply) {
+func (s *sim) deliver(from, to fleet.Incarnation, q OrderAsk) (out OrderReply) {
 	p := s.find(to)
-	if p == nil || p.dead.Load() || s.isCut(from, to) {
+	if p == nil || p.dead.Load() || s.isLinkBroken(from, to) {
 		return OrderReply{State: StateNotHeld}
 	}
-	recode(p.manager.Answer(a), &out)
+	reencode(p.manager.Answer(q), &out)
 	return out
 }
 
-func (s *sim) fail(o *simOrder, format string, args ...any) {
-	s.failures = append(s.failures, fmt.Sprintf("op %d, key %.40s: ", s.ops, o.key)+fmt.Sprintf(format, args...))
+func (s *sim) addViolation(o *simOrder, format string, args ...any) {
+	s.violations = append(s.violations, fmt.Sprintf("op %d, key %.40s: ", s.copies, o.key)+fmt.Sprintf(format, args...))
 }
 
-func (s *sim) over() bool {
+func (s *sim) isOver() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ops >= s.maxOps || len(s.failures) > 0
+	return s.copies >= s.maxCopies || len(s.violations) > 0
 }
 
-// actor is a source of copies: each step sends one copy to one daemon and does
-// the daemon's work for it.
-type actor struct {
+// caller repeatedly sends a copy of an order to a daemon. It also acts as the
+// daemon that forwards the copy to a target.
+type caller struct {
 	sim  *sim
 	ctx  context.Context
 	done chan struct{}
 }
 
-func (a *actor) run() {
-	defer close(a.done)
-	sleep(a.ctx, 0) // Apart from the other actors before the first random draw.
-	for !a.sim.over() {
-		sleep(a.ctx, a.sim.upTo(40*time.Millisecond))
-		a.step()
+func (c *caller) run() {
+	defer close(c.done)
+	sleep(c.ctx, 0) // Separates the callers before their first random draw.
+	for !c.sim.isOver() {
+		sleep(c.ctx, c.sim.randomDuration(40*time.Millisecond))
+		c.sendCopy()
 	}
 }
 
-func (a *actor) step() {
-	s := a.sim
-	_, p := s.slot()
-	if p.pauseLeft() > 0 {
+func (c *caller) sendCopy() {
+	s := c.sim
+	_, p := s.randomVM()
+	if p.remainingPause() > 0 {
 		return
 	}
-	o := s.pick(p)
+	o := s.pickOrder(p)
 	if o == nil || s.chance(0.1) {
-		return // Some keys are used for the first time only much later.
+		return // A key that is not used now may be used for the first time much later.
 	}
-	_, p = s.slot()
-	if home := s.find(o.home); home != nil && s.chance(0.4) {
-		p = home
+	_, p = s.randomVM()
+	if issuer := s.find(o.issuer); issuer != nil && s.chance(0.4) {
+		p = issuer
 	}
 	body := "a"
 	if s.chance(0.05) {
@@ -312,19 +315,20 @@
 	}
 	r := request(o.key, body)
 	r.Carried = !s.chance(0.06)
-	d := p.manager.Begin(a.ctx, r)
-	p.gate(a.ctx)
+	d := p.manager.Begin(c.ctx, r)
+	p.waitWhilePaused(c.ctx)
 	if p.dead.Load() {
 		return
 	}
-	s.check(p, o, d, body)
+	s.checkDecision(p, o, d, body)
 	if d.Verdict == VerdictRun {
-		a.send(p, o, d, body)
+		c.runOrder(p, o, d, body)
 	}
 }
 
-// pick returns a new order or a repeat, mostly of a recent one.
-func (s *sim) pick(p *proc) *simOrder {
+// pickOrder returns a new order or an earlier one, mostly a recent one, to repeat.
+// It returns nil if the process issues no token.
+func (s *sim) pickOrder(p *process) *simOrder {
 	repeat, recent, back := s.chance(0.7), s.chance(0.95), s.intN(1<<30)
 	s.mu.Lock()
 	n := len(s.orders)
@@ -334,7 +338,7 @@
 		if recent {
 			window = min(n, 60)
 		}
-		return s.order(n - 1 - back%window)
+		return s.orderAt(n - 1 - back%window)
 	}
 	o := &simOrder{key: fmt.Sprintf("own-%d", n)}
 	if s.chance(0.7) {
@@ -346,7 +350,7 @@
 		if err != nil {
 			return nil
 		}
-		o.key, o.home = token+".1", p.manager.self
+		o.key, o.issuer = token+".1", p.manager.self
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -354,97 +358,98 @@
 	return o
 }
 
-func (s *sim) order(i int) *simOrder {
+func (s *sim) orderAt(i int) *simOrder {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.orders[i]
 }
 
-// send is the path from the decision to run to the target and back.
-func (a *actor) send(p *proc, o *simOrder, d Decision, body string) {
-	s := a.sim
-	sleep(a.ctx, s.upTo(10*time.Millisecond))
-	p.gate(a.ctx)
+// runOrder simulates what follows the decision to run an order: the request to
+// the target and its response, or a failure in between.
+func (c *caller) runOrder(p *process, o *simOrder, d Decision, body string) {
+	s := c.sim
+	sleep(c.ctx, s.randomDuration(10*time.Millisecond))
+	p.waitWhilePaused(c.ctx)
 	if p.dead.Load() {
 		return
 	}
 	if s.chance(0.1) {
 		d.Ticket.Finish(fault.NotRun, nil)
-		s.check(p, o, Decision{Verdict: VerdictNotRun}, body)
+		s.checkDecision(p, o, Decision{Verdict: VerdictNotRun}, body)
 		return
 	}
-	s.work(o, body)
-	work := s.upTo(50 * time.Millisecond)
+	s.runAtTarget(o, body)
+	work := s.randomDuration(50 * time.Millisecond)
 	if s.chance(0.02) {
-		work = s.upTo(5 * time.Second)
+		work = s.randomDuration(5 * time.Second)
 	}
-	sleep(a.ctx, work)
-	p.gate(a.ctx)
+	sleep(c.ctx, work)
+	p.waitWhilePaused(c.ctx)
 	switch {
 	case p.dead.Load():
 	case s.chance(0.1):
 		d.Ticket.Finish(fault.Unknown, nil)
 	default:
 		s.mu.Lock()
-		o.done = true
+		o.responded = true
 		s.mu.Unlock()
 		d.Ticket.Finish(fault.Run, response(o.key+body+string(make([]byte, s.intN(100)))))
 	}
 }
 
-// work is one run of the order by a target.
-func (s *sim) work(o *simOrder, body string) {
+// runAtTarget simulates one run of the order by a target.
+func (s *sim) runAtTarget(o *simOrder, body string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o.runs++
 	o.body = body
 	if o.runs > 1 {
-		s.fail(o, "ran %d times", o.runs)
+		s.addViolation(o, "ran %d times", o.runs)
 	}
-	if o.notRun != "" {
-		s.fail(o, "ran after a caller was told not-run by %s", o.notRun)
+	if o.notRunFrom != "" {
+		s.addViolation(o, "ran after a caller was told not-run by %s", o.notRunFrom)
 	}
 }
 
-// check compares what a caller is told with what happened.
-func (s *sim) check(p *proc, o *simOrder, d Decision, body string) {
+// checkDecision compares what a caller is told with what happened.
+func (s *sim) checkDecision(p *process, o *simOrder, d Decision, body string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ops++
+	s.copies++
 	s.verdicts[d.Verdict]++
 	switch d.Verdict {
 	case VerdictNotRun:
-		o.notRun = string(p.manager.self)
+		o.notRunFrom = string(p.manager.self)
 		if o.runs > 0 {
-			s.fail(o, "a caller is told not-run by %s after the order ran", p.manager.self)
+			s.addViolation(o, "a caller is told not-run by %s after the order ran", p.manager.self)
 		}
 	case VerdictReplay:
-		if !o.done || o.body != body {
-			s.fail(o, "%s tells run for copy %s; done %t, ran copy %s", p.manager.self, body, o.done, o.body)
+		if !o.responded || o.body != body {
+			s.addViolation(o, "%s tells run for copy %s; done %t, ran copy %s", p.manager.self, body, o.responded, o.body)
 		}
 		if d.Response != nil && string(d.Response.Body[:len(o.key)+1]) != o.key+body {
-			s.fail(o, "replay of another response %q", d.Response.Body)
+			s.addViolation(o, "replay of another response %q", d.Response.Body)
 		}
 	case VerdictInvalid:
-		s.fail(o, "refused: %v", d.Fault)
+		s.addViolation(o, "refused: %v", d.Fault)
 	}
 }
 
-// play runs the simulation to its end.
-func (s *sim) play() {
-	trouble := &trouble{s, numbered(0), make(chan struct{})}
-	go trouble.run()
-	var actors []*actor
-	for i := range simActors {
-		a := &actor{sim: s, ctx: numbered(i + 1), done: make(chan struct{})}
-		actors = append(actors, a)
-		go a.run()
+// simulate runs the simulation to its end.
+func (s *sim) simulate() {
+	injector := &faultInjector{s, withSleeperID(0), make(chan struct{})}
+	go injector.run()
+	var callers []*caller
+	for i := range simCallers {
+		c := &caller{sim: s, ctx: withSleeperID(i + 1), done: make(chan struct{})}
+		callers = append(callers, c)
+		go c.run()
 	}
-	for _, a := range actors {
-		<-a.done
+	for _, c := range callers {
+		<-c.done
 	}
-	<-trouble.done
-	for _, p := range s.all {
+	<-injector.done
+	for _, p := range s.byIncarnation {
 		p.kill()
 	}
 	time.Sleep(time.Hour)
@@ -453,5 +458,5 @@
 func (s *sim) summary() string {
 	ran := len(slices.DeleteFunc(slices.Clone(s.orders), func(o *simOrder) bool { return o.runs == 0 }))
 	return fmt.Sprintf("%d copies of %d orders, %d ran, %d incarnations, %d parts handed over, verdicts unknown to invalid %v",
-		s.ops, len(s.orders), ran, s.next, s.handed, s.verdicts)
+		s.copies, len(s.orders), ran, s.started, s.importedParts, s.verdicts)
 }
