--- a/core/order/admission.go
+++ b/core/order/admission.go
@@ -11,26 +11,26 @@
 type admission struct {
 	manager *Manager
 	req     Request
-	hash    Hash
+	key     Hash
 	token   Token
 }
 
 // allow returns the decision to run the order, whose record is in the given epoch
 // of this incarnation's ledger.
 func (a *admission) allow(epoch uint32, claim *openClaim) Decision {
-	return Decision{Verdict: VerdictRun, Ticket: Ticket{manager: a.manager, key: a.hash, epoch: epoch, claim: claim}}
+	return Decision{Verdict: VerdictRun, Ticket: Ticket{manager: a.manager, key: a.key, epoch: epoch, claim: claim}}
 }
 
 // beginLocal decides on a key under a token that this incarnation issued.
 func (a *admission) beginLocal(ctx context.Context) Decision {
-	r, admitted := a.manager.ledger.begin(a.token.Epoch, a.hash, a.req.Digest, a.req.Carried)
+	r, admitted := a.manager.ledger.begin(a.token.Epoch, a.key, a.req.Digest, a.req.Carried)
 	switch {
 	case admitted:
 		return a.allow(a.token.Epoch, nil)
 	case r.state == StateReleased:
 		return a.queryGrantee(ctx, *r.grant)
 	default:
-		return decide(r.reply(a.req.Digest))
+		return decisionFor(r.reply(a.req.Digest))
 	}
 }
 
@@ -42,9 +42,9 @@
 	if !a.req.Carried {
 		return 0, d, false
 	}
-	r, known, epoch := a.manager.ledger.reserve(a.hash, a.req.Digest)
+	r, known, epoch := a.manager.ledger.reserve(a.key, a.req.Digest)
 	if known {
-		return 0, decide(r.reply(a.req.Digest)), true
+		return 0, decisionFor(r.reply(a.req.Digest)), true
 	}
 	return epoch, d, false
 }
@@ -55,7 +55,7 @@
 	if done {
 		return d
 	}
-	query := OrderAsk{Ledger: a.token.Issuer, Epoch: a.token.Epoch, Key: a.hash, Digest: a.req.Digest, Want: WantClose}
+	query := OrderAsk{Ledger: a.token.Issuer, Epoch: a.token.Epoch, Key: a.key, Digest: a.req.Digest, Want: WantClose}
 	if epoch != 0 {
 		query.Want, query.Asker = WantRelease, &Grant{Holder: a.manager.self, Epoch: epoch}
 	}
@@ -66,18 +66,18 @@
 	a.cancelReservation(epoch)
 	switch {
 	case err != nil:
-		return unknown(err, "the home of the key can't be asked")
+		return unknownDecision(err, "the home of the key can't be asked")
 	case reply.State == StateReleased:
 		return a.queryGrantee(ctx, *reply.Grant)
 	default:
-		return decide(reply)
+		return decisionFor(reply)
 	}
 }
 
 // cancelReservation removes the reservation, if there is one.
 func (a *admission) cancelReservation(epoch uint32) {
 	if epoch != 0 {
-		a.manager.ledger.cancelReservation(epoch, a.hash)
+		a.manager.ledger.cancelReservation(epoch, a.key)
 	}
 }
 
@@ -87,23 +87,23 @@
 	if epoch == 0 {
 		return a.closeLocal(g)
 	}
-	r, admitted := a.manager.ledger.useGrant(epoch, g.Epoch, a.hash, a.req.Digest)
+	r, admitted := a.manager.ledger.useGrant(epoch, g.Epoch, a.key, a.req.Digest)
 	if admitted {
 		return a.allow(g.Epoch, claim)
 	}
-	return decide(r.reply(a.req.Digest))
+	return decisionFor(r.reply(a.req.Digest))
 }
 
 // closeLocal closes a key with a grant to this incarnation, if no copy has used
 // the grant.
 func (a *admission) closeLocal(g Grant) Decision {
 	reply := a.manager.ledger.answer(a.closeQuery(g))
-	return decide(reply)
+	return decisionFor(reply)
 }
 
 // closeQuery returns a query to the grantee that closes the key unless it has a record.
 func (a *admission) closeQuery(g Grant) OrderAsk {
-	return OrderAsk{Ledger: g.Holder, Epoch: g.Epoch, Key: a.hash, Digest: a.req.Digest, Want: WantClose}
+	return OrderAsk{Ledger: g.Holder, Epoch: g.Epoch, Key: a.key, Digest: a.req.Digest, Want: WantClose}
 }
 
 // queryGrantee queries the only incarnation that may run the order. If that has
@@ -111,9 +111,9 @@
 func (a *admission) queryGrantee(ctx context.Context, g Grant) Decision {
 	reply, err := a.manager.queryLedger(ctx, a.closeQuery(g))
 	if err != nil {
-		return unknown(err, "the daemon that may have run the order can't be asked")
+		return unknownDecision(err, "the daemon that may have run the order can't be asked")
 	}
-	return decide(reply)
+	return decisionFor(reply)
 }
 
 // queryLedger sends a query to a ledger wherever it may be: in this daemon, at
@@ -164,7 +164,7 @@
 	if done {
 		return d
 	}
-	key := claimRowKey(a.req.Workspace, a.hash)
+	rowKey := claimRowKey(a.req.Workspace, a.key)
 	row := ClaimRow{
 		ID:     a.manager.claims.newID(),
 		Grant:  Grant{Holder: a.manager.self, Epoch: max(epoch, 1)},
@@ -176,47 +176,47 @@
 	}
 	limited, cancel := context.WithTimeout(ctx, a.manager.queryTimeout)
 	defer cancel()
-	err := a.manager.claims.insert(limited, key, row)
+	err := a.manager.claims.insert(limited, rowKey, row)
 	if err == nil && epoch == 0 {
-		return decide(OrderReply{State: StateNotRun})
+		return decisionFor(OrderReply{State: StateNotRun})
 	}
 	if err == nil {
-		return a.useGrant(epoch, row.Grant, &openClaim{key, row})
+		return a.useGrant(epoch, row.Grant, &openClaim{rowKey, row})
 	}
 	if !fault.Is(err, fault.StoreConflict) {
 		a.cancelReservation(epoch)
-		return unknown(err, "the key can't be claimed")
+		return unknownDecision(err, "the key can't be claimed")
 	}
-	other, err := a.manager.claims.read(limited, key)
+	other, err := a.manager.claims.read(limited, rowKey)
 	if err != nil {
 		a.cancelReservation(epoch)
-		return unknown(err, "the claim of the key can't be read")
+		return unknownDecision(err, "the claim of the key can't be read")
 	}
-	return a.decideByClaim(ctx, epoch, key, other)
+	return a.decideByClaim(ctx, epoch, rowKey, other)
 }
 
-// decideByClaim decides by the existing claim row of the key.
-func (a *admission) decideByClaim(ctx context.Context, epoch uint32, key string, row ClaimRow) Decision {
+// decideByClaim decides on a key by the claim row that it already has.
+func (a *admission) decideByClaim(ctx context.Context, epoch uint32, rowKey string, row ClaimRow) Decision {
 	known := record{digest: row.Digest, state: row.State, response: row.Response}
 	if known.forDigest(a.req.Digest).state == StateMismatch {
 		a.cancelReservation(epoch)
-		return decide(OrderReply{State: StateMismatch})
+		return decisionFor(OrderReply{State: StateMismatch})
 	}
 	if row.State == StateRunning && row.Grant.Holder == a.manager.self {
 		// The row comes from an earlier insert by this incarnation whose reply was lost.
-		return a.useGrant(epoch, row.Grant, &openClaim{key, row})
+		return a.useGrant(epoch, row.Grant, &openClaim{rowKey, row})
 	}
 	a.cancelReservation(epoch)
 	switch row.State {
 	case StateRun, StateNotRun, StateUnknown:
-		return decide(known.reply(a.req.Digest))
+		return decisionFor(known.reply(a.req.Digest))
 	case StateRunDropped:
 		// The order ran. The row has no response, but the owner's ledger may
 		// still have it.
 		if d := a.queryGrantee(ctx, row.Grant); d.Verdict == VerdictReplay {
 			return d
 		}
-		return decide(OrderReply{State: StateRunDropped})
+		return decisionFor(OrderReply{State: StateRunDropped})
 	default:
 		return a.queryGrantee(ctx, row.Grant)
 	}
--- a/core/order/claim.go
+++ b/core/order/claim.go
@@ -19,7 +19,8 @@
 // changes it later, once, to record the outcome. Nobody deletes it. A claim
 // therefore permits a single run, like a grant from a token's issuer.
 type ClaimRow struct {
-	// ID is unique to the copy of the order whose insert created the row.
+	// ID is unique to the insert that created the row, so that its daemon
+	// recognises the row after the reply to the insert was lost.
 	ID string `cbor:"1,keyasint"`
 	// Grant names the owner, and the epoch of its ledger that has the key.
 	Grant  Grant `cbor:"2,keyasint"`
@@ -76,7 +77,8 @@
 	// random fills claim ids; the property test replaces it to be reproducible.
 	random func([]byte) (int, error)
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// waiting is the queue of outcomes, oldest first.
 	waiting []outcomeWrite
 	dropped uint64
 	written uint64
@@ -84,8 +86,8 @@
 
 // outcomeWrite is a claim row with its outcome, waiting to be written to the store.
 type outcomeWrite struct {
-	key string
-	row ClaimRow
+	rowKey string
+	row    ClaimRow
 }
 
 func newClaims(table store.Table, maxRowResponse int64) *Claims {
@@ -102,38 +104,39 @@
 	return hex.EncodeToString(b[:])
 }
 
-// insert writes a new row. It returns nil if the row was inserted, StoreConflict
-// if the key already has another row, and an error of any other kind if neither
-// is established.
-func (c *Claims) insert(ctx context.Context, key string, row ClaimRow) error {
+// insert writes a new row. It returns nil if the row was inserted, and StoreConflict
+// if another row already exists under its key. After an error of any other kind it
+// is unknown which of the two is the case.
+func (c *Claims) insert(ctx context.Context, rowKey string, row ClaimRow) error {
 	value, err := cbor.Marshal(row)
 	if err != nil {
 		return fault.Wrap(err, fault.Internal, "encode a claim")
 	}
-	tx := store.Tx{ID: row.ID, Conds: []store.Cond{{Key: key}}, Puts: []store.Put{{Key: key, Value: value}}}
-	return store.ApplyOnce(ctx, c.table, tx, store.Marker{Key: key, Mine: row.hasSameID})
+	tx := store.Tx{ID: row.ID, Conds: []store.Cond{{Key: rowKey}}, Puts: []store.Put{{Key: rowKey, Value: value}}}
+	return store.ApplyOnce(ctx, c.table, tx, store.Marker{Key: rowKey, Mine: row.hasSameID})
 }
 
+// hasSameID reports whether value is an encoded row with the same ID.
 func (c *ClaimRow) hasSameID(value []byte) bool {
 	var other ClaimRow
 	return cbor.Unmarshal(value, &other) == nil && other.ID == c.ID
 }
 
-func (c *Claims) read(ctx context.Context, key string) (ClaimRow, error) {
+func (c *Claims) read(ctx context.Context, rowKey string) (ClaimRow, error) {
 	var claim ClaimRow
-	row, err := c.table.Get(ctx, key)
+	row, err := c.table.Get(ctx, rowKey)
 	if err != nil {
 		return claim, err
 	}
 	if err := cbor.Unmarshal(row.Value, &claim); err != nil {
-		return claim, fault.Wrap(err, fault.MessageInvalid, "claim %q", key)
+		return claim, fault.Wrap(err, fault.MessageInvalid, "claim %q", rowKey)
 	}
 	return claim, nil
 }
 
 // enqueueOutcome queues an outcome for the run loop. Until it is written, the
 // ledger of the row's owner answers queries about the key.
-func (c *Claims) enqueueOutcome(key string, row ClaimRow, outcome fault.Outcome, res *Response) {
+func (c *Claims) enqueueOutcome(rowKey string, row ClaimRow, outcome fault.Outcome, res *Response) {
 	switch {
 	case outcome == fault.Run && res != nil && res.Size() <= c.maxRowResponse:
 		row.State, row.Response = StateRun, res
@@ -145,7 +148,7 @@
 		row.State = StateUnknown
 	}
 	c.mu.Lock()
-	c.waiting = append(c.waiting, outcomeWrite{key, row})
+	c.waiting = append(c.waiting, outcomeWrite{rowKey, row})
 	if len(c.waiting) > maxWaitingOutcomes {
 		c.waiting = c.waiting[1:]
 		c.dropped++
@@ -202,9 +205,10 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, outcomeTimeout)
 	defer cancel()
-	return c.table.Apply(ctx, store.Tx{ID: o.row.ID + "/outcome", Puts: []store.Put{{Key: o.key, Value: value}}})
+	return c.table.Apply(ctx, store.Tx{ID: o.row.ID + "/outcome", Puts: []store.Put{{Key: o.rowKey, Value: value}}})
 }
 
+// firstWaiting returns the oldest queued outcome, or false if the queue is empty.
 func (c *Claims) firstWaiting() (outcomeWrite, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/core/order/decision.go
+++ b/core/order/decision.go
@@ -71,8 +71,8 @@
 
 // openClaim is a claim row that this incarnation owns and that has no outcome yet.
 type openClaim struct {
-	key string
-	row ClaimRow
+	rowKey string
+	row    ClaimRow
 }
 
 // Finish records the outcome of the order and, with fault.Run, its response. The
@@ -84,39 +84,39 @@
 	}
 	t.manager.ledger.finish(t.epoch, t.key, outcome, res)
 	if t.claim != nil {
-		t.manager.claims.enqueueOutcome(t.claim.key, t.claim.row, outcome, res)
+		t.manager.claims.enqueueOutcome(t.claim.rowKey, t.claim.row, outcome, res)
 	}
 }
 
-// decide returns the decision for a reply that does not permit the copy to run.
-func decide(r OrderReply) Decision {
+// decisionFor returns the decision for a reply that does not permit the copy to run.
+func decisionFor(r OrderReply) Decision {
 	switch r.State {
 	case StateAsking, StateRunning:
-		return refuse(VerdictInProgress, fault.OrderInProgress, "another copy of the order is running")
+		return refusedDecision(VerdictInProgress, fault.OrderInProgress, "another copy of the order is running")
 	case StateRun:
 		return Decision{Verdict: VerdictReplay, Response: r.Response}
 	case StateRunDropped:
-		return refuse(VerdictReplay, fault.OrderAnswerDropped, "the order was run; its response is no longer kept")
+		return refusedDecision(VerdictReplay, fault.OrderAnswerDropped, "the order was run; its response is no longer kept")
 	case StateNotRun:
-		return refuse(VerdictNotRun, fault.OrderClosed, "the key is closed")
+		return refusedDecision(VerdictNotRun, fault.OrderClosed, "the key is closed")
 	case StateMismatch:
-		return refuse(VerdictMismatch, fault.OrderKeyMismatch, "the key belongs to a request with other content")
+		return refusedDecision(VerdictMismatch, fault.OrderKeyMismatch, "the key belongs to a request with other content")
 	default:
-		return unknown(nil, "the order may have been run")
+		return unknownDecision(nil, "the order may have been run")
 	}
 }
 
-func refuse(v Verdict, k fault.Kind, detail string) Decision {
+func refusedDecision(v Verdict, k fault.Kind, detail string) Decision {
 	return Decision{Verdict: v, Fault: fault.New(k, "%s", detail)}
 }
 
-func unknown(cause error, detail string) Decision {
+func unknownDecision(cause error, detail string) Decision {
 	e := fault.New(fault.OrderUnknown, "%s", detail)
 	e.Cause = cause
 	return Decision{Verdict: VerdictUnknown, Fault: e}
 }
 
-func invalid(err error) Decision {
+func invalidDecision(err error) Decision {
 	return Decision{Verdict: VerdictInvalid, Fault: fault.From(err)}
 }
 
--- a/core/order/dump.go
+++ b/core/order/dump.go
@@ -55,8 +55,8 @@
 func (s *shard) countStates(into map[string]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, t := range s.epochs {
-		for _, r := range t.records {
+	for _, e := range s.epochs {
+		for _, r := range e.records {
 			into[r.state.String()]++
 		}
 	}
--- a/core/order/handover.go
+++ b/core/order/handover.go
@@ -46,10 +46,10 @@
 func (s *shard) removeReservations() (removed int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, t := range s.epochs {
-		for key, r := range t.records {
+	for _, e := range s.epochs {
+		for key, r := range e.records {
 			if r.state == StateAsking {
-				delete(t.records, key)
+				delete(e.records, key)
 				removed++
 			}
 		}
@@ -74,9 +74,9 @@
 func (s *shard) export(into []Record) []Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, t := range s.epochs {
-		for key, r := range t.records {
-			out := Record{Epoch: t.number, Key: key, Digest: r.digest, State: r.state, Response: r.response, Grant: r.grant}
+	for _, e := range s.epochs {
+		for key, r := range e.records {
+			out := Record{Epoch: e.number, Key: key, Digest: r.digest, State: r.state, Response: r.response, Grant: r.grant}
 			if r.state == StateRunning {
 				out.State = StateUnknown
 			}
@@ -168,27 +168,27 @@
 // add stores one part of a ledger. Two exports of a ledger may distribute its
 // records differently, so a part of another export replaces an incomplete
 // ledger. A complete ledger stays as it is.
-func (h *importedLedgers) add(p LedgerPart, now time.Time) error {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	l := h.ledgers[p.Ledger]
+func (il *importedLedgers) add(p LedgerPart, now time.Time) error {
+	il.mu.Lock()
+	defer il.mu.Unlock()
+	l := il.ledgers[p.Ledger]
 	if l != nil && l.exportID != p.Export && len(l.missingParts) > 0 {
-		h.removeLocked(p.Ledger)
+		il.removeLocked(p.Ledger)
 		l = nil
 	}
 	if l == nil {
 		l = newImportedLedger(p, now)
-		h.ledgers[p.Ledger] = l
+		il.ledgers[p.Ledger] = l
 	}
 	if l.exportID != p.Export || !l.missingParts[p.Part] {
 		return nil
 	}
-	if h.records+int64(len(p.Records)) > h.maxRecords {
+	if il.records+int64(len(p.Records)) > il.maxRecords {
 		return fault.New(fault.QueueFull, "no room for %d records of %q", len(p.Records), p.Ledger)
 	}
 	delete(l.missingParts, p.Part)
 	for _, r := range p.Records {
-		h.addRecord(l, r)
+		il.addRecord(l, r)
 	}
 	return nil
 }
@@ -201,26 +201,26 @@
 	return l
 }
 
-func (h *importedLedgers) addRecord(l *importedLedger, r Record) {
+func (il *importedLedgers) addRecord(l *importedLedger, r Record) {
 	in := record{digest: r.Digest, state: r.State, response: r.Response, grant: r.Grant}
-	if in.response != nil && h.keptBytes+in.response.Size() > h.maxKeptBytes {
+	if in.response != nil && il.keptBytes+in.response.Size() > il.maxKeptBytes {
 		in.state, in.response = StateRunDropped, nil
 	}
 	if in.response != nil {
-		h.keptBytes += in.response.Size()
+		il.keptBytes += in.response.Size()
 		l.keptBytes += in.response.Size()
 	}
 	l.records[recordKey{r.Epoch, r.Key}] = in
-	h.records++
+	il.records++
 }
 
 // answer replies to a query about a ledger that was handed over. A key without a
 // record is known to be not run only if all parts have arrived and its epoch is
 // one of those that the ledger covers.
-func (h *importedLedgers) answer(q OrderAsk) OrderReply {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	l := h.ledgers[q.Ledger]
+func (il *importedLedgers) answer(q OrderAsk) OrderReply {
+	il.mu.Lock()
+	defer il.mu.Unlock()
+	l := il.ledgers[q.Ledger]
 	if l == nil {
 		return OrderReply{State: StateNotHeld}
 	}
@@ -238,31 +238,31 @@
 }
 
 // expire removes the ledgers whose retention time is over.
-func (h *importedLedgers) expire(now time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for inc, l := range h.ledgers {
+func (il *importedLedgers) expire(now time.Time) {
+	il.mu.Lock()
+	defer il.mu.Unlock()
+	for inc, l := range il.ledgers {
 		if now.After(l.expiresAt) {
-			h.removeLocked(inc)
+			il.removeLocked(inc)
 		}
 	}
 }
 
-func (h *importedLedgers) removeLocked(inc fleet.Incarnation) {
-	l := h.ledgers[inc]
-	delete(h.ledgers, inc)
-	h.records -= int64(len(l.records))
-	h.keptBytes -= l.keptBytes
+func (il *importedLedgers) removeLocked(inc fleet.Incarnation) {
+	l := il.ledgers[inc]
+	delete(il.ledgers, inc)
+	il.records -= int64(len(l.records))
+	il.keptBytes -= l.keptBytes
 }
 
 // export returns the complete ledgers in parts. A daemon that leaves hands them
 // over together with its own ledger.
-func (h *importedLedgers) export(now time.Time) []LedgerPart {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (il *importedLedgers) export(now time.Time) []LedgerPart {
+	il.mu.Lock()
+	defer il.mu.Unlock()
 	var all []LedgerPart
-	for _, inc := range slices.Sorted(maps.Keys(h.ledgers)) {
-		l := h.ledgers[inc]
+	for _, inc := range slices.Sorted(maps.Keys(il.ledgers)) {
+		l := il.ledgers[inc]
 		if len(l.missingParts) > 0 || !now.Before(l.expiresAt) {
 			continue
 		}
--- a/core/order/ledger.go
+++ b/core/order/ledger.go
@@ -30,8 +30,9 @@
 	tickInterval        = time.Second
 )
 
-// Ledger records in memory the state of each key that this incarnation may run
-// or was once allowed to run.
+// Ledger records in memory the state of the keys on which this incarnation decides:
+// keys under the tokens that it issued, and keys of which it was granted or has
+// claimed the permission to run.
 //
 // Time is divided into numbered epochs. A key under a token belongs to the epoch
 // in which the token was issued. Only the newest epoch is open for new keys. A
@@ -228,12 +229,12 @@
 			return r.forDigest(digest), true, 0
 		}
 	}
-	t := s.newest()
-	if t.closed || full {
+	e := s.newest()
+	if e.closed || full {
 		return record{}, false, 0
 	}
-	s.insert(l, t, key, record{state: StateAsking, digest: digest})
-	return record{}, false, t.number
+	s.insert(l, e, key, record{state: StateAsking, digest: digest})
+	return record{}, false, e.number
 }
 
 // cancelReservation removes the reservation of a copy that did not get the
@@ -242,11 +243,11 @@
 	s := l.shard(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.epochRecords(epoch)
-	if t == nil || t.records[key].state != StateAsking {
+	e := s.epochRecords(epoch)
+	if e == nil || e.records[key].state != StateAsking {
 		return
 	}
-	delete(t.records, key)
+	delete(e.records, key)
 	l.records.Add(-1)
 }
 
@@ -282,11 +283,11 @@
 	s := l.shard(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.epochRecords(epoch)
-	if t == nil {
+	e := s.epochRecords(epoch)
+	if e == nil {
 		return
 	}
-	r, ok := t.records[key]
+	r, ok := e.records[key]
 	if !ok || r.state != StateRunning {
 		return
 	}
@@ -301,9 +302,9 @@
 	default:
 		r.state = StateUnknown
 	}
-	t.records[key] = r
+	e.records[key] = r
 	if r.response != nil {
-		s.keepResponse(l, t, key, res.Size())
+		s.keepResponse(l, e, key, res.Size())
 	}
 }
 
--- a/core/order/manager.go
+++ b/core/order/manager.go
@@ -144,23 +144,23 @@
 func (m *Manager) Begin(ctx context.Context, r Request) Decision {
 	if r.Key == "" && r.Mode == fleet.KeyOptional {
 		if !r.Carried {
-			return refuse(VerdictNotRun, fault.NotCarried, "the service isn't carried here")
+			return refusedDecision(VerdictNotRun, fault.NotCarried, "the service isn't carried here")
 		}
 		return Decision{Verdict: VerdictRun}
 	}
 	if r.Carried && r.Digest.IsZero() {
-		return invalid(fault.New(fault.Internal, "order without the digest of its request"))
+		return invalidDecision(fault.New(fault.Internal, "order without the digest of its request"))
 	}
 	key, err := m.signer.ParseKey(r.Key)
 	if err != nil {
-		return invalid(err)
+		return invalidDecision(err)
 	}
 	if !key.CallerChosen && key.Token.Service != r.Service {
 		// Every daemon refuses a token of another service, so this request
 		// certainly does not run.
-		return invalid(fault.New(fault.OrderKeyInvalid, "the token is for service %q", key.Token.Service))
+		return invalidDecision(fault.New(fault.OrderKeyInvalid, "the token is for service %q", key.Token.Service))
 	}
-	a := admission{manager: m, req: r, hash: key.hash(r.Workspace, r.Service), token: key.Token}
+	a := admission{manager: m, req: r, key: key.hash(r.Workspace, r.Service), token: key.Token}
 	switch {
 	case key.CallerChosen || key.Token.Mode == ModeClaim:
 		return a.beginClaim(ctx)
--- a/core/order/shard.go
+++ b/core/order/shard.go
@@ -82,19 +82,20 @@
 func (s *shard) discardOldestEpoch() (records int, keptBytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.epochs[0]
+	e := s.epochs[0]
 	s.epochs = append([]*epochRecords(nil), s.epochs[1:]...)
-	s.keptBytes -= t.keptBytes
+	s.keptBytes -= e.keptBytes
 	remaining := make([]responseRef, 0, len(s.keptResponses))
 	for _, ref := range s.keptResponses {
-		if ref.epoch != t.number {
+		if ref.epoch != e.number {
 			remaining = append(remaining, ref)
 		}
 	}
 	s.keptResponses = remaining
-	return len(t.records), t.keptBytes
+	return len(e.records), e.keptBytes
 }
 
+// newest returns the newest epoch; it is open unless the ledger is sealed.
 func (s *shard) newest() *epochRecords {
 	return s.epochs[len(s.epochs)-1]
 }
@@ -114,21 +115,21 @@
 // is closed, since no copy was admitted and none will be. It returns false for
 // a key without a record in the open epoch.
 func (s *shard) find(epoch uint32, key, digest Hash) (record, bool) {
-	t := s.epochRecords(epoch)
-	if t == nil {
+	e := s.epochRecords(epoch)
+	if e == nil {
 		return record{state: StateUnknown}, true
 	}
-	if r, ok := t.records[key]; ok {
+	if r, ok := e.records[key]; ok {
 		return r.forDigest(digest), true
 	}
-	if t.closed {
+	if e.closed {
 		return record{state: StateNotRun}, true
 	}
 	return record{}, false
 }
 
-func (s *shard) insert(l *Ledger, t *epochRecords, key Hash, r record) {
-	t.records[key] = r
+func (s *shard) insert(l *Ledger, e *epochRecords, key Hash, r record) {
+	e.records[key] = r
 	l.records.Add(1)
 }
 
@@ -146,8 +147,9 @@
 	return r, mayRun
 }
 
-// applyQuery records what the query requests for a key without a record: a
-// release to the querier, or a closed key. A known key keeps its record.
+// applyQuery does what the query wants for a key without a record: it grants the
+// permission to run to the querier, closes the key, or changes nothing. A known
+// key keeps its record.
 func (s *shard) applyQuery(l *Ledger, known bool, r record, q OrderAsk) record {
 	if known {
 		return r
@@ -166,16 +168,16 @@
 
 // keepResponse adds a response to the kept ones. It drops the oldest of them
 // while the shard exceeds its share of the ledger's limit.
-func (s *shard) keepResponse(l *Ledger, t *epochRecords, key Hash, size int64) {
-	s.keptResponses = append(s.keptResponses, responseRef{key, t.number})
-	s.addKeptBytes(l, t, size)
+func (s *shard) keepResponse(l *Ledger, e *epochRecords, key Hash, size int64) {
+	s.keptResponses = append(s.keptResponses, responseRef{key, e.number})
+	s.addKeptBytes(l, e, size)
 	for s.keptBytes > l.maxKeptBytes/shardCount && len(s.keptResponses) > 0 {
 		s.dropOldestResponse(l)
 	}
 }
 
-func (s *shard) addKeptBytes(l *Ledger, t *epochRecords, size int64) {
-	t.keptBytes += size
+func (s *shard) addKeptBytes(l *Ledger, e *epochRecords, size int64) {
+	e.keptBytes += size
 	s.keptBytes += size
 	l.keptBytes.Add(size)
 }
@@ -183,9 +185,9 @@
 func (s *shard) dropOldestResponse(l *Ledger) {
 	ref := s.keptResponses[0]
 	s.keptResponses = s.keptResponses[1:]
-	t := s.epochRecords(ref.epoch)
-	r := t.records[ref.key]
-	s.addKeptBytes(l, t, -r.response.Size())
+	e := s.epochRecords(ref.epoch)
+	r := e.records[ref.key]
+	s.addKeptBytes(l, e, -r.response.Size())
 	r.state, r.response = StateRunDropped, nil
-	t.records[ref.key] = r
+	e.records[ref.key] = r
 }
