--- a/core/order/admission.go
+++ b/core/order/copy.go
@@ -7,8 +7,8 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// admission decides whether one copy of an order may run.
-type admission struct {
+// orderCopy is one copy of an order. Its methods decide whether the copy may run.
+type orderCopy struct {
 	manager *Manager
 	req     Request
 	key     Hash
@@ -17,20 +17,20 @@
 
 // allow returns the decision to run the order, whose record is in the given epoch
 // of this incarnation's ledger.
-func (a *admission) allow(epoch uint32, claim *openClaim) Decision {
-	return Decision{Verdict: VerdictRun, Ticket: Ticket{manager: a.manager, key: a.key, epoch: epoch, claim: claim}}
+func (c *orderCopy) allow(epoch uint32, claim *openClaim) Decision {
+	return Decision{Verdict: VerdictRun, Ticket: Ticket{manager: c.manager, key: c.key, epoch: epoch, claim: claim}}
 }
 
 // beginLocal decides on a key under a token that this incarnation issued.
-func (a *admission) beginLocal(ctx context.Context) Decision {
-	r, admitted := a.manager.ledger.begin(a.token.Epoch, a.key, a.req.Digest, a.req.Carried)
+func (c *orderCopy) beginLocal(ctx context.Context) Decision {
+	r, admitted := c.manager.ledger.begin(c.token.Epoch, c.key, c.req.Digest, c.req.Carried)
 	switch {
 	case admitted:
-		return a.allow(a.token.Epoch, nil)
+		return c.allow(c.token.Epoch, nil)
 	case r.state == StateReleased:
-		return a.queryGrantee(ctx, *r.grant)
+		return c.queryGrantee(ctx, *r.grant)
 	default:
-		return decisionFor(r.reply(a.req.Digest))
+		return decisionFor(r.reply(c.req.Digest))
 	}
 }
 
@@ -38,78 +38,78 @@
 // permission to run is requested elsewhere. It returns the epoch of the
 // reservation, or 0 if the key is to be closed instead. If done is true, the
 // ledger already has a record of the key, and d is the decision.
-func (a *admission) reserve() (epoch uint32, d Decision, done bool) {
-	if !a.req.Carried {
+func (c *orderCopy) reserve() (epoch uint32, d Decision, done bool) {
+	if !c.req.Carried {
 		return 0, d, false
 	}
-	r, known, epoch := a.manager.ledger.reserve(a.key, a.req.Digest)
+	r, known, epoch := c.manager.ledger.reserve(c.key, c.req.Digest)
 	if known {
-		return 0, decisionFor(r.reply(a.req.Digest)), true
+		return 0, decisionFor(r.reply(c.req.Digest)), true
 	}
 	return epoch, d, false
 }
 
 // beginRemote decides on a key under a token that another incarnation issued.
-func (a *admission) beginRemote(ctx context.Context) Decision {
-	epoch, d, done := a.reserve()
+func (c *orderCopy) beginRemote(ctx context.Context) Decision {
+	epoch, d, done := c.reserve()
 	if done {
 		return d
 	}
-	query := OrderAsk{Ledger: a.token.Issuer, Epoch: a.token.Epoch, Key: a.key, Digest: a.req.Digest, Want: WantClose}
+	query := OrderAsk{Ledger: c.token.Issuer, Epoch: c.token.Epoch, Key: c.key, Digest: c.req.Digest, Want: WantClose}
 	if epoch != 0 {
-		query.Want, query.Asker = WantRelease, &Grant{Holder: a.manager.self, Epoch: epoch}
+		query.Want, query.Asker = WantRelease, &Grant{Holder: c.manager.self, Epoch: epoch}
 	}
-	reply, err := a.manager.queryLedger(ctx, query)
-	if err == nil && reply.State == StateReleased && reply.Grant.Holder == a.manager.self {
-		return a.useGrant(epoch, *reply.Grant, nil)
+	reply, err := c.manager.queryLedger(ctx, query)
+	if err == nil && reply.State == StateReleased && reply.Grant.Holder == c.manager.self {
+		return c.useGrant(epoch, *reply.Grant, nil)
 	}
-	a.cancelReservation(epoch)
+	c.cancelReservation(epoch)
 	switch {
 	case err != nil:
 		return unknownDecision(err, "the home of the key can't be asked")
 	case reply.State == StateReleased:
-		return a.queryGrantee(ctx, *reply.Grant)
+		return c.queryGrantee(ctx, *reply.Grant)
 	default:
 		return decisionFor(reply)
 	}
 }
 
 // cancelReservation removes the reservation, if there is one.
-func (a *admission) cancelReservation(epoch uint32) {
+func (c *orderCopy) cancelReservation(epoch uint32) {
 	if epoch != 0 {
-		a.manager.ledger.cancelReservation(epoch, a.key)
+		c.manager.ledger.cancelReservation(epoch, c.key)
 	}
 }
 
 // useGrant decides on a key with a grant to this incarnation. The copy may run
 // unless another copy has already used the grant.
-func (a *admission) useGrant(epoch uint32, g Grant, claim *openClaim) Decision {
+func (c *orderCopy) useGrant(epoch uint32, g Grant, claim *openClaim) Decision {
 	if epoch == 0 {
-		return a.closeLocal(g)
+		return c.closeLocal(g)
 	}
-	r, admitted := a.manager.ledger.useGrant(epoch, g.Epoch, a.key, a.req.Digest)
+	r, admitted := c.manager.ledger.useGrant(epoch, g.Epoch, c.key, c.req.Digest)
 	if admitted {
-		return a.allow(g.Epoch, claim)
+		return c.allow(g.Epoch, claim)
 	}
-	return decisionFor(r.reply(a.req.Digest))
+	return decisionFor(r.reply(c.req.Digest))
 }
 
 // closeLocal closes a key with a grant to this incarnation, if no copy has used
 // the grant.
-func (a *admission) closeLocal(g Grant) Decision {
-	reply := a.manager.ledger.answer(a.closeQuery(g))
+func (c *orderCopy) closeLocal(g Grant) Decision {
+	reply := c.manager.ledger.answer(c.closeQuery(g))
 	return decisionFor(reply)
 }
 
 // closeQuery returns a query to the grantee that closes the key unless it has a record.
-func (a *admission) closeQuery(g Grant) OrderAsk {
-	return OrderAsk{Ledger: g.Holder, Epoch: g.Epoch, Key: a.key, Digest: a.req.Digest, Want: WantClose}
+func (c *orderCopy) closeQuery(g Grant) OrderAsk {
+	return OrderAsk{Ledger: g.Holder, Epoch: g.Epoch, Key: c.key, Digest: c.req.Digest, Want: WantClose}
 }
 
 // queryGrantee queries the only incarnation that may run the order. If that has
 // no record of the key, it closes the key, since a grant is made only once.
-func (a *admission) queryGrantee(ctx context.Context, g Grant) Decision {
-	reply, err := a.manager.queryLedger(ctx, a.closeQuery(g))
+func (c *orderCopy) queryGrantee(ctx context.Context, g Grant) Decision {
+	reply, err := c.manager.queryLedger(ctx, c.closeQuery(g))
 	if err != nil {
 		return unknownDecision(err, "the daemon that may have run the order can't be asked")
 	}
@@ -159,65 +159,65 @@
 }
 
 // beginClaim decides on a key that is recorded as a claim in the table service.
-func (a *admission) beginClaim(ctx context.Context) Decision {
-	epoch, d, done := a.reserve()
+func (c *orderCopy) beginClaim(ctx context.Context) Decision {
+	epoch, d, done := c.reserve()
 	if done {
 		return d
 	}
-	rowKey := claimRowKey(a.req.Workspace, a.key)
+	rowKey := claimRowKey(c.req.Workspace, c.key)
 	row := ClaimRow{
-		ID:     a.manager.claims.newID(),
-		Grant:  Grant{Holder: a.manager.self, Epoch: max(epoch, 1)},
-		Digest: a.req.Digest,
+		ID:     c.manager.claims.newID(),
+		Grant:  Grant{Holder: c.manager.self, Epoch: max(epoch, 1)},
+		Digest: c.req.Digest,
 		State:  StateRunning,
 	}
 	if epoch == 0 {
 		row.State = StateNotRun
 	}
-	limited, cancel := context.WithTimeout(ctx, a.manager.queryTimeout)
+	limited, cancel := context.WithTimeout(ctx, c.manager.queryTimeout)
 	defer cancel()
-	err := a.manager.claims.insert(limited, rowKey, row)
+	err := c.manager.claims.insert(limited, rowKey, row)
 	if err == nil && epoch == 0 {
 		return decisionFor(OrderReply{State: StateNotRun})
 	}
 	if err == nil {
-		return a.useGrant(epoch, row.Grant, &openClaim{rowKey, row})
+		return c.useGrant(epoch, row.Grant, &openClaim{rowKey, row})
 	}
 	if !fault.Is(err, fault.StoreConflict) {
-		a.cancelReservation(epoch)
+		c.cancelReservation(epoch)
 		return unknownDecision(err, "the key can't be claimed")
 	}
-	other, err := a.manager.claims.read(limited, rowKey)
+	other, err := c.manager.claims.read(limited, rowKey)
 	if err != nil {
-		a.cancelReservation(epoch)
+		c.cancelReservation(epoch)
 		return unknownDecision(err, "the claim of the key can't be read")
 	}
-	return a.decideByClaim(ctx, epoch, rowKey, other)
+	return c.decideByClaim(ctx, epoch, rowKey, other)
 }
 
 // decideByClaim decides on a key by the claim row that it already has.
-func (a *admission) decideByClaim(ctx context.Context, epoch uint32, rowKey string, row ClaimRow) Decision {
+func (c *orderCopy) decideByClaim(ctx context.Context, epoch uint32, rowKey string, row ClaimRow) Decision {
 	known := record{digest: row.Digest, state: row.State, response: row.Response}
-	if known.forDigest(a.req.Digest).state == StateMismatch {
-		a.cancelReservation(epoch)
+	if known.forDigest(c.req.Digest).state == StateMismatch {
+		c.cancelReservation(epoch)
 		return decisionFor(OrderReply{State: StateMismatch})
 	}
-	if row.State == StateRunning && row.Grant.Holder == a.manager.self {
+	if row.State == StateRunning && row.Grant.Holder == c.manager.self {
 		// The row comes from an earlier insert by this incarnation whose reply was lost.
-		return a.useGrant(epoch, row.Grant, &openClaim{rowKey, row})
+		return c.useGrant(epoch, row.Grant, &openClaim{rowKey, row})
 	}
-	a.cancelReservation(epoch)
+	c.cancelReservation(epoch)
 	switch row.State {
 	case StateRun, StateNotRun, StateUnknown:
-		return decisionFor(known.reply(a.req.Digest))
+		return decisionFor(known.reply(c.req.Digest))
 	case StateRunDropped:
 		// The order ran. The row has no response, but the owner's ledger may
 		// still have it.
-		if d := a.queryGrantee(ctx, row.Grant); d.Verdict == VerdictReplay {
+		if d := c.queryGrantee(ctx, row.Grant); d.Verdict == VerdictReplay {
 			return d
 		}
 		return decisionFor(OrderReply{State: StateRunDropped})
 	default:
-		return a.queryGrantee(ctx, row.Grant)
+		return c.queryGrantee(ctx, row.Grant)
 	}
 }
--- a/core/order/manager.go
+++ b/core/order/manager.go
@@ -160,14 +160,14 @@
 		// certainly does not run.
 		return invalidDecision(fault.New(fault.OrderKeyInvalid, "the token is for service %q", key.Token.Service))
 	}
-	a := admission{manager: m, req: r, key: key.hash(r.Workspace, r.Service), token: key.Token}
+	c := orderCopy{manager: m, req: r, key: key.hash(r.Workspace, r.Service), token: key.Token}
 	switch {
 	case key.CallerChosen || key.Token.Mode == ModeClaim:
-		return a.beginClaim(ctx)
+		return c.beginClaim(ctx)
 	case key.Token.Issuer == m.self:
-		return a.beginLocal(ctx)
+		return c.beginLocal(ctx)
 	default:
-		return a.beginRemote(ctx)
+		return c.beginRemote(ctx)
 	}
 }
 
