--- a/core/fault/error.go
+++ b/core/fault/error.go
@@ -13,7 +13,8 @@
 	Outcome Outcome
 	// Detail describes the error to the caller.
 	Detail string
-	// RetryAfter is the wait to advise before a retry; 0 selects the default.
+	// RetryAfter is the wait to advise before a retry. If it is 0, RetryLater
+	// advises a default wait and other advice none.
 	RetryAfter time.Duration
 	// Retry replaces the retry advice of the kind if it is set.
 	Retry Retry
--- a/core/fleet/service.go
+++ b/core/fleet/service.go
@@ -152,8 +152,8 @@
 	SlowStart time.Duration `json:"slow-start"`
 }
 
-// Floor is the minimum number of targets that stay in service, as a count, as a
-// percentage of all targets, or as the larger of both.
+// Floor is the minimum number of targets that stay in service, as a count or as a
+// percentage of all targets. If both are set, the larger number applies.
 type Floor struct {
 	Count   int     `json:"count,omitempty"`
 	Percent float64 `json:"percent,omitempty"`
