--- a/core/order/copy.go
+++ b/core/order/copy.go
@@ -7,138 +7,145 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// copyOf is one copy of an order on its way through the manager.
-type copyOf struct {
+// orderCopy is one copy of an order. Its methods decide whether the copy may run.
+type orderCopy struct {
 	manager *Manager
 	req     Request
-	hash    Hash
+	key     Hash
 	token   Token
 }
 
-// run returns the decision to run under a record of this ledger.
-func (c *copyOf) run(epoch uint32, claim *heldClaim) Decision {
-	return Decision{Verdict: VerdictRun, Ticket: Ticket{manager: c.manager, key: c.hash, epoch: epoch, claim: claim}}
+// allow returns the decision to run the order, whose record is in the given epoch
+// of this incarnation's ledger.
+func (c *orderCopy) allow(epoch uint32, claim *openClaim) Decision {
+	return Decision{Verdict: VerdictRun, Ticket: Ticket{manager: c.manager, key: c.key, epoch: epoch, claim: claim}}
 }
 
-// beginOwn decides on a key under a token of this incarnation.
-func (c *copyOf) beginOwn(ctx context.Context) Decision {
-	r, admitted := c.manager.ledger.begin(c.token.Epoch, c.hash, c.req.Digest, c.req.Carried)
+// beginLocal decides on a key under a token that this incarnation issued.
+func (c *orderCopy) beginLocal(ctx context.Context) Decision {
+	r, admitted := c.manager.ledger.begin(c.token.Epoch, c.key, c.req.Digest, c.req.Carried)
 	switch {
 	case admitted:
-		return c.run(c.token.Epoch, nil)
+		return c.allow(c.token.Epoch, nil)
 	case r.state == StateReleased:
-		return c.askHolder(ctx, *r.grant)
+		return c.queryGrantee(ctx, *r.grant)
 	default:
-		return decide(r.reply(c.req.Digest))
+		return decisionFor(r.reply(c.req.Digest))
 	}
 }
 
-// reserve records the copy in this ledger before it asks for the right to run.
-// It returns epoch 0 if the key is to be closed instead; with done, the ledger
-// already decides.
-func (c *copyOf) reserve() (epoch uint32, d Decision, done bool) {
+// reserve records the copy in the ledger of this incarnation before the
+// permission to run is requested elsewhere. It returns the epoch of the
+// reservation, or 0 if the key is to be closed instead. If done is true, the
+// ledger already has a record of the key, and d is the decision.
+func (c *orderCopy) reserve() (epoch uint32, d Decision, done bool) {
 	if !c.req.Carried {
 		return 0, d, false
 	}
-	r, known, epoch := c.manager.ledger.reserve(c.hash, c.req.Digest)
+	r, known, epoch := c.manager.ledger.reserve(c.key, c.req.Digest)
 	if known {
-		return 0, decide(r.reply(c.req.Digest)), true
+		return 0, decisionFor(r.reply(c.req.Digest)), true
 	}
 	return epoch, d, false
 }
 
-// beginForeign decides on a key whose home is another incarnation.
-func (c *copyOf) beginForeign(ctx context.Context) Decision {
+// beginRemote decides on a key under a token that another incarnation issued.
+func (c *orderCopy) beginRemote(ctx context.Context) Decision {
 	epoch, d, done := c.reserve()
 	if done {
 		return d
 	}
-	ask := OrderAsk{Ledger: c.token.Home, Epoch: c.token.Epoch, Key: c.hash, Digest: c.req.Digest, Want: WantClose}
+	query := OrderAsk{Ledger: c.token.Issuer, Epoch: c.token.Epoch, Key: c.key, Digest: c.req.Digest, Want: WantClose}
 	if epoch != 0 {
-		ask.Want, ask.Asker = WantRelease, &Grant{Holder: c.manager.self, Epoch: epoch}
+		query.Want, query.Asker = WantRelease, &Grant{Holder: c.manager.self, Epoch: epoch}
 	}
-	reply, err := c.manager.askLedger(ctx, ask)
+	reply, err := c.manager.queryLedger(ctx, query)
 	if err == nil && reply.State == StateReleased && reply.Grant.Holder == c.manager.self {
 		return c.useGrant(epoch, *reply.Grant, nil)
 	}
-	c.unreserve(epoch)
+	c.cancelReservation(epoch)
 	switch {
 	case err != nil:
-		return unknown(err, "the home of the key can't be asked")
+		return unknownDecision(err, "the home of the key can't be asked")
 	case reply.State == StateReleased:
-		return c.askHolder(ctx, *reply.Grant)
+		return c.queryGrantee(ctx, *reply.Grant)
 	default:
-		return decide(reply)
+		return decisionFor(reply)
 	}
 }
 
-func (c *copyOf) unreserve(epoch uint32) {
+// cancelReservation removes the reservation, if there is one.
+func (c *orderCopy) cancelReservation(epoch uint32) {
 	if epoch != 0 {
-		c.manager.ledger.drop(epoch, c.hash)
+		c.manager.ledger.cancelReservation(epoch, c.key)
 	}
 }
 
-// useGrant runs under the right that this incarnation holds, if no copy did.
-func (c *copyOf) useGrant(epoch uint32, g Grant, claim *heldClaim) Decision {
+// useGrant decides on a key with a grant to this incarnation. The copy may run
+// unless another copy has already used the grant.
+func (c *orderCopy) useGrant(epoch uint32, g Grant, claim *openClaim) Decision {
 	if epoch == 0 {
-		return c.askOwn(g)
+		return c.closeLocal(g)
 	}
-	r, admitted := c.manager.ledger.take(epoch, g.Epoch, c.hash, c.req.Digest)
+	r, admitted := c.manager.ledger.useGrant(epoch, g.Epoch, c.key, c.req.Digest)
 	if admitted {
-		return c.run(g.Epoch, claim)
+		return c.allow(g.Epoch, claim)
 	}
-	return decide(r.reply(c.req.Digest))
+	return decisionFor(r.reply(c.req.Digest))
 }
 
-// askOwn closes a key whose right to run this incarnation holds already.
-func (c *copyOf) askOwn(g Grant) Decision {
-	reply := c.manager.ledger.answer(c.closeAsk(g))
-	return decide(reply)
+// closeLocal closes a key with a grant to this incarnation, if no copy has used
+// the grant.
+func (c *orderCopy) closeLocal(g Grant) Decision {
+	reply := c.manager.ledger.answer(c.closeQuery(g))
+	return decisionFor(reply)
 }
 
-func (c *copyOf) closeAsk(g Grant) OrderAsk {
-	return OrderAsk{Ledger: g.Holder, Epoch: g.Epoch, Key: c.hash, Digest: c.req.Digest, Want: WantClose}
+// closeQuery returns a query to the grantee that closes the key unless it has a record.
+func (c *orderCopy) closeQuery(g Grant) OrderAsk {
+	return OrderAsk{Ledger: g.Holder, Epoch: g.Epoch, Key: c.key, Digest: c.req.Digest, Want: WantClose}
 }
 
-// askHolder asks the one incarnation that may run the key. If that has not
-// seen it, it closes it, since the right to run is given away only once.
-func (c *copyOf) askHolder(ctx context.Context, g Grant) Decision {
-	reply, err := c.manager.askLedger(ctx, c.closeAsk(g))
+// queryGrantee queries the only incarnation that may run the order. If that has
+// no record of the key, it closes the key, since a grant is made only once.
+func (c *orderCopy) queryGrantee(ctx context.Context, g Grant) Decision {
+	reply, err := c.manager.queryLedger(ctx, c.closeQuery(g))
 	if err != nil {
-		return unknown(err, "the daemon that may have run the order can't be asked")
+		return unknownDecision(err, "the daemon that may have run the order can't be asked")
 	}
-	return decide(reply)
+	return decisionFor(reply)
 }
 
-// askLedger asks for a ledger where it may be: here, at its owner, at those
-// to whom it was handed over.
-func (m *Manager) askLedger(ctx context.Context, ask OrderAsk) (OrderReply, error) {
-	if ask.Ledger == m.self {
-		return m.ledger.answer(ask), nil
+// queryLedger sends a query to a ledger wherever it may be: in this daemon, at
+// the incarnation that owns it, or at a daemon to which it was handed over.
+func (m *Manager) queryLedger(ctx context.Context, query OrderAsk) (OrderReply, error) {
+	if query.Ledger == m.self {
+		return m.ledger.answer(query), nil
 	}
-	if reply := m.holdings.answer(ask); reply.State != StateNotHeld {
+	if reply := m.imported.answer(query); reply.State != StateNotHeld {
 		return reply, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, m.timeout)
+	ctx, cancel := context.WithTimeout(ctx, m.queryTimeout)
 	defer cancel()
-	reply, err := m.askOne(ctx, ask.Ledger, ask)
+	reply, err := m.queryIncarnation(ctx, query.Ledger, query)
 	if err == nil {
 		return reply, nil
 	}
-	for _, h := range m.holders(ask.Ledger) {
-		if h == m.self || h == ask.Ledger {
+	for _, importer := range m.importers(query.Ledger) {
+		if importer == m.self || importer == query.Ledger {
 			continue
 		}
-		if reply, holderErr := m.askOne(ctx, h, ask); holderErr == nil {
+		if reply, importerErr := m.queryIncarnation(ctx, importer, query); importerErr == nil {
 			return reply, nil
 		}
 	}
 	return reply, err
 }
 
-// askOne returns an error unless the daemon holds the ledger.
-func (m *Manager) askOne(ctx context.Context, to fleet.Incarnation, ask OrderAsk) (OrderReply, error) {
-	reply, err := m.ask(ctx, to, ask)
+// queryIncarnation sends a query to another incarnation. It returns an error if
+// that does not have the ledger.
+func (m *Manager) queryIncarnation(ctx context.Context, to fleet.Incarnation, query OrderAsk) (OrderReply, error) {
+	reply, err := m.queryPeer(ctx, to, query)
 	if err != nil {
 		return OrderReply{}, err
 	}
@@ -146,70 +153,71 @@
 		return OrderReply{}, err
 	}
 	if reply.State == StateNotHeld {
-		return OrderReply{}, fault.New(fault.PeerUnreachable, "%s doesn't hold the ledger of %s", to, ask.Ledger)
+		return OrderReply{}, fault.New(fault.PeerUnreachable, "%s doesn't hold the ledger of %s", to, query.Ledger)
 	}
 	return reply, nil
 }
 
-// beginClaim decides on a key that is claimed in the table service.
-func (c *copyOf) beginClaim(ctx context.Context) Decision {
+// beginClaim decides on a key that is recorded as a claim in the table service.
+func (c *orderCopy) beginClaim(ctx context.Context) Decision {
 	epoch, d, done := c.reserve()
 	if done {
 		return d
 	}
-	key := claimKey(c.req.Workspace, c.hash)
+	rowKey := claimRowKey(c.req.Workspace, c.key)
 	row := ClaimRow{
 		ID:     c.manager.claims.newID(),
-		Holder: Grant{Holder: c.manager.self, Epoch: max(epoch, 1)},
+		Grant:  Grant{Holder: c.manager.self, Epoch: max(epoch, 1)},
 		Digest: c.req.Digest,
 		State:  StateRunning,
 	}
 	if epoch == 0 {
 		row.State = StateNotRun
 	}
-	limited, cancel := context.WithTimeout(ctx, c.manager.timeout)
+	limited, cancel := context.WithTimeout(ctx, c.manager.queryTimeout)
 	defer cancel()
-	err := c.manager.claims.insert(limited, key, row)
+	err := c.manager.claims.insert(limited, rowKey, row)
 	if err == nil && epoch == 0 {
-		return decide(OrderReply{State: StateNotRun})
+		return decisionFor(OrderReply{State: StateNotRun})
 	}
 	if err == nil {
-		return c.useGrant(epoch, row.Holder, &heldClaim{key, row})
+		return c.useGrant(epoch, row.Grant, &openClaim{rowKey, row})
 	}
 	if !fault.Is(err, fault.StoreConflict) {
-		c.unreserve(epoch)
-		return unknown(err, "the key can't be claimed")
+		c.cancelReservation(epoch)
+		return unknownDecision(err, "the key can't be claimed")
 	}
-	other, err := c.manager.claims.read(limited, key)
+	other, err := c.manager.claims.read(limited, rowKey)
 	if err != nil {
-		c.unreserve(epoch)
-		return unknown(err, "the claim of the key can't be read")
+		c.cancelReservation(epoch)
+		return unknownDecision(err, "the claim of the key can't be read")
 	}
-	return c.resolveClaim(ctx, epoch, key, other)
+	return c.decideByClaim(ctx, epoch, rowKey, other)
 }
 
-// resolveClaim decides by the row that stands in the place of the key.
-func (c *copyOf) resolveClaim(ctx context.Context, epoch uint32, key string, row ClaimRow) Decision {
-	known := record{digest: row.Digest, state: row.State, res: row.Response}
-	if known.checked(c.req.Digest).state == StateMismatch {
-		c.unreserve(epoch)
-		return decide(OrderReply{State: StateMismatch})
+// decideByClaim decides on a key by the claim row that it already has.
+func (c *orderCopy) decideByClaim(ctx context.Context, epoch uint32, rowKey string, row ClaimRow) Decision {
+	known := record{digest: row.Digest, state: row.State, response: row.Response}
+	if known.forDigest(c.req.Digest).state == StateMismatch {
+		c.cancelReservation(epoch)
+		return decisionFor(OrderReply{State: StateMismatch})
 	}
-	if row.State == StateRunning && row.Holder.Holder == c.manager.self {
-		// An earlier attempt of this incarnation whose reply was lost.
-		return c.useGrant(epoch, row.Holder, &heldClaim{key, row})
+	if row.State == StateRunning && row.Grant.Holder == c.manager.self {
+		// The row comes from an earlier insert by this incarnation whose reply was lost.
+		return c.useGrant(epoch, row.Grant, &openClaim{rowKey, row})
 	}
-	c.unreserve(epoch)
+	c.cancelReservation(epoch)
 	switch row.State {
 	case StateRun, StateNotRun, StateUnknown:
-		return decide(known.reply(c.req.Digest))
+		return decisionFor(known.reply(c.req.Digest))
 	case StateRunDropped:
-		// The order ran; its holder may still have the response.
-		if d := c.askHolder(ctx, row.Holder); d.Verdict == VerdictReplay {
+		// The order ran. The row has no response, but the owner's ledger may
+		// still have it.
+		if d := c.queryGrantee(ctx, row.Grant); d.Verdict == VerdictReplay {
 			return d
 		}
-		return decide(OrderReply{State: StateRunDropped})
+		return decisionFor(OrderReply{State: StateRunDropped})
 	default:
-		return c.askHolder(ctx, row.Holder)
+		return c.queryGrantee(ctx, row.Grant)
 	}
 }
