--- a/core/inner/authority.go
+++ b/core/inner/authority.go
@@ -14,20 +14,21 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Authority is an ephemeral certificate authority in memory, for tests and the demo.
+// Authority is an in-memory certificate authority for tests and the demo.
 type Authority struct {
 	certificate *x509.Certificate
 	key         ed25519.PrivateKey
 }
 
 const (
-	// clockTolerance is how far the clocks of VMs may differ.
+	// clockTolerance dates certificates back, so that a VM whose clock is behind by
+	// up to this much accepts them.
 	clockTolerance    = time.Hour
 	authorityLifetime = 365 * 24 * time.Hour
 	serialBits        = 120
 )
 
-// NewAuthority returns a new authority that is valid for a year.
+// NewAuthority generates an authority. Its certificate is valid for one year.
 func NewAuthority() (*Authority, error) {
 	public, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -59,7 +60,7 @@
 	}
 }
 
-// Issue returns a new identity for the VM.
+// Issue generates a key and a signed certificate for the VM.
 func (a *Authority) Issue(vm fleet.VMID) (Identity, error) {
 	return a.issue(string(vm), serverName)
 }
@@ -86,12 +87,12 @@
 	return newIdentity(tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key, Leaf: leaf}, pool)
 }
 
-// PEMFiles are the blocks that ParseIdentity reads.
+// PEMFiles holds the PEM blocks that ParseIdentity reads.
 type PEMFiles struct {
 	Certificate, Key, Authority []byte
 }
 
-// IssuePEM returns a new identity for the VM in PEM form.
+// IssuePEM is like Issue, but returns the identity as PEM blocks.
 func (a *Authority) IssuePEM(vm fleet.VMID) (PEMFiles, error) {
 	id, err := a.Issue(vm)
 	if err != nil {
--- a/core/inner/bounds.go
+++ b/core/inner/bounds.go
@@ -5,75 +5,78 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Bounds of messages and their parts, in bytes or elements. They lie well above
-// the planned scale and keep a broken or hostile peer from filling the memory.
+// Size limits of messages and their fields, in bytes or elements. They are far
+// above the planned scale and keep a faulty or malicious peer from exhausting
+// memory.
 const (
-	// MaxID bounds ids and names.
-	MaxID = 128
-	// MaxAddress bounds "ip:port" addresses.
-	MaxAddress = 64
-	// MaxServices bounds the services in one report. A daemon carries 3.1 on average,
-	// but all services in a fleet of few daemons.
+	// MaxIDLen limits the length of ids and names in bytes.
+	MaxIDLen = 128
+	// MaxAddressLen limits the length of "ip:port" addresses in bytes.
+	MaxAddressLen = 64
+	// MaxServices limits the services in one report. A daemon carries 3.1 services
+	// on average, but in a fleet of few daemons each daemon carries all services.
 	MaxServices = 256
-	// MaxHeard bounds the heard list of a report.
+	// MaxHeard limits the heard list of a report (see ReportMsg.Heard).
 	MaxHeard = 1024
-	// MaxTargets bounds the targets of one service in a report; 27.2 on average.
+	// MaxTargets limits the targets of one service in a report. A service has 27.2
+	// targets on average.
 	MaxTargets = 2048
-	// MaxEvidence bounds the evidence rows of one service.
-	MaxEvidence = 32 << 10
-	// MaxEjections bounds the ejection list of one service.
-	MaxEjections = 64 << 10
-	// MaxLedgerRecords bounds the records in one part of a ledger.
+	// MaxEvidenceBytes limits the evidence rows of one service.
+	MaxEvidenceBytes = 32 << 10
+	// MaxEjectionsBytes limits the ejection list of one service.
+	MaxEjectionsBytes = 64 << 10
+	// MaxLedgerRecords limits the records in one part of an order ledger.
 	MaxLedgerRecords = 1 << 16
-	// MaxVMs bounds the VMs that a peer tells of; 690 are planned.
+	// MaxVMs limits the VMs in a VMsReplyMsg. The planned fleet has 690 VMs.
 	MaxVMs = 2048
-	// MaxSnapshot bounds a snapshot of the settings.
-	MaxSnapshot = 8 << 20
-	// MaxDump bounds a state dump.
-	MaxDump = 4 << 20
-	// MaxAsk bounds any encoded message that a server reads.
-	MaxAsk = 1 << 20
-	// MaxReply bounds any encoded message that a client reads.
-	MaxReply = MaxSnapshot + 64<<10
-	// maxElements bounds each array of a message before it is decoded.
+	// MaxSnapshotBytes limits a snapshot of the settings.
+	MaxSnapshotBytes = 8 << 20
+	// MaxDumpBytes limits a state dump.
+	MaxDumpBytes = 4 << 20
+	// MaxRequestBytes limits an encoded message that a server reads.
+	MaxRequestBytes = 1 << 20
+	// MaxReplyBytes limits an encoded message that a client reads.
+	MaxReplyBytes = MaxSnapshotBytes + 64<<10
+	// maxElements limits each array and map of a message while it is decoded.
 	maxElements = MaxLedgerRecords
 )
 
-// checker collects the first violation of a bound.
-type checker struct {
+// validator validates a message and keeps the first error.
+type validator struct {
 	message string
 	err     error
 }
 
-func (c *checker) size(field string, n, limit int) {
+// atMost requires that a field has at most limit entries or bytes.
+func (v *validator) atMost(field string, n, limit int) {
 	if n > limit {
-		c.fail("%s has %d entries or bytes, at most %d are allowed", field, n, limit)
+		v.fail("%s has %d entries or bytes, at most %d are allowed", field, n, limit)
 	}
 }
 
-// id demands a name that is present and not too long.
-func (c *checker) id(field string, n int) {
-	c.size(field, n, MaxID)
-	c.demand(n > 0, "%s is missing", field)
+// requireID requires that an id of n bytes is neither empty nor too long.
+func (v *validator) requireID(field string, n int) {
+	v.atMost(field, n, MaxIDLen)
+	v.require(n > 0, "%s is missing", field)
 }
 
-func (c *checker) demand(ok bool, format string, args ...any) {
+func (v *validator) require(ok bool, format string, args ...any) {
 	if !ok {
-		c.fail(format, args...)
+		v.fail(format, args...)
 	}
 }
 
-func (c *checker) fail(format string, args ...any) {
-	if c.err == nil {
-		c.err = fault.New(fault.MessageInvalid, c.message+": "+format, args...)
+func (v *validator) fail(format string, args ...any) {
+	if v.err == nil {
+		v.err = fault.New(fault.MessageInvalid, v.message+": "+format, args...)
 	}
 }
 
-func (c *checker) vm(field string, vm *fleet.VM) {
-	c.id(field+" id", len(vm.ID))
-	c.size(field+" region", len(vm.Region), MaxID)
-	c.size(field+" data centre", len(vm.DataCentre), MaxID)
-	c.size(field+" caller address", len(vm.Caller), MaxAddress)
-	c.size(field+" inner address", len(vm.Inner), MaxAddress)
-	c.size(field+" admin address", len(vm.Admin), MaxAddress)
+func (v *validator) validateVM(field string, vm *fleet.VM) {
+	v.requireID(field+" id", len(vm.ID))
+	v.atMost(field+" region", len(vm.Region), MaxIDLen)
+	v.atMost(field+" data centre", len(vm.DataCentre), MaxIDLen)
+	v.atMost(field+" caller address", len(vm.Caller), MaxAddressLen)
+	v.atMost(field+" inner address", len(vm.Inner), MaxAddressLen)
+	v.atMost(field+" admin address", len(vm.Admin), MaxAddressLen)
 }
--- a/core/inner/client.go
+++ b/core/inner/client.go
@@ -17,78 +17,80 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Default limits of a client.
+// Default timeouts and limits of a client.
 const (
 	DefaultDialTimeout = time.Second
 	DefaultCallTimeout = 1500 * time.Millisecond
-	DefaultIdle        = time.Minute
-	// DefaultConnsPerPeer lets an order ask pass while a report is under way.
+	DefaultIdleTimeout = time.Minute
+	// DefaultConnsPerPeer is 2, so that an order request is not blocked while a
+	// report is in progress.
 	DefaultConnsPerPeer = 2
 )
 
-// Peer names a daemon to call. An empty VM admits any daemon of the fleet at
-// the address; it is used for seed addresses.
+// Peer identifies a daemon to call. If VM is empty, any daemon of the fleet is
+// accepted at the address; this is used for seed addresses, whose VM ids are not
+// known yet.
 type Peer struct {
 	VM      fleet.VMID
 	Address string
 }
 
-// Client calls peers and keeps a pool of connections to each.
+// Client calls peers. It keeps a connection pool for each.
 type Client struct {
-	tls         *tls.Config
-	dial        func(ctx context.Context, address string) (net.Conn, error)
-	dialTimeout time.Duration
-	callTimeout time.Duration
-	idle        time.Duration
-	conns       int
-	stop        chan struct{}
-	done        chan struct{}
+	tls          *tls.Config
+	dial         func(ctx context.Context, address string) (net.Conn, error)
+	dialTimeout  time.Duration
+	callTimeout  time.Duration
+	idleTimeout  time.Duration
+	connsPerPeer int
+	stop         chan struct{}
+	done         chan struct{}
 
 	mu     sync.Mutex
 	closed bool
 	pools  map[Peer]*pool[*drpcconn.Conn]
 }
 
-// ClientOption changes a client.
+// ClientOption configures a client.
 type ClientOption func(*Client)
 
-// WithDial replaces TCP, for example by an in-memory network.
+// WithDial sets the dial function, for example to use an in-memory network in place of TCP.
 func WithDial(dial func(ctx context.Context, address string) (net.Conn, error)) ClientOption {
 	return func(c *Client) { c.dial = dial }
 }
 
-// WithDialTimeout bounds the dial with its TLS handshake.
+// WithDialTimeout limits the time to dial, including the TLS handshake.
 func WithDialTimeout(d time.Duration) ClientOption {
 	return func(c *Client) { c.dialTimeout = d }
 }
 
-// WithCallTimeout bounds a call with its dial.
+// WithCallTimeout limits the time of a call, including a dial if one is needed.
 func WithCallTimeout(d time.Duration) ClientOption {
 	return func(c *Client) { c.callTimeout = d }
 }
 
-// WithIdle sets the time after which an unused connection is closed.
-func WithIdle(d time.Duration) ClientOption {
-	return func(c *Client) { c.idle = d }
+// WithIdleTimeout sets the time after which an unused connection is closed.
+func WithIdleTimeout(d time.Duration) ClientOption {
+	return func(c *Client) { c.idleTimeout = d }
 }
 
-// WithConnsPerPeer bounds the calls to one peer at once.
+// WithConnsPerPeer limits the connections to one peer and so its concurrent calls.
 func WithConnsPerPeer(n int) ClientOption {
-	return func(c *Client) { c.conns = n }
+	return func(c *Client) { c.connsPerPeer = n }
 }
 
-// NewClient returns a client; Close ends it.
+// NewClient returns a client. The caller must Close it.
 func NewClient(id Identity, opts ...ClientOption) *Client {
 	c := &Client{
-		tls:         id.clientTLS(),
-		dial:        dialTCP,
-		dialTimeout: DefaultDialTimeout,
-		callTimeout: DefaultCallTimeout,
-		idle:        DefaultIdle,
-		conns:       DefaultConnsPerPeer,
-		stop:        make(chan struct{}),
-		done:        make(chan struct{}),
-		pools:       make(map[Peer]*pool[*drpcconn.Conn]),
+		tls:          id.clientTLS(),
+		dial:         dialTCP,
+		dialTimeout:  DefaultDialTimeout,
+		callTimeout:  DefaultCallTimeout,
+		idleTimeout:  DefaultIdleTimeout,
+		connsPerPeer: DefaultConnsPerPeer,
+		stop:         make(chan struct{}),
+		done:         make(chan struct{}),
+		pools:        make(map[Peer]*pool[*drpcconn.Conn]),
 	}
 	for _, o := range opts {
 		o(c)
@@ -102,46 +104,49 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// Report sends a report.
+// Report sends a report to a co-carrier.
 func (c *Client) Report(ctx context.Context, to Peer, m *ReportMsg) (*ReportReplyMsg, error) {
 	return call[ReportMsg, ReportReplyMsg](ctx, c, to, rpcReport, m)
 }
 
-// OrderAsk asks the home of an order key.
+// OrderAsk asks the daemon that holds the ledger of an order key for the state of
+// the order, or for the right to run it.
 func (c *Client) OrderAsk(ctx context.Context, to Peer, m *OrderAskMsg) (*OrderReplyMsg, error) {
-	return call[OrderAskMsg, OrderReplyMsg](ctx, c, to, rpcOrderAsk, m)
+	return call[OrderAskMsg, OrderReplyMsg](ctx, c, to, rpcOrder, m)
 }
 
-// Ledger hands over a part of a ledger.
+// Ledger sends a part of an order ledger.
 func (c *Client) Ledger(ctx context.Context, to Peer, m *LedgerMsg) (*LedgerReplyMsg, error) {
 	return call[LedgerMsg, LedgerReplyMsg](ctx, c, to, rpcLedger, m)
 }
 
-// RevisionAsk asks for settings.
+// RevisionAsk asks for the peer's revision of the settings.
 func (c *Client) RevisionAsk(ctx context.Context, to Peer, m *RevisionAskMsg) (*RevisionReplyMsg, error) {
-	return call[RevisionAskMsg, RevisionReplyMsg](ctx, c, to, rpcRevisionAsk, m)
+	return call[RevisionAskMsg, RevisionReplyMsg](ctx, c, to, rpcRevision, m)
 }
 
 // VMsAsk asks for the VMs that the peer knows.
 func (c *Client) VMsAsk(ctx context.Context, to Peer, m *VMsAskMsg) (*VMsReplyMsg, error) {
-	return call[VMsAskMsg, VMsReplyMsg](ctx, c, to, rpcVMsAsk, m)
+	return call[VMsAskMsg, VMsReplyMsg](ctx, c, to, rpcVMs, m)
 }
 
-// StateAsk asks for a state dump.
+// StateAsk asks for the peer's state dump.
 func (c *Client) StateAsk(ctx context.Context, to Peer, m *StateAskMsg) (*StateReplyMsg, error) {
-	return call[StateAskMsg, StateReplyMsg](ctx, c, to, rpcStateAsk, m)
+	return call[StateAskMsg, StateReplyMsg](ctx, c, to, rpcState, m)
 }
 
-// call fails with fault.PeerUnreachable, or with the kind that the peer's
-// handler returned. A call on a connection that the peer has closed meanwhile
-// is repeated once on a new one: all calls of the protocol may be repeated.
+// call sends a request and waits for the reply. It fails with
+// fault.PeerUnreachable, or with the kind of error that the peer's handler
+// returned. If a pooled connection turns out to be broken, the call is retried on
+// another pooled connection or, finally, on a new one. This is safe because all
+// calls of the protocol may be repeated.
 func call[In, Out any](ctx context.Context, c *Client, to Peer, rpc string, in *In) (*Out, error) {
-	if err := check(in); err != nil {
+	if err := validateMessage(in); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
-	p, err := c.pool(to)
+	p, err := c.poolFor(to)
 	if err != nil {
 		return nil, err
 	}
@@ -168,9 +173,9 @@
 	}
 }
 
-// remoteFault returns the error that a handler or codec returned, or nil if err
-// is one of the connection. The kind travels by name, because the numbers
-// differ between versions.
+// remoteFault returns the error that the peer's handler or a codec returned, or
+// nil if err is an error of the connection. The kind is transmitted by name,
+// because its number may differ between versions.
 func remoteFault(err error) *fault.Error {
 	if fault.Is(err, fault.MessageInvalid) {
 		return fault.From(err)
@@ -187,7 +192,8 @@
 	return nil
 }
 
-func (c *Client) pool(to Peer) (*pool[*drpcconn.Conn], error) {
+// poolFor returns the connection pool of the peer and creates it if necessary.
+func (c *Client) poolFor(to Peer) (*pool[*drpcconn.Conn], error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -196,7 +202,7 @@
 	p, ok := c.pools[to]
 	if !ok {
 		dial := func(ctx context.Context) (*drpcconn.Conn, error) { return c.connect(ctx, to) }
-		p = newPool(c.conns, dial, isClosed, closeConn)
+		p = newPool(c.connsPerPeer, dial, isClosed, closeConn)
 		c.pools[to] = p
 	}
 	return p, nil
@@ -215,6 +221,7 @@
 	_ = conn.Close()
 }
 
+// connect dials the peer and verifies the VM id in its certificate.
 func (c *Client) connect(ctx context.Context, to Peer) (*drpcconn.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.dialTimeout)
 	defer cancel()
@@ -225,20 +232,20 @@
 	tc := tls.Client(raw, c.tls)
 	vm, err := handshake(ctx, tc, c.dialTimeout)
 	if err == nil && to.VM != "" && vm != to.VM {
-		// The address of a removed VM may be given to a new one.
+		// The address of a removed VM may have been reassigned to a new one.
 		err = fault.New(fault.Unauthenticated, "peer is VM %s", vm)
 	}
 	if err != nil {
 		_ = raw.Close()
 		return nil, fault.Wrap(err, fault.PeerUnreachable, "connect to %s at %s", to.VM, to.Address)
 	}
-	return drpcconn.NewWithOptions(&joinedConn{Conn: transport{tc}}, drpcconn.Options{
-		Manager: drpcmanager.Options{Reader: drpcwire.ReaderOptions{MaximumBufferSize: MaxReply}},
+	return drpcconn.NewWithOptions(&coalescingConn{Conn: fastCloseConn{tc}}, drpcconn.Options{
+		Manager: drpcmanager.Options{Reader: drpcwire.ReaderOptions{MaximumBufferSize: MaxReplyBytes}},
 	}), nil
 }
 
-// Close closes all idle connections and refuses further calls; connections in
-// use close when their calls end.
+// Close closes all idle connections and makes further calls fail. Connections in
+// use are closed when their calls end.
 func (c *Client) Close() {
 	c.mu.Lock()
 	closed := c.closed
@@ -250,29 +257,31 @@
 	<-c.done
 }
 
-// loop closes idle connections.
+// loop closes connections that have been idle for too long, until Close is called.
 func (c *Client) loop() {
 	defer close(c.done)
-	ticker := time.NewTicker(c.idle / 2)
+	ticker := time.NewTicker(c.idleTimeout / 2)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			c.sweep(false)
+			c.closeIdle(false)
 		case <-c.stop:
-			c.sweep(true)
+			c.closeIdle(true)
 			return
 		}
 	}
 }
 
-func (c *Client) sweep(last bool) {
-	before := time.Now().Add(-c.idle)
+// closeIdle closes idle connections, those that reached the idle timeout or all,
+// and removes pools that are no longer used.
+func (c *Client) closeIdle(all bool) {
+	before := time.Now().Add(-c.idleTimeout)
 	c.mu.Lock()
 	pools := maps.Clone(c.pools)
 	c.mu.Unlock()
 	for peer, p := range pools {
-		if p.sweep(before, last) {
+		if p.closeIdle(before, all) {
 			c.mu.Lock()
 			delete(c.pools, peer)
 			c.mu.Unlock()
--- a/core/inner/client_test.go
+++ b/core/inner/client_test.go
@@ -19,70 +19,70 @@
 	"wisteriarelay.example/core/order"
 )
 
-// fixture is a server "b" and a client "a" on an in-memory network.
+// fixture is a server on VM "b" and a client on VM "a", connected by an in-memory network.
 type fixture struct {
-	g         *gomega.WithT
-	net       *pipeNet
-	authority *Authority
-	client    *Client
-	peer      Peer
-	end       context.CancelFunc
+	g          *gomega.WithT
+	net        *pipeNet
+	authority  *Authority
+	client     *Client
+	peer       Peer
+	stopServer context.CancelFunc
 }
 
 func newFixture(t *testing.T, h Handlers, opts ...ClientOption) *fixture {
-	r := &fixture{g: gomega.NewWithT(t), net: newPipeNet(), peer: Peer{VM: "b", Address: "b:1"}}
+	f := &fixture{g: gomega.NewWithT(t), net: newPipeNet(), peer: Peer{VM: "b", Address: "b:1"}}
 	var err error
-	r.authority, err = NewAuthority()
-	r.g.Expect(err).NotTo(gomega.HaveOccurred())
-	r.serve(t, h)
-	r.client = NewClient(r.issue(r.authority, "a"), append(opts, WithDial(r.net.dial))...)
-	t.Cleanup(r.client.Close)
-	return r
+	f.authority, err = NewAuthority()
+	f.g.Expect(err).NotTo(gomega.HaveOccurred())
+	f.serve(t, h)
+	f.client = NewClient(f.issue(f.authority, "a"), append(opts, WithDial(f.net.dial))...)
+	t.Cleanup(f.client.Close)
+	return f
 }
 
-func (r *fixture) issue(a *Authority, vm fleet.VMID) Identity {
+func (f *fixture) issue(a *Authority, vm fleet.VMID) Identity {
 	id, err := a.Issue(vm)
-	r.g.Expect(err).NotTo(gomega.HaveOccurred())
+	f.g.Expect(err).NotTo(gomega.HaveOccurred())
 	return id
 }
 
-func (r *fixture) serve(t *testing.T, h Handlers, opts ...ServerOption) {
-	s, err := NewServer(r.issue(r.authority, "b"), h, opts...)
-	r.g.Expect(err).NotTo(gomega.HaveOccurred())
+func (f *fixture) serve(t *testing.T, h Handlers, opts ...ServerOption) {
+	s, err := NewServer(f.issue(f.authority, "b"), h, opts...)
+	f.g.Expect(err).NotTo(gomega.HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
-	lis := r.net.listen("b:1")
+	lis := f.net.listen("b:1")
 	var running sync.WaitGroup
-	r.end = func() {
+	f.stopServer = func() {
 		cancel()
 		running.Wait()
 	}
-	t.Cleanup(r.end)
+	t.Cleanup(f.stopServer)
 	running.Go(func() { _ = s.Serve(ctx, lis) })
 }
 
 // mustReport sends a report that has to succeed.
-func (r *fixture) mustReport() *ReportReplyMsg {
-	reply, err := r.report()
-	r.g.Expect(err).NotTo(gomega.HaveOccurred())
+func (f *fixture) mustReport() *ReportReplyMsg {
+	reply, err := f.report()
+	f.g.Expect(err).NotTo(gomega.HaveOccurred())
 	return reply
 }
 
-func (r *fixture) report() (*ReportReplyMsg, error) {
-	return r.client.Report(context.Background(), r.peer, makeReport(1, 1))
+func (f *fixture) report() (*ReportReplyMsg, error) {
+	return f.client.Report(context.Background(), f.peer, makeReport(1, 1))
 }
 
-func (r *fixture) expectFault(err error, k fault.Kind) {
-	r.g.Expect(fault.Is(err, k)).To(gomega.BeTrue(), "%v", err)
+func (f *fixture) expectFault(err error, k fault.Kind) {
+	f.g.Expect(fault.Is(err, k)).To(gomega.BeTrue(), "%v", err)
 }
 
 func answerReport(context.Context, fleet.VMID, *ReportMsg) (*ReportReplyMsg, error) {
 	return &ReportReplyMsg{Run: 2}, nil
 }
 
-func TestCallsReachTheirHandlers(t *testing.T) {
+func TestCallsReachHandlers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var from fleet.VMID
-		r := newFixture(t, Handlers{
+		f := newFixture(t, Handlers{
 			Report: func(_ context.Context, vm fleet.VMID, m *ReportMsg) (*ReportReplyMsg, error) {
 				from = vm
 				return &ReportReplyMsg{Run: 2, Revision: m.Revision + 1}, nil
@@ -94,89 +94,89 @@
 				return &LedgerReplyMsg{Kept: uint32(len(m.Records))}, nil
 			},
 			RevisionAsk: func(context.Context, fleet.VMID, *RevisionAskMsg) (*RevisionReplyMsg, error) {
-				return &RevisionReplyMsg{Revision: 1, Snapshot: make([]byte, MaxSnapshot)}, nil
+				return &RevisionReplyMsg{Revision: 1, Snapshot: make([]byte, MaxSnapshotBytes)}, nil
 			},
 		})
 		ctx := context.Background()
-		reply := r.mustReport()
-		r.g.Expect(reply.Revision).To(gomega.Equal(uint64(4_001)))
-		r.g.Expect(from).To(gomega.Equal(fleet.VMID("a")))
-		_, err := r.client.OrderAsk(ctx, r.peer, &OrderAskMsg{Ledger: fleet.IncarnationOf("b", 1), Epoch: 1, Key: order.Hash{1}})
-		r.expectFault(err, fault.OrderClosed)
-		r.g.Expect(fault.From(err).Detail).To(gomega.Equal("closed: for good"))
-		kept, err := r.client.Ledger(ctx, r.peer, ledgerPart(1))
-		r.g.Expect(err).NotTo(gomega.HaveOccurred())
-		r.g.Expect(kept.Kept).To(gomega.Equal(uint32(1)))
-		revision, err := r.client.RevisionAsk(ctx, r.peer, &RevisionAskMsg{})
-		r.g.Expect(err).NotTo(gomega.HaveOccurred())
-		r.g.Expect(revision.Snapshot).To(gomega.HaveLen(MaxSnapshot))
-		_, err = r.client.StateAsk(ctx, r.peer, &StateAskMsg{})
-		r.expectFault(err, fault.NotReady)
-		r.g.Expect(r.net.dials.Load()).To(gomega.BeEquivalentTo(1), "all calls, also refused ones, share one connection")
+		reply := f.mustReport()
+		f.g.Expect(reply.Revision).To(gomega.Equal(uint64(4_001)))
+		f.g.Expect(from).To(gomega.Equal(fleet.VMID("a")))
+		_, err := f.client.OrderAsk(ctx, f.peer, &OrderAskMsg{Ledger: fleet.IncarnationOf("b", 1), Epoch: 1, Key: order.Hash{1}})
+		f.expectFault(err, fault.OrderClosed)
+		f.g.Expect(fault.From(err).Detail).To(gomega.Equal("closed: for good"))
+		kept, err := f.client.Ledger(ctx, f.peer, ledgerPart(1))
+		f.g.Expect(err).NotTo(gomega.HaveOccurred())
+		f.g.Expect(kept.Kept).To(gomega.Equal(uint32(1)))
+		revision, err := f.client.RevisionAsk(ctx, f.peer, &RevisionAskMsg{})
+		f.g.Expect(err).NotTo(gomega.HaveOccurred())
+		f.g.Expect(revision.Snapshot).To(gomega.HaveLen(MaxSnapshotBytes))
+		_, err = f.client.StateAsk(ctx, f.peer, &StateAskMsg{})
+		f.expectFault(err, fault.NotReady)
+		f.g.Expect(f.net.dials.Load()).To(gomega.BeEquivalentTo(1), "all calls share one connection, also failed ones")
 	})
 }
 
-// Guards against a peer without a certificate of the fleet's authority, and
-// against other certificates of the same authority.
-func TestUnknownPeersAreRefused(t *testing.T) {
+// Guards against accepting a peer whose certificate is missing, was issued by
+// another authority, or was issued by the fleet's authority for another purpose.
+func TestUnauthenticatedPeersAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var calls atomic.Int32
-		r := newFixture(t, Handlers{Report: func(ctx context.Context, vm fleet.VMID, m *ReportMsg) (*ReportReplyMsg, error) {
+		f := newFixture(t, Handlers{Report: func(ctx context.Context, vm fleet.VMID, m *ReportMsg) (*ReportReplyMsg, error) {
 			calls.Add(1)
 			return answerReport(ctx, vm, m)
 		}})
 		other, err := NewAuthority()
-		r.g.Expect(err).NotTo(gomega.HaveOccurred())
-		foreign := r.issue(other, "a")
-		foreign.Authority = r.issue(r.authority, "x").Authority // its holder trusts the fleet
+		f.g.Expect(err).NotTo(gomega.HaveOccurred())
+		foreign := f.issue(other, "a")
+		foreign.Authority = f.issue(f.authority, "x").Authority // the client accepts the server, but not the reverse
 		none := foreign
 		none.Certificate = tls.Certificate{}
-		for _, id := range []Identity{foreign, none, r.issue(other, "a")} {
-			c := NewClient(id, WithDial(r.net.dial))
-			_, err := c.Report(context.Background(), r.peer, makeReport(1, 1))
-			r.expectFault(err, fault.PeerUnreachable)
+		for _, id := range []Identity{foreign, none, f.issue(other, "a")} {
+			c := NewClient(id, WithDial(f.net.dial))
+			_, err := c.Report(context.Background(), f.peer, makeReport(1, 1))
+			f.expectFault(err, fault.PeerUnreachable)
 			c.Close()
 		}
-		_, err = r.authority.issue("operator", "wisteriactl")
-		r.expectFault(err, fault.Unauthenticated)
-		r.peer.VM = "c" // another VM took over the address
-		_, err = r.report()
-		r.expectFault(err, fault.PeerUnreachable)
-		r.g.Expect(calls.Load()).To(gomega.BeZero())
+		_, err = f.authority.issue("operator", "wisteriactl")
+		f.expectFault(err, fault.Unauthenticated)
+		f.peer.VM = "c" // the address now belongs to another VM
+		_, err = f.report()
+		f.expectFault(err, fault.PeerUnreachable)
+		f.g.Expect(calls.Load()).To(gomega.BeZero())
 	})
 }
 
-// Guards against raw bytes of an admitted peer that are too large or no message:
-// the first ends its connection, the second its call only.
-func TestOversizedAndMalformedCallsAreRefused(t *testing.T) {
+// Guards against invalid bytes from an authenticated peer. A malformed message must
+// fail only its call; an oversized one must close the connection.
+func TestOversizedAndMalformedRequestsAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newFixture(t, Handlers{Report: answerReport})
-		conn, err := r.client.connect(context.Background(), r.peer)
-		r.g.Expect(err).NotTo(gomega.HaveOccurred())
+		f := newFixture(t, Handlers{Report: answerReport})
+		conn, err := f.client.connect(context.Background(), f.peer)
+		f.g.Expect(err).NotTo(gomega.HaveOccurred())
 		defer conn.Close()
 		err = conn.Invoke(context.Background(), rpcReport, rawCodec{}, []byte{0xa1, 0x01}, new(ReportReplyMsg))
-		r.expectFault(remoteFault(err), fault.MessageInvalid)
-		err = conn.Invoke(context.Background(), rpcReport, rawCodec{}, make([]byte, MaxAsk+1), new(ReportReplyMsg))
-		r.g.Expect(err).To(gomega.HaveOccurred())
+		f.expectFault(remoteFault(err), fault.MessageInvalid)
+		err = conn.Invoke(context.Background(), rpcReport, rawCodec{}, make([]byte, MaxRequestBytes+1), new(ReportReplyMsg))
+		f.g.Expect(err).To(gomega.HaveOccurred())
 		synctest.Wait()
-		r.g.Expect(isClosed(conn)).To(gomega.BeTrue())
-		r.mustReport()
+		f.g.Expect(isClosed(conn)).To(gomega.BeTrue())
+		f.mustReport()
 	})
 }
 
-// rawCodec sends bytes as they are.
+// rawCodec sends bytes without encoding them.
 type rawCodec struct{ Codec }
 
 func (rawCodec) Marshal(msg drpc.Message) ([]byte, error) { return msg.([]byte), nil }
 
 func (rawCodec) MarshalAppend(_ []byte, msg drpc.Message) ([]byte, error) { return msg.([]byte), nil }
 
-// Guards against calls that hang on a paused peer, and against its late reply
-// on a reused connection.
+// Guards against calls that hang on a paused peer, and against reading its late
+// reply as the reply to the next call on the same connection.
 func TestCallToPausedPeerTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var run atomic.Uint64
-		r := newFixture(t, Handlers{Report: func(ctx context.Context, _ fleet.VMID, _ *ReportMsg) (*ReportReplyMsg, error) {
+		f := newFixture(t, Handlers{Report: func(ctx context.Context, _ fleet.VMID, _ *ReportMsg) (*ReportReplyMsg, error) {
 			n := run.Add(1)
 			if n == 1 {
 				time.Sleep(5 * time.Second)
@@ -184,114 +184,115 @@
 			return &ReportReplyMsg{Run: n}, nil
 		}})
 		start := time.Now()
-		_, err := r.report()
-		r.expectFault(err, fault.PeerUnreachable)
-		r.g.Expect(time.Since(start)).To(gomega.Equal(DefaultCallTimeout))
-		reply := r.mustReport()
-		r.g.Expect(reply.Run).To(gomega.Equal(uint64(2)))
+		_, err := f.report()
+		f.expectFault(err, fault.PeerUnreachable)
+		f.g.Expect(time.Since(start)).To(gomega.Equal(DefaultCallTimeout))
+		reply := f.mustReport()
+		f.g.Expect(reply.Run).To(gomega.Equal(uint64(2)))
 		time.Sleep(5 * time.Second)
 	})
 }
 
-// Guards against an unauthenticated peer that holds a connection without a handshake.
-func TestSilentConnectionIsClosed(t *testing.T) {
+// Guards against an unauthenticated peer that occupies a connection by never
+// starting the TLS handshake.
+func TestConnectionWithoutHandshakeIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newFixture(t, Handlers{})
-		conn, err := r.net.dial(context.Background(), "b:1")
-		r.g.Expect(err).NotTo(gomega.HaveOccurred())
+		f := newFixture(t, Handlers{})
+		conn, err := f.net.dial(context.Background(), "b:1")
+		f.g.Expect(err).NotTo(gomega.HaveOccurred())
 		start := time.Now()
 		_, err = conn.Read(make([]byte, 1))
-		r.g.Expect(err).To(gomega.Equal(io.EOF))
-		r.g.Expect(time.Since(start)).To(gomega.Equal(handshakeTimeout))
+		f.g.Expect(err).To(gomega.Equal(io.EOF))
+		f.g.Expect(time.Since(start)).To(gomega.Equal(handshakeTimeout))
 	})
 }
 
-func TestConnectionsAreBounded(t *testing.T) {
+func TestConnectionsAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newFixture(t, Handlers{Report: answerReport})
-		r.end()
-		r.serve(t, Handlers{Report: answerReport}, WithMaxConns(1))
-		r.mustReport()
-		conn, err := r.net.dial(context.Background(), "b:1")
-		r.g.Expect(err).NotTo(gomega.HaveOccurred())
+		f := newFixture(t, Handlers{Report: answerReport})
+		f.stopServer()
+		f.serve(t, Handlers{Report: answerReport}, WithMaxConns(1))
+		f.mustReport()
+		conn, err := f.net.dial(context.Background(), "b:1")
+		f.g.Expect(err).NotTo(gomega.HaveOccurred())
 		_, err = conn.Read(make([]byte, 1))
-		r.g.Expect(err).To(gomega.Equal(io.EOF))
+		f.g.Expect(err).To(gomega.Equal(io.EOF))
 	})
 }
 
-// Guards against a dial storm on a dead peer, and against a peer that stays
-// away long after its return.
+// Guards against frequent dials to a peer that is down, and against a long delay
+// before it is called again once it is back.
 func TestDialsBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newFixture(t, Handlers{Report: answerReport})
-		r.end()
+		f := newFixture(t, Handlers{Report: answerReport})
+		f.stopServer()
 		for range 600 {
-			_, err := r.report()
-			r.expectFault(err, fault.PeerUnreachable)
+			_, err := f.report()
+			f.expectFault(err, fault.PeerUnreachable)
 			time.Sleep(100 * time.Millisecond)
 		}
-		// In a minute the pauses are 250 ms at first and 2 to 6 s at the end.
-		r.g.Expect(r.net.dials.Load()).To(gomega.BeNumerically("~", 20, 10))
-		r.serve(t, Handlers{Report: answerReport})
+		// Within this minute the delay between dials grows from 250 ms to 2 to 6 s.
+		f.g.Expect(f.net.dials.Load()).To(gomega.BeNumerically("~", 20, 10))
+		f.serve(t, Handlers{Report: answerReport})
 		start := time.Now()
 		for {
-			if _, err := r.report(); err == nil {
+			if _, err := f.report(); err == nil {
 				break
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		r.g.Expect(time.Since(start)).To(gomega.BeNumerically("<=", retryMax*3/2+100*time.Millisecond))
+		f.g.Expect(time.Since(start)).To(gomega.BeNumerically("<=", dialRetryMax*3/2+100*time.Millisecond))
 	})
 }
 
-// Guards against a failed call when the peer has restarted since the last one.
+// Guards against a failed call on a pooled connection that was broken by a restart
+// of the peer.
 func TestRestartedPeerIsCalledOnNewConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newFixture(t, Handlers{Report: answerReport})
+		f := newFixture(t, Handlers{Report: answerReport})
 		for range 3 {
-			r.mustReport()
-			r.end()
-			r.serve(t, Handlers{Report: answerReport})
+			f.mustReport()
+			f.stopServer()
+			f.serve(t, Handlers{Report: answerReport})
 		}
-		r.g.Expect(r.net.dials.Load()).To(gomega.BeEquivalentTo(3))
+		f.g.Expect(f.net.dials.Load()).To(gomega.BeEquivalentTo(3))
 	})
 }
 
 func TestIdleConnectionsClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newFixture(t, Handlers{Report: answerReport}, WithIdle(10*time.Second))
-		r.mustReport()
+		f := newFixture(t, Handlers{Report: answerReport}, WithIdleTimeout(10*time.Second))
+		f.mustReport()
 		time.Sleep(9 * time.Second)
-		r.mustReport()
-		r.g.Expect(r.net.dials.Load()).To(gomega.BeEquivalentTo(1))
+		f.mustReport()
+		f.g.Expect(f.net.dials.Load()).To(gomega.BeEquivalentTo(1))
 		time.Sleep(16 * time.Second)
 		synctest.Wait()
-		r.client.mu.Lock()
-		r.g.Expect(r.client.pools).To(gomega.BeEmpty())
-		r.client.mu.Unlock()
-		r.mustReport()
-		r.g.Expect(r.net.dials.Load()).To(gomega.BeEquivalentTo(2))
-		r.client.Close()
-		_, err := r.report()
-		r.expectFault(err, fault.PeerUnreachable)
+		f.client.mu.Lock()
+		f.g.Expect(f.client.pools).To(gomega.BeEmpty())
+		f.client.mu.Unlock()
+		f.mustReport()
+		f.g.Expect(f.net.dials.Load()).To(gomega.BeEquivalentTo(2))
+		f.client.Close()
+		_, err := f.report()
+		f.expectFault(err, fault.PeerUnreachable)
 	})
 }
 
-// Guards against a connection that outlives its client because a call used it
-// while the client closed.
-func TestEndedPoolKeepsNoConnection(t *testing.T) {
+// Guards against leaking a connection that was in use when the client was closed.
+func TestClosedPoolKeepsNoConnection(t *testing.T) {
 	g, closed := gomega.NewWithT(t), 0
 	dial := func(context.Context) (int, error) { return 7, nil }
 	p := newPool(1, dial, func(int) bool { return false }, func(c int) { closed += c })
 	conn, fresh, err := p.get(t.Context())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(fresh).To(gomega.BeTrue())
-	g.Expect(p.sweep(time.Now(), true)).To(gomega.BeTrue())
+	g.Expect(p.closeIdle(time.Now(), true)).To(gomega.BeTrue())
 	p.put(conn, true)
 	g.Expect(closed).To(gomega.Equal(7))
 }
 
-// countedConn counts what a client writes and reads.
+// countedConn counts the bytes that a client writes and reads.
 type countedConn struct {
 	net.Conn
 	sent, received *atomic.Int64
@@ -309,8 +310,8 @@
 	return n, err
 }
 
-// BenchmarkCall measures a report of the planning size over TLS on loopback,
-// with the bytes of TLS and drpc but without TCP/IP headers.
+// BenchmarkCall measures a call with a report of the planned size over TLS on the
+// loopback interface. The bytes include TLS and drpc but no TCP/IP headers.
 func BenchmarkCall(b *testing.B) {
 	authority, err := NewAuthority()
 	if err != nil {
--- a/core/inner/codec.go
+++ b/core/inner/codec.go
@@ -9,13 +9,13 @@
 	"wisteriarelay.example/core/fault"
 )
 
-// maxNesting is the depth of a report with its services and their rows, with
-// room for fields that later versions add.
+// maxNesting limits the depth of nested CBOR arrays and maps. It is deeper than a
+// report with its services and their rows, so that later versions can add fields.
 const maxNesting = 8
 
 var (
 	encMode = must(cbor.EncOptions{}.UserBufferEncMode())
-	// Unknown keys are skipped, because peers of a later version may send them.
+	// Unknown keys are ignored, because peers of a later version may send them.
 	decMode = must(cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
 		MaxNestedLevels:  maxNesting,
@@ -28,64 +28,65 @@
 
 func must[T any](v T, err error) T {
 	if err != nil {
-		panic(err) // the options above are constant, so that each test would fail
+		panic(err) // the options above are constant, so an error would fail every test
 	}
 	return v
 }
 
-// Codec is the drpc.Encoding of the inner protocol.
+// Codec implements drpc.Encoding for the messages of the inner protocol.
 type Codec struct{}
 
-// Marshal returns the encoded message; it fails with fault.MessageInvalid if
-// the message exceeds a bound.
+// Marshal validates and encodes a message. It fails with fault.MessageInvalid if
+// the message is invalid or exceeds a size limit.
 func (c Codec) Marshal(msg drpc.Message) ([]byte, error) {
 	return c.MarshalAppend(nil, msg)
 }
 
-// MarshalAppend appends the encoded message to buf; drpc calls it to reuse the
-// buffer of a connection.
+// MarshalAppend is like Marshal, but appends the encoded message to buf. drpc calls
+// it to reuse the buffer of a connection.
 func (Codec) MarshalAppend(buf []byte, msg drpc.Message) ([]byte, error) {
-	if err := check(msg); err != nil {
+	if err := validateMessage(msg); err != nil {
 		return nil, err
 	}
 	b := bytes.NewBuffer(buf)
 	if err := encMode.MarshalToBuffer(msg, b); err != nil {
 		return nil, fault.Wrap(err, fault.MessageInvalid, "message cannot be encoded")
 	}
-	if limit := maxEncoded(msg); b.Len()-len(buf) > limit {
+	if limit := maxEncodedSize(msg); b.Len()-len(buf) > limit {
 		return nil, fault.New(fault.MessageInvalid, "message of %d bytes exceeds %d", b.Len()-len(buf), limit)
 	}
 	return b.Bytes(), nil
 }
 
-// Unmarshal decodes and checks a message; it fails with fault.MessageInvalid.
+// Unmarshal decodes and validates a message. It fails with fault.MessageInvalid.
 func (Codec) Unmarshal(buf []byte, msg drpc.Message) error {
-	if limit := maxEncoded(msg); len(buf) > limit {
+	if limit := maxEncodedSize(msg); len(buf) > limit {
 		return fault.New(fault.MessageInvalid, "message of %d bytes exceeds %d", len(buf), limit)
 	}
 	if err := decMode.Unmarshal(buf, msg); err != nil {
 		return fault.Wrap(err, fault.MessageInvalid, "message cannot be decoded")
 	}
-	return check(msg)
+	return validateMessage(msg)
 }
 
-// maxEncoded returns the bound of the encoded message. Only replies with
-// settings or dumps may exceed MaxAsk.
-func maxEncoded(msg drpc.Message) int {
+// maxEncodedSize returns the size limit of the encoded message. Only replies with
+// settings or state dumps may exceed MaxRequestBytes.
+func maxEncodedSize(msg drpc.Message) int {
 	switch msg.(type) {
 	case *RevisionReplyMsg, *StateReplyMsg:
-		return MaxReply
+		return MaxReplyBytes
 	default:
-		return MaxAsk
+		return MaxRequestBytes
 	}
 }
 
-func check(msg drpc.Message) error {
+// validateMessage validates a message of any type of the protocol.
+func validateMessage(msg drpc.Message) error {
 	switch m := msg.(type) {
 	case *ReportMsg:
-		return m.Check()
+		return m.Validate()
 	case *ReportReplyMsg:
-		return m.Check()
+		return m.Validate()
 	case *OrderAskMsg:
 		return m.Validate()
 	case *OrderReplyMsg:
@@ -93,19 +94,19 @@
 	case *LedgerMsg:
 		return m.Validate()
 	case *LedgerReplyMsg:
-		return m.Check()
+		return m.Validate()
 	case *RevisionAskMsg:
 		return nil
 	case *RevisionReplyMsg:
 		return m.Check()
 	case *VMsAskMsg:
-		return m.Check()
+		return m.Validate()
 	case *VMsReplyMsg:
-		return m.Check()
+		return m.Validate()
 	case *StateAskMsg:
-		return m.Check()
+		return m.Validate()
 	case *StateReplyMsg:
-		return m.Check()
+		return m.Validate()
 	default:
 		return fault.New(fault.MessageInvalid, "%T is not a message of the inner protocol", msg)
 	}
--- a/core/inner/fuzz_test.go
+++ b/core/inner/fuzz_test.go
@@ -9,8 +9,8 @@
 	"storj.io/drpc"
 )
 
-// fuzzDecode checks that any bytes are either refused or decode to a message
-// that encodes and decodes again.
+// fuzzDecode checks that any input either fails to decode or yields a message that
+// can be encoded and decoded again.
 func fuzzDecode(f *testing.F, kind drpc.Message) {
 	for _, m := range samples() {
 		if reflect.TypeOf(m) == reflect.TypeOf(kind) {
@@ -46,8 +46,8 @@
 func FuzzStateAsk(f *testing.F)      { fuzzDecode(f, new(StateAskMsg)) }
 func FuzzStateReply(f *testing.F)    { fuzzDecode(f, new(StateReplyMsg)) }
 
-// BenchmarkReport measures size and cost of a report with work on all targets;
-// 1 service with 27 targets is the planning size.
+// BenchmarkReport measures the size and the encoding cost of a report with requests
+// in flight at all targets. The planned size is 1 service with 27 targets.
 func BenchmarkReport(b *testing.B) {
 	for _, services := range []int{1, 2, 4, 8} {
 		for _, targets := range []int{10, 27, 40} {
--- a/core/inner/handlers.go
+++ b/core/inner/handlers.go
@@ -9,9 +9,10 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Handlers answers the calls of peers. from is the VM id in the peer's
-// certificate. A handler that is nil answers fault.NotReady. Errors of package
-// fault reach the caller with their kind and detail.
+// Handlers holds the functions that answer calls of peers, one for each RPC. from
+// is the VM id in the peer's certificate. Calls to a nil handler fail with
+// fault.NotReady. Errors of package fault reach the calling peer with their kind
+// and detail.
 type Handlers struct {
 	Report      func(ctx context.Context, from fleet.VMID, m *ReportMsg) (*ReportReplyMsg, error)
 	OrderAsk    func(ctx context.Context, from fleet.VMID, m *OrderAskMsg) (*OrderReplyMsg, error)
@@ -21,84 +22,86 @@
 	StateAsk    func(ctx context.Context, from fleet.VMID, m *StateAskMsg) (*StateReplyMsg, error)
 }
 
-// The names of the calls are short, because each report carries one.
+// Names of the RPCs on the wire. They are short, because each call transmits one.
 const (
-	rpcReport      = "report"
-	rpcOrderAsk    = "order"
-	rpcLedger      = "ledger"
-	rpcRevisionAsk = "revision"
-	rpcStateAsk    = "state"
-	rpcVMsAsk      = "vms"
+	rpcReport   = "report"
+	rpcOrder    = "order"
+	rpcLedger   = "ledger"
+	rpcRevision = "revision"
+	rpcState    = "state"
+	rpcVMs      = "vms"
 )
 
-// description lists the calls for the drpc mux.
-type description struct{}
+// rpcDescription implements drpc.Description, which lists the RPCs for the drpc mux.
+type rpcDescription struct{}
 
-const methodCount = 6
+const rpcCount = 6
 
-// NumMethods returns the number of calls.
-func (description) NumMethods() int {
-	return methodCount
+// NumMethods returns the number of RPCs.
+func (rpcDescription) NumMethods() int {
+	return rpcCount
 }
 
-// Method returns the call with the given number.
-func (description) Method(n int) (string, drpc.Encoding, drpc.Receiver, any, bool) {
+// Method returns the RPC with the given index.
+func (rpcDescription) Method(n int) (string, drpc.Encoding, drpc.Receiver, any, bool) {
 	switch n {
 	case 0:
-		return rpcReport, Codec{}, receiver((*Handlers).report), (*Handlers).report, true
+		return rpcReport, Codec{}, newReceiver((*Handlers).handleReport), (*Handlers).handleReport, true
 	case 1:
-		return rpcOrderAsk, Codec{}, receiver((*Handlers).orderAsk), (*Handlers).orderAsk, true
+		return rpcOrder, Codec{}, newReceiver((*Handlers).handleOrder), (*Handlers).handleOrder, true
 	case 2:
-		return rpcLedger, Codec{}, receiver((*Handlers).ledger), (*Handlers).ledger, true
+		return rpcLedger, Codec{}, newReceiver((*Handlers).handleLedger), (*Handlers).handleLedger, true
 	case 3:
-		return rpcRevisionAsk, Codec{}, receiver((*Handlers).revisionAsk), (*Handlers).revisionAsk, true
+		return rpcRevision, Codec{}, newReceiver((*Handlers).handleRevision), (*Handlers).handleRevision, true
 	case 4:
-		return rpcStateAsk, Codec{}, receiver((*Handlers).stateAsk), (*Handlers).stateAsk, true
+		return rpcState, Codec{}, newReceiver((*Handlers).handleState), (*Handlers).handleState, true
 	case 5:
-		return rpcVMsAsk, Codec{}, receiver((*Handlers).vmsAsk), (*Handlers).vmsAsk, true
+		return rpcVMs, Codec{}, newReceiver((*Handlers).handleVMs), (*Handlers).handleVMs, true
 	default:
 		return "", nil, nil, nil, false
 	}
 }
 
-// receiver adapts a typed call to the untyped form of drpc.
-func receiver[In, Out any](call func(*Handlers, context.Context, *In) (*Out, error)) drpc.Receiver {
+// newReceiver adapts a typed handler method to the untyped drpc.Receiver.
+func newReceiver[In, Out any](call func(*Handlers, context.Context, *In) (*Out, error)) drpc.Receiver {
 	return func(srv any, ctx context.Context, in, _ any) (drpc.Message, error) {
 		return call(srv.(*Handlers), ctx, in.(*In))
 	}
 }
 
-func (h *Handlers) report(ctx context.Context, m *ReportMsg) (*ReportReplyMsg, error) {
-	return handle(ctx, rpcReport, h.Report, m)
+func (h *Handlers) handleReport(ctx context.Context, m *ReportMsg) (*ReportReplyMsg, error) {
+	return callHandler(ctx, rpcReport, h.Report, m)
 }
 
-func (h *Handlers) orderAsk(ctx context.Context, m *OrderAskMsg) (*OrderReplyMsg, error) {
-	return handle(ctx, rpcOrderAsk, h.OrderAsk, m)
+func (h *Handlers) handleOrder(ctx context.Context, m *OrderAskMsg) (*OrderReplyMsg, error) {
+	return callHandler(ctx, rpcOrder, h.OrderAsk, m)
 }
 
-func (h *Handlers) ledger(ctx context.Context, m *LedgerMsg) (*LedgerReplyMsg, error) {
-	return handle(ctx, rpcLedger, h.Ledger, m)
+func (h *Handlers) handleLedger(ctx context.Context, m *LedgerMsg) (*LedgerReplyMsg, error) {
+	return callHandler(ctx, rpcLedger, h.Ledger, m)
 }
 
-func (h *Handlers) revisionAsk(ctx context.Context, m *RevisionAskMsg) (*RevisionReplyMsg, error) {
-	return handle(ctx, rpcRevisionAsk, h.RevisionAsk, m)
+func (h *Handlers) handleRevision(ctx context.Context, m *RevisionAskMsg) (*RevisionReplyMsg, error) {
+	return callHandler(ctx, rpcRevision, h.RevisionAsk, m)
 }
 
-func (h *Handlers) stateAsk(ctx context.Context, m *StateAskMsg) (*StateReplyMsg, error) {
-	return handle(ctx, rpcStateAsk, h.StateAsk, m)
+func (h *Handlers) handleState(ctx context.Context, m *StateAskMsg) (*StateReplyMsg, error) {
+	return callHandler(ctx, rpcState, h.StateAsk, m)
 }
 
-func (h *Handlers) vmsAsk(ctx context.Context, m *VMsAskMsg) (*VMsReplyMsg, error) {
-	return handle(ctx, rpcVMsAsk, h.VMsAsk, m)
+func (h *Handlers) handleVMs(ctx context.Context, m *VMsAskMsg) (*VMsReplyMsg, error) {
+	return callHandler(ctx, rpcVMs, h.VMsAsk, m)
 }
 
-type handler[In, Out any] func(context.Context, fleet.VMID, *In) (*Out, error)
+type handlerFunc[In, Out any] func(context.Context, fleet.VMID, *In) (*Out, error)
 
-func handle[In, Out any](ctx context.Context, rpc string, h handler[In, Out], m *In) (*Out, error) {
+// callHandler calls h with the VM id of the peer. It guarantees that an error is of
+// package fault and that a reply is not nil.
+func callHandler[In, Out any](ctx context.Context, rpc string, h handlerFunc[In, Out], m *In) (*Out, error) {
 	if h == nil {
 		return nil, fault.New(fault.NotReady, "call %s is not served", rpc)
 	}
-	from, ok := ctx.Value(peerKey{}).(fleet.VMID)
+	from, ok := ctx.Value(peerContextKey{}).(fleet.VMID)
 	if !ok {
 		return nil, fault.New(fault.Unauthenticated, "call %s comes from an unknown peer", rpc)
 	}
@@ -112,5 +115,5 @@
 	return out, nil
 }
 
-// peerKey is the key of the peer's VM id in the context of a connection.
-type peerKey struct{}
+// peerContextKey is the context key under which a connection stores the VM id of the peer.
+type peerContextKey struct{}
--- a/core/inner/identity.go
+++ b/core/inner/identity.go
@@ -8,20 +8,22 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// serverName stands as DNS name in the certificate of each daemon, so that
-// other certificates of the same authority do not admit to the inner protocol.
-// The VM id is the certificate's common name.
+// serverName is the DNS name in the certificate of every daemon. It is required, so
+// that other certificates of the same authority give no access to the inner
+// protocol. The VM id of the daemon is the certificate's common name.
 const serverName = "wisteriad"
 
-// Identity is the certificate of a daemon and the authority of the fleet.
+// Identity is the certificate of a daemon with its key, and the certificate
+// authority of the fleet.
 type Identity struct {
 	VM          fleet.VMID
 	Certificate tls.Certificate
 	Authority   *x509.CertPool
 }
 
-// ParseIdentity returns the identity from PEM blocks; it fails with
-// fault.ConfigInvalid.
+// ParseIdentity parses PEM blocks. It fails with fault.ConfigInvalid if they hold no
+// certificates or no matching key, and with fault.Unauthenticated if the
+// certificate is not one of a daemon.
 func ParseIdentity(certificate, key, authority []byte) (Identity, error) {
 	pair, err := tls.X509KeyPair(certificate, key)
 	if err != nil {
@@ -35,26 +37,27 @@
 }
 
 func newIdentity(pair tls.Certificate, pool *x509.CertPool) (Identity, error) {
-	vm, err := vmOf(pair.Leaf)
+	vm, err := vmFromCertificate(pair.Leaf)
 	if err != nil {
 		return Identity{}, err
 	}
 	return Identity{VM: vm, Certificate: pair, Authority: pool}, nil
 }
 
-// vmOf returns the VM id in a daemon's certificate.
-func vmOf(leaf *x509.Certificate) (fleet.VMID, error) {
+// vmFromCertificate verifies that the certificate is one of a daemon and returns its VM id.
+func vmFromCertificate(leaf *x509.Certificate) (fleet.VMID, error) {
 	if err := leaf.VerifyHostname(serverName); err != nil {
 		return "", fault.Wrap(err, fault.Unauthenticated, "certificate of %q is not one of a daemon", leaf.Subject.CommonName)
 	}
-	if leaf.Subject.CommonName == "" || len(leaf.Subject.CommonName) > MaxID {
+	if leaf.Subject.CommonName == "" || len(leaf.Subject.CommonName) > MaxIDLen {
 		return "", fault.New(fault.Unauthenticated, "certificate has no usable VM id")
 	}
 	return fleet.VMID(leaf.Subject.CommonName), nil
 }
 
-// serverTLS has no session tickets: connections live long, and a ticket would
-// keep a peer admitted after its certificate expires.
+// serverTLS returns the TLS configuration of a server. Session tickets are disabled:
+// they save little, because connections are long-lived, and a client could resume
+// a session after its certificate has expired.
 func (i Identity) serverTLS() *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
@@ -65,6 +68,7 @@
 	}
 }
 
+// clientTLS returns the TLS configuration of a client.
 func (i Identity) clientTLS() *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -74,13 +78,14 @@
 	}
 }
 
-// transport is a TLS connection that closes at once. tls.Conn.Close waits up
-// to 5 s for a peer that does not read, and drpc marks the end of messages itself.
-type transport struct {
+// fastCloseConn is a TLS connection that closes without sending a close_notify
+// alert. Sending it makes tls.Conn.Close wait up to 5 s for a peer that does not
+// read, and it is not needed, because drpc marks the end of messages itself.
+type fastCloseConn struct {
 	*tls.Conn
 }
 
-// Close closes the connection without a closing handshake.
-func (t transport) Close() error {
-	return t.NetConn().Close()
+// Close closes the underlying connection without a TLS alert.
+func (c fastCloseConn) Close() error {
+	return c.NetConn().Close()
 }
--- a/core/inner/inner_test.go
+++ b/core/inner/inner_test.go
@@ -87,11 +87,11 @@
 	return &net.TCPAddr{}
 }
 
-// makeReport returns a report of full size: each target has work in flight and 6 B of evidence.
+// makeReport returns a report in which each target has requests in flight and 6 B of evidence.
 func makeReport(services, targets int) *ReportMsg {
 	m := &ReportMsg{Run: 1<<63 + 5, Started: 1_790_000_000_000, Sequence: 70_000, Revision: 4_000, Ready: true}
 	for i := range 5 {
-		m.Heard = append(m.Heard, HeardKey(fleet.IncarnationOf("vm", uint64(i+1))))
+		m.Heard = append(m.Heard, IncarnationHash(fleet.IncarnationOf("vm", uint64(i+1))))
 	}
 	for i := range services {
 		s := ServiceReport{Service: fleet.ServiceID("disponible-0" + string(rune('1'+i))), EjectionVersion: 812}
@@ -104,7 +104,7 @@
 	return m
 }
 
-// ledgerPart returns a part with n records.
+// ledgerPart returns a part of a ledger with n records.
 func ledgerPart(n int) *LedgerMsg {
 	p := &LedgerMsg{Ledger: fleet.IncarnationOf("vm-1", 1), Parts: 1, First: 1, Last: 1, Keep: time.Hour, Export: 5}
 	for i := range n {
@@ -123,7 +123,7 @@
 	report.Services[1].Ejections = []byte("list")
 	return []drpc.Message{
 		report,
-		&ReportReplyMsg{Run: 7, Revision: 9, Standing: Unlisted},
+		&ReportReplyMsg{Run: 7, Revision: 9, Status: ReportFromUnknownVM},
 		&OrderAskMsg{Ledger: home, Epoch: 2, Key: order.Hash{1}, Digest: order.Hash{2}, Want: order.WantRelease, Asker: &order.Grant{Holder: home, Epoch: 1}},
 		&OrderReplyMsg{State: order.StateRun, Response: &order.Response{Status: 200, Body: []byte("answer")}},
 		ledgerPart(2),
@@ -153,7 +153,8 @@
 		}
 	})
 
-	// Guards against messages that fill the memory of a peer or that pass half read.
+	// Guards against messages that exhaust a peer's memory or that are accepted
+	// although a field is missing.
 	ginkgo.DescribeTable("that exceed a bound or lack a field are refused in both directions",
 		func(m drpc.Message) {
 			_, err := Codec{}.Marshal(m)
@@ -167,27 +168,27 @@
 		ginkgo.Entry("no start", &ReportMsg{Run: 1, Sequence: 1}),
 		ginkgo.Entry("no sequence", &ReportMsg{Run: 1, Started: 1}),
 		ginkgo.Entry("heard list", &ReportMsg{Run: 1, Started: 1, Sequence: 1, Heard: make([]uint32, MaxHeard+1)}),
-		ginkgo.Entry("self", &ReportMsg{Run: 1, Started: 1, Sequence: 1, Self: &fleet.VM{ID: "a", Inner: string(make([]byte, MaxAddress+1))}}),
+		ginkgo.Entry("self", &ReportMsg{Run: 1, Started: 1, Sequence: 1, Self: &fleet.VM{ID: "a", Inner: string(make([]byte, MaxAddressLen+1))}}),
 		ginkgo.Entry("services", makeReport(MaxServices+1, 0)),
 		ginkgo.Entry("service twice", &ReportMsg{Run: 1, Started: 1, Sequence: 1, Services: []ServiceReport{{Service: "a"}, {Service: "a"}}}),
 		ginkgo.Entry("service id", &ReportMsg{Run: 1, Started: 1, Sequence: 1, Services: []ServiceReport{{}}}),
 		ginkgo.Entry("work in flight", makeReport(1, MaxTargets+1)),
-		ginkgo.Entry("evidence", &ReportMsg{Run: 1, Started: 1, Sequence: 1, Services: []ServiceReport{{Service: "a", Evidence: make([]byte, MaxEvidence+1)}}}),
-		ginkgo.Entry("ejections", &ReportMsg{Run: 1, Started: 1, Sequence: 1, Services: []ServiceReport{{Service: "a", Ejections: make([]byte, MaxEjections+1)}}}),
+		ginkgo.Entry("evidence", &ReportMsg{Run: 1, Started: 1, Sequence: 1, Services: []ServiceReport{{Service: "a", Evidence: make([]byte, MaxEvidenceBytes+1)}}}),
+		ginkgo.Entry("ejections", &ReportMsg{Run: 1, Started: 1, Sequence: 1, Services: []ServiceReport{{Service: "a", Ejections: make([]byte, MaxEjectionsBytes+1)}}}),
 		ginkgo.Entry("leaving target", &ReportMsg{Run: 1, Started: 1, Sequence: 1, Services: []ServiceReport{{Service: "a", Leaving: []fleet.TargetID{""}}}}),
-		ginkgo.Entry("reply", &ReportReplyMsg{Run: 1, Standing: standingCount}),
+		ginkgo.Entry("reply", &ReportReplyMsg{Run: 1, Status: reportStatusCount}),
 		ginkgo.Entry("order home", &OrderAskMsg{Epoch: 1, Key: order.Hash{1}}),
 		ginkgo.Entry("order release without asker", &OrderAskMsg{Ledger: fleet.IncarnationOf("v", 1), Epoch: 1, Key: order.Hash{1}, Want: order.WantRelease}),
 		ginkgo.Entry("order response missing", &OrderReplyMsg{State: order.StateReleased}),
 		ginkgo.Entry("ledger part", &LedgerMsg{Ledger: fleet.IncarnationOf("v", 1), Part: 2, Parts: 2}),
-		ginkgo.Entry("ledger size", ledgerPart(MaxAsk/32)),
+		ginkgo.Entry("ledger size", ledgerPart(MaxRequestBytes/32)),
 		ginkgo.Entry("ledger reply", &LedgerReplyMsg{Kept: MaxLedgerRecords + 1}),
 		ginkgo.Entry("deltas out of order", &RevisionReplyMsg{Revision: 2, Deltas: []*settle.Delta{{Revision: 2}, {Revision: 2}}}),
-		ginkgo.Entry("snapshot", &RevisionReplyMsg{Revision: 1, Snapshot: make([]byte, MaxReply+1)}),
+		ginkgo.Entry("snapshot", &RevisionReplyMsg{Revision: 1, Snapshot: make([]byte, MaxReplyBytes+1)}),
 		ginkgo.Entry("VMs", &VMsReplyMsg{VMs: make([]fleet.VM, MaxVMs+1)}),
 		ginkgo.Entry("VM without id", &VMsReplyMsg{VMs: make([]fleet.VM, 1)}),
-		ginkgo.Entry("state ask", &StateAskMsg{What: string(make([]byte, MaxID+1))}),
-		ginkgo.Entry("state reply", &StateReplyMsg{Dump: make([]byte, MaxDump+1)}),
+		ginkgo.Entry("state ask", &StateAskMsg{What: string(make([]byte, MaxIDLen+1))}),
+		ginkgo.Entry("state reply", &StateReplyMsg{Dump: make([]byte, MaxDumpBytes+1)}),
 	)
 
 	ginkgo.DescribeTable("with malformed bytes are refused",
--- a/core/inner/order.go
+++ b/core/inner/order.go
@@ -2,26 +2,27 @@
 
 import "wisteriarelay.example/core/order"
 
-// The messages about orders are the types of package order, which bound and
-// check themselves.
+// The messages about orders are types of package order, which validates them and
+// limits their size.
 type (
-	// OrderAskMsg asks the holder of a ledger about an order key.
+	// OrderAskMsg asks the daemon that holds a ledger for the state of an order, or
+	// for the right to run it.
 	OrderAskMsg = order.OrderAsk
 	// OrderReplyMsg is the reply to OrderAskMsg.
 	OrderReplyMsg = order.OrderReply
-	// LedgerMsg hands a part of a ledger to another carrier.
+	// LedgerMsg transfers a part of a ledger to another carrier.
 	LedgerMsg = order.LedgerPart
 )
 
-// LedgerReplyMsg confirms a part of a ledger.
+// LedgerReplyMsg confirms the receipt of a part of a ledger.
 type LedgerReplyMsg struct {
-	// Kept is the number of records that the receiver keeps from this part.
+	// Kept is the number of records of this part that the receiver keeps.
 	Kept uint32 `cbor:"1,keyasint"`
 }
 
-// Check returns fault.MessageInvalid if the count is impossible.
-func (m *LedgerReplyMsg) Check() error {
-	c := checker{message: "ledger reply"}
-	c.size("kept records", int(m.Kept), MaxLedgerRecords)
-	return c.err
+// Validate returns fault.MessageInvalid if the count exceeds the records of a part.
+func (m *LedgerReplyMsg) Validate() error {
+	v := validator{message: "ledger reply"}
+	v.atMost("kept records", int(m.Kept), MaxLedgerRecords)
+	return v.err
 }
--- a/core/inner/revision.go
+++ b/core/inner/revision.go
@@ -2,10 +2,10 @@
 
 import "wisteriarelay.example/core/settle"
 
-// The messages about revisions are the types of package settle, which check
-// themselves; MaxReply bounds them.
+// The messages about revisions are types of package settle, which validates them.
+// MaxReplyBytes limits their size.
 type (
-	// RevisionAskMsg asks a peer for the settings behind a revision.
+	// RevisionAskMsg asks a peer for the changes of the settings after a revision.
 	RevisionAskMsg = settle.RevisionAskMsg
 	// RevisionReplyMsg is the reply to RevisionAskMsg.
 	RevisionReplyMsg = settle.RevisionReplyMsg
--- a/core/inner/server.go
+++ b/core/inner/server.go
@@ -22,53 +22,55 @@
 )
 
 const (
-	// handshakeTimeout bounds how long an unauthenticated peer holds a connection.
+	// handshakeTimeout limits how long an unauthenticated peer can hold a connection.
 	handshakeTimeout = 5 * time.Second
-	// serverIdle lies above the client's idle time, so that the client closes first.
-	serverIdle = 3 * time.Minute
-	// defaultMaxConns is 690 daemons with two connections each, rounded up.
+	// serverIdleTimeout exceeds the client's idle timeout, so that the client closes
+	// an idle connection first.
+	serverIdleTimeout = 3 * time.Minute
+	// defaultMaxConns allows 690 daemons with two connections each, rounded up.
 	defaultMaxConns = 1400
-	acceptPause     = 10 * time.Millisecond
-	acceptPauseMax  = time.Second
+	acceptRetryMin  = 10 * time.Millisecond
+	acceptRetryMax  = time.Second
 )
 
-// Server serves the inner protocol to peers with a certificate of the fleet.
+// Server serves the inner protocol to peers that have a certificate of the fleet.
 type Server struct {
-	identity Identity
-	drpc     *drpcserver.Server
-	log      log.Logger
-	conns    chan struct{}
-	running  sync.WaitGroup
+	identity  Identity
+	drpc      *drpcserver.Server
+	log       log.Logger
+	connSlots chan struct{}
+	running   sync.WaitGroup
 }
 
-// ServerOption changes a server.
+// ServerOption configures a server.
 type ServerOption func(*Server)
 
-// WithServerLog sets the logger of refused and broken connections.
+// WithServerLog sets the logger for refused and broken connections.
 func WithServerLog(l log.Logger) ServerOption {
 	return func(s *Server) { s.log = l }
 }
 
-// WithMaxConns bounds the connections that are open at once.
+// WithMaxConns limits the number of open connections.
 func WithMaxConns(n int) ServerOption {
-	return func(s *Server) { s.conns = make(chan struct{}, n) }
+	return func(s *Server) { s.connSlots = make(chan struct{}, n) }
 }
 
-// NewServer returns a server that answers with the handlers.
+// NewServer returns a server that passes requests to the handlers.
 func NewServer(id Identity, h Handlers, opts ...ServerOption) (*Server, error) {
 	mux := drpcmux.New()
-	if err := mux.Register(&h, description{}); err != nil {
-		return nil, fault.Wrap(err, fault.Internal, "calls of the inner protocol")
+	if err := mux.Register(&h, rpcDescription{}); err != nil {
+		return nil, fault.Wrap(err, fault.Internal, "register the calls of the inner protocol")
 	}
 	s := &Server{
-		identity: id,
-		log:      log.NewNopLogger(),
-		conns:    make(chan struct{}, defaultMaxConns),
+		identity:  id,
+		log:       log.NewNopLogger(),
+		connSlots: make(chan struct{}, defaultMaxConns),
 		drpc: drpcserver.NewWithOptions(mux, drpcserver.Options{
 			Manager: drpcmanager.Options{
-				Reader:            drpcwire.ReaderOptions{MaximumBufferSize: MaxAsk},
-				InactivityTimeout: serverIdle,
-				// The reply leaves with the end of its call in one packet.
+				Reader:            drpcwire.ReaderOptions{MaximumBufferSize: MaxRequestBytes},
+				InactivityTimeout: serverIdleTimeout,
+				// With manual flushing, the reply and the frame that ends the call are
+				// sent in one packet.
 				Stream: drpcstream.Options{ManualFlush: true},
 			},
 		}),
@@ -79,14 +81,14 @@
 	return s, nil
 }
 
-// Serve accepts connections until ctx ends. It closes the listener and waits
+// Serve accepts connections until ctx ends. It then closes the listener and waits
 // for the calls in progress, whose contexts end with ctx.
 func (s *Server) Serve(ctx context.Context, lis net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = lis.Close() })
 	defer stop()
 	defer s.running.Wait()
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = acceptPause, acceptPauseMax
+	acceptBackoff := backoff.NewExponentialBackOff()
+	acceptBackoff.InitialInterval, acceptBackoff.MaxInterval = acceptRetryMin, acceptRetryMax
 	for {
 		conn, err := lis.Accept()
 		switch {
@@ -98,23 +100,26 @@
 		case errors.Is(err, net.ErrClosed):
 			return fault.Wrap(err, fault.Internal, "listener of the inner protocol")
 		case err != nil:
-			// Accept fails for a while when file descriptors run out.
+			// The error may be temporary, for example when the process has run out of
+			// file descriptors.
 			_ = level.Warn(s.log).Log("msg", "accept failed", "detail", err)
-			wait(ctx, pause.NextBackOff())
+			sleep(ctx, acceptBackoff.NextBackOff())
 		default:
-			pause.Reset()
-			s.admit(ctx, conn)
+			acceptBackoff.Reset()
+			s.startConn(ctx, conn)
 		}
 	}
 }
 
-func (s *Server) admit(ctx context.Context, conn net.Conn) {
+// startConn serves the connection in a new goroutine, or closes it if the
+// connection limit is reached.
+func (s *Server) startConn(ctx context.Context, conn net.Conn) {
 	select {
-	case s.conns <- struct{}{}:
+	case s.connSlots <- struct{}{}:
 		s.running.Add(1)
 		go s.run(ctx, conn)
 	default:
-		_ = level.Warn(s.log).Log("msg", "connection refused at the limit", "peer", conn.RemoteAddr())
+		_ = level.Warn(s.log).Log("msg", "connection refused: too many connections", "peer", conn.RemoteAddr())
 		_ = conn.Close()
 	}
 }
@@ -122,31 +127,32 @@
 // run serves one connection.
 func (s *Server) run(ctx context.Context, conn net.Conn) {
 	defer s.running.Done()
-	defer func() { <-s.conns }()
+	defer func() { <-s.connSlots }()
 	defer conn.Close()
 	tc := tls.Server(conn, s.identity.serverTLS())
 	from, err := handshake(ctx, tc, handshakeTimeout)
 	if err != nil {
-		_ = level.Warn(s.log).Log("msg", "peer refused", "peer", conn.RemoteAddr(), "detail", err)
+		_ = level.Warn(s.log).Log("msg", "peer failed to authenticate", "peer", conn.RemoteAddr(), "detail", err)
 		return
 	}
-	ctx = context.WithValue(ctx, peerKey{}, from)
-	if err := s.drpc.ServeOne(ctx, transport{tc}); err != nil && ctx.Err() == nil {
+	ctx = context.WithValue(ctx, peerContextKey{}, from)
+	if err := s.drpc.ServeOne(ctx, fastCloseConn{tc}); err != nil && ctx.Err() == nil {
 		_ = level.Debug(s.log).Log("msg", "connection ended", "vm", from, "detail", err)
 	}
 }
 
-// handshake returns the VM id of the peer.
+// handshake performs the TLS handshake and returns the VM id of the peer.
 func handshake(ctx context.Context, tc *tls.Conn, timeout time.Duration) (fleet.VMID, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if err := tc.HandshakeContext(ctx); err != nil {
 		return "", fault.Wrap(err, fault.Unauthenticated, "TLS handshake")
 	}
-	return vmOf(tc.ConnectionState().PeerCertificates[0])
+	return vmFromCertificate(tc.ConnectionState().PeerCertificates[0])
 }
 
-func wait(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/core/inner/state.go
+++ b/core/inner/state.go
@@ -1,28 +1,28 @@
 package inner
 
-// StateAskMsg asks a daemon for a state dump.
+// StateAskMsg asks a daemon for its state dump.
 type StateAskMsg struct {
-	// What names the part of the state; empty asks for all.
+	// What names the part of the state to dump; empty means all of it.
 	What string `cbor:"1,keyasint,omitempty"`
 }
 
-// Check returns fault.MessageInvalid if the message exceeds a bound.
-func (m *StateAskMsg) Check() error {
-	c := checker{message: "state ask"}
-	c.size("what", len(m.What), MaxID)
-	return c.err
+// Validate returns fault.MessageInvalid if the message exceeds a size limit.
+func (m *StateAskMsg) Validate() error {
+	v := validator{message: "state ask"}
+	v.atMost("what", len(m.What), MaxIDLen)
+	return v.err
 }
 
 // StateReplyMsg is the reply to StateAskMsg.
 type StateReplyMsg struct {
 	Revision uint64 `cbor:"1,keyasint,omitempty"`
-	// Dump is the state as JSON.
+	// Dump is the state in JSON.
 	Dump []byte `cbor:"2,keyasint,omitempty"`
 }
 
-// Check returns fault.MessageInvalid if the message exceeds a bound.
-func (m *StateReplyMsg) Check() error {
-	c := checker{message: "state reply"}
-	c.size("dump", len(m.Dump), MaxDump)
-	return c.err
+// Validate returns fault.MessageInvalid if the message exceeds a size limit.
+func (m *StateReplyMsg) Validate() error {
+	v := validator{message: "state reply"}
+	v.atMost("dump", len(m.Dump), MaxDumpBytes)
+	return v.err
 }
--- a/core/inner/vms.go
+++ b/core/inner/vms.go
@@ -2,12 +2,12 @@
 
 import "wisteriarelay.example/core/fleet"
 
-// VMsAskMsg asks a peer for the VMs that it knows, for a daemon that starts
-// while the platform's VM list is away.
+// VMsAskMsg asks a peer for the VMs that it knows. A daemon sends it if it starts
+// while the platform's VM list is unavailable.
 type VMsAskMsg struct{}
 
-// Check returns nil, because the message is empty.
-func (m *VMsAskMsg) Check() error {
+// Validate returns nil, because the message is empty.
+func (m *VMsAskMsg) Validate() error {
 	return nil
 }
 
@@ -16,12 +16,12 @@
 	VMs []fleet.VM `cbor:"1,keyasint,omitempty"`
 }
 
-// Check returns fault.MessageInvalid if the message exceeds a bound or lacks a field.
-func (m *VMsReplyMsg) Check() error {
-	c := checker{message: "VMs reply"}
-	c.size("VMs", len(m.VMs), MaxVMs)
+// Validate returns fault.MessageInvalid if the message exceeds a size limit or lacks a field.
+func (m *VMsReplyMsg) Validate() error {
+	v := validator{message: "VMs reply"}
+	v.atMost("VMs", len(m.VMs), MaxVMs)
 	for i := range m.VMs {
-		c.vm("VM", &m.VMs[i])
+		v.validateVM("VM", &m.VMs[i])
 	}
-	return c.err
+	return v.err
 }
--- a/core/member/bench_test.go
+++ b/core/member/bench_test.go
@@ -12,16 +12,16 @@
 	"wisteriarelay.example/core/store"
 )
 
-// makeScale returns a table with the planned number of VMs and services; each
-// VM counts as heard if heard is set.
-func makeScale(vms, services int, heard bool) *Table {
+// makeLargeTable returns a table with the given numbers of VMs and services. If heard
+// is set, all VMs count as heard.
+func makeLargeTable(vms, services int, heard bool) *Table {
 	self := makeVM("a0")
 	t := New(self, fleet.NewIncarnation("a0"), Hooks{})
 	list := store.VMChanges{Version: 1, Full: true}
 	for i := range vms {
 		list.Live = append(list.Live, makeVM(fmt.Sprintf("%c%d", 'a'+i%5, i)))
 	}
-	t.apply(list, time.Now())
+	t.applyListChanges(list, time.Now())
 	var compiled []*fleet.Service
 	for i := range services {
 		compiled = append(compiled, makeService(fmt.Sprintf("service-%03d", i)))
@@ -29,9 +29,9 @@
 	}
 	t.SetServices(compiled)
 	for i := 1; heard && i < vms; i++ {
-		r := t.record(list.Live[i].ID)
-		r.run, r.heardAt, r.expected = uint64(i), time.Now(), true
-		r.note([]inner.ServiceReport{{Service: "service-000"}}, time.Now())
+		r := t.peerState(list.Live[i].ID)
+		r.run, r.heardAt, r.coCarrier = uint64(i), time.Now(), true
+		r.recordServices([]inner.ServiceReport{{Service: "service-000"}}, time.Now())
 	}
 	t.mu.Lock()
 	t.republish(time.Now())
@@ -39,8 +39,8 @@
 	return t
 }
 
-// BenchmarkHeap measures the memory for each VM of the list, and for each VM
-// that is a peer as well.
+// BenchmarkHeap measures the heap memory per VM, for VMs that are only listed and
+// for VMs that are peers as well.
 func BenchmarkHeap(b *testing.B) {
 	const vms = 690
 	for name, heard := range map[string]bool{"known": false, "peer": true} {
@@ -49,7 +49,7 @@
 			for b.Loop() {
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				t := makeScale(vms, 360, heard)
+				t := makeLargeTable(vms, 360, heard)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				runtime.KeepAlive(t)
@@ -59,16 +59,17 @@
 	}
 }
 
-// BenchmarkReceive measures a report that changes no placement, at 16 peers.
+// BenchmarkReceive measures the handling of a report that does not change the
+// placement, with 16 peers.
 func BenchmarkReceive(b *testing.B) {
-	t := makeScale(690, 360, false)
+	t := makeLargeTable(690, 360, false)
 	t.mu.Lock()
 	for _, vm := range t.View().Live[1:17] {
-		t.record(vm.ID).heardAt = time.Now()
+		t.peerState(vm.ID).heardAt = time.Now()
 	}
 	t.mu.Unlock()
 	from := t.View().Live[3].ID
-	m := &inner.ReportMsg{Run: 9, Started: 9, Ready: true, Heard: []uint32{inner.HeardKey(t.incarnation)}, Services: []inner.ServiceReport{{Service: "service-000"}}}
+	m := &inner.ReportMsg{Run: 9, Started: 9, Ready: true, Heard: []uint32{inner.IncarnationHash(t.incarnation)}, Services: []inner.ServiceReport{{Service: "service-000"}}}
 	b.ReportAllocs()
 	for b.Loop() {
 		m.Sequence++
@@ -78,22 +79,22 @@
 	}
 }
 
-// BenchmarkApply measures a change of one VM in the list.
+// BenchmarkApply measures a change of one VM in the VM list.
 func BenchmarkApply(b *testing.B) {
-	t := makeScale(690, 360, false)
+	t := makeLargeTable(690, 360, false)
 	vm := t.View().Live[5]
 	version := uint64(1)
 	b.ReportAllocs()
 	for b.Loop() {
 		version++
 		vm.Leaving = !vm.Leaving
-		t.apply(store.VMChanges{Version: version, Live: []fleet.VM{vm}}, time.Now())
+		t.applyListChanges(store.VMChanges{Version: version, Live: []fleet.VM{vm}}, time.Now())
 	}
 }
 
-// BenchmarkAddresses measures the order of addresses for one caller.
+// BenchmarkAddresses measures the computation of the addresses for one caller.
 func BenchmarkAddresses(b *testing.B) {
-	t := makeScale(690, 360, false)
+	t := makeLargeTable(690, 360, false)
 	b.ReportAllocs()
 	for b.Loop() {
 		t.View().Addresses("service-000", place.Caller{DataCentre: "dc-a", Key: "10.9.0.1"}, time.Now())
--- a/core/member/cluster_test.go
+++ b/core/member/cluster_test.go
@@ -17,31 +17,31 @@
 	"wisteriarelay.example/core/store"
 )
 
-// cluster is a fleet of tables on an in-memory network with a VM list.
+// cluster is a fleet of tables with an in-memory network and a VM list.
 type cluster struct {
 	g   *gomega.WithT
 	ctx context.Context
 
 	running sync.WaitGroup
 
-	mu      sync.Mutex
-	list    []fleet.VM
-	version uint64
-	away    bool
-	cut     map[[2]fleet.VMID]bool
-	nodes   map[fleet.VMID]*node
-	seed    uint64
-	sends   []send
+	mu              sync.Mutex
+	list            []fleet.VM
+	version         uint64
+	listUnavailable bool
+	linkDown        map[[2]fleet.VMID]bool
+	nodes           map[fleet.VMID]*node
+	seed            uint64
+	sends           []send
 }
 
 type node struct {
 	*Table
-	cluster  *cluster
-	stop     context.CancelFunc
-	suspect  bool
-	evidence []byte
-	block    time.Duration
-	got      []delivery
+	cluster      *cluster
+	stop         context.CancelFunc
+	suspect      bool
+	evidence     []byte
+	collectDelay time.Duration
+	delivered    []delivery
 }
 
 type send struct {
@@ -64,67 +64,68 @@
 	return &fleet.Service{ID: fleet.ServiceID(id), Region: "r", Policy: fleet.Policy{Carriers: 3, AddressTTL: 30 * time.Second}}
 }
 
-// newCluster starts the VMs with one service, which they all carry up to 3.
+// newCluster starts the VMs with one service that up to 3 of them carry.
 func newCluster(t *testing.T, ids ...string) *cluster {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &cluster{g: gomega.NewWithT(t), ctx: ctx, cut: map[[2]fleet.VMID]bool{}, nodes: map[fleet.VMID]*node{}}
+	cl := &cluster{g: gomega.NewWithT(t), ctx: ctx, linkDown: map[[2]fleet.VMID]bool{}, nodes: map[fleet.VMID]*node{}}
 	t.Cleanup(func() {
 		cancel()
-		w.running.Wait()
+		cl.running.Wait()
 	})
 	for _, id := range ids {
-		w.setListed(makeVM(id))
+		cl.setListed(makeVM(id))
 	}
 	for _, id := range ids {
-		w.start(makeVM(id))
+		cl.start(makeVM(id))
 	}
-	return w
+	return cl
 }
 
-func (w *cluster) start(vm fleet.VM) *node {
-	n := &node{cluster: w}
-	w.seed++
+func (cl *cluster) start(vm fleet.VM) *node {
+	n := &node{cluster: cl}
+	cl.seed++
 	n.Table = New(vm, fleet.NewIncarnation(vm.ID), Hooks{
 		Send:      n.send,
-		List:      store.VMList{Since: w.since},
+		List:      store.VMList{Since: cl.listSince},
 		Collect:   n.collect,
 		Deliver:   n.deliver,
 		IsSuspect: n.isSuspect,
 		IsReady:   func() bool { return true },
 		Revision:  func() uint64 { return 7 },
-	}, WithSeed(w.seed))
+	}, WithSeed(cl.seed))
 	n.SetServices([]*fleet.Service{makeService("s")})
-	w.do(func() { w.nodes[vm.ID] = n })
-	ctx, cancel := context.WithCancel(w.ctx)
+	cl.withLock(func() { cl.nodes[vm.ID] = n })
+	ctx, cancel := context.WithCancel(cl.ctx)
 	n.stop = cancel
-	w.running.Go(func() { n.Run(ctx) })
+	cl.running.Go(func() { n.Run(ctx) })
 	return n
 }
 
 func (n *node) collect(fleet.ServiceID) inner.ServiceReport {
 	var block time.Duration
 	var r inner.ServiceReport
-	n.cluster.do(func() { block, r.Evidence = n.block, n.evidence })
+	n.cluster.withLock(func() { block, r.Evidence = n.collectDelay, n.evidence })
 	time.Sleep(block)
 	return r
 }
 
 func (n *node) isSuspect(fleet.ServiceID) (suspect bool) {
-	n.cluster.do(func() { suspect = n.suspect })
+	n.cluster.withLock(func() { suspect = n.suspect })
 	return suspect
 }
 
 func (n *node) deliver(id fleet.ServiceID, from Sender, r *inner.ServiceReport) {
-	n.cluster.do(func() { n.got = append(n.got, delivery{id, from, *r}) })
+	n.cluster.withLock(func() { n.delivered = append(n.delivered, delivery{id, from, *r}) })
 }
 
-// send carries a report if the way there is open, and its reply if the way back is.
+// send delivers a report if the link to the receiver is up, and returns the reply if
+// the link back is up.
 func (n *node) send(ctx context.Context, to inner.Peer, m *inner.ReportMsg) (*inner.ReportReplyMsg, error) {
-	w, from := n.cluster, n.self.ID
-	w.mu.Lock()
-	w.sends = append(w.sends, send{time.Now(), from, to.VM, m})
-	target, lost, replyLost := w.nodes[to.VM], w.cut[[2]fleet.VMID{from, to.VM}], w.cut[[2]fleet.VMID{to.VM, from}]
-	w.mu.Unlock()
+	cl, from := n.cluster, n.self.ID
+	cl.mu.Lock()
+	cl.sends = append(cl.sends, send{time.Now(), from, to.VM, m})
+	target, lost, replyLost := cl.nodes[to.VM], cl.linkDown[[2]fleet.VMID{from, to.VM}], cl.linkDown[[2]fleet.VMID{to.VM, from}]
+	cl.mu.Unlock()
 	var reply *inner.ReportReplyMsg
 	err := io.ErrUnexpectedEOF
 	if target != nil && !lost {
@@ -137,86 +138,86 @@
 	return reply, nil
 }
 
-// do runs f while no goroutine of the fleet reads or changes the cluster.
-func (w *cluster) do(f func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// withLock calls f while it holds the lock of the cluster.
+func (cl *cluster) withLock(f func()) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 	f()
 }
 
-func (w *cluster) since(context.Context, uint64) (store.VMChanges, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.away {
-		return store.VMChanges{}, fault.New(fault.StoreUnavailable, "list is away")
+func (cl *cluster) listSince(context.Context, uint64) (store.VMChanges, error) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	if cl.listUnavailable {
+		return store.VMChanges{}, fault.New(fault.StoreUnavailable, "VM list is unavailable")
 	}
-	return store.VMChanges{Version: w.version, Full: true, Live: slices.Clone(w.list)}, nil
+	return store.VMChanges{Version: cl.version, Full: true, Live: slices.Clone(cl.list)}, nil
 }
 
-func (w *cluster) setListed(vm fleet.VM) {
-	w.unlist(vm.ID)
-	w.do(func() { w.list = append(w.list, vm) })
+func (cl *cluster) setListed(vm fleet.VM) {
+	cl.removeListed(vm.ID)
+	cl.withLock(func() { cl.list = append(cl.list, vm) })
 }
 
-func (w *cluster) unlist(id fleet.VMID) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.version++
-	w.list = slices.DeleteFunc(w.list, func(v fleet.VM) bool { return v.ID == id })
+func (cl *cluster) removeListed(id fleet.VMID) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.version++
+	cl.list = slices.DeleteFunc(cl.list, func(v fleet.VM) bool { return v.ID == id })
 }
 
-func (w *cluster) setCut(from, to fleet.VMID, on bool) {
-	w.do(func() { w.cut[[2]fleet.VMID{from, to}] = on })
+func (cl *cluster) setLinkDown(from, to fleet.VMID, on bool) {
+	cl.withLock(func() { cl.linkDown[[2]fleet.VMID{from, to}] = on })
 }
 
-// isolate cuts the VM off from all others, or connects it again.
-func (w *cluster) isolate(id fleet.VMID, on bool) {
-	for other := range w.nodes {
-		w.setCut(id, other, on)
-		w.setCut(other, id, on)
+// isolate disconnects the VM from all others, or reconnects it if on is false.
+func (cl *cluster) isolate(id fleet.VMID, on bool) {
+	for other := range cl.nodes {
+		cl.setLinkDown(id, other, on)
+		cl.setLinkDown(other, id, on)
 	}
 }
 
-// kill stops the daemon on the VM without a word.
-func (w *cluster) kill(id fleet.VMID) {
-	n := w.nodes[id]
-	w.do(func() { delete(w.nodes, id) })
+// kill stops the daemon on the VM without a graceful leave.
+func (cl *cluster) kill(id fleet.VMID) {
+	n := cl.nodes[id]
+	cl.withLock(func() { delete(cl.nodes, id) })
 	n.stop()
 }
 
-func (w *cluster) peer(at, of fleet.VMID) *Peer {
-	p, ok := w.nodes[at].View().Peer(of)
-	w.g.Expect(ok).To(gomega.BeTrue(), "%s does not know %s", at, of)
+func (cl *cluster) peer(at, of fleet.VMID) *Peer {
+	p, ok := cl.nodes[at].View().Peer(of)
+	cl.g.Expect(ok).To(gomega.BeTrue(), "%s does not know %s", at, of)
 	return p
 }
 
-// conclusions are those of one VM about another: evidence, prober, addresses.
-func (w *cluster) conclusions(at, of fleet.VMID) [3]bool {
-	p, now := w.peer(at, of), time.Now()
+// usability returns whether VM at may use VM of for evidence, as prober and for addresses.
+func (cl *cluster) usability(at, of fleet.VMID) [3]bool {
+	p, now := cl.peer(at, of), time.Now()
 	return [3]bool{p.IsUsableForEvidence(now), p.IsUsableAsProber(now), p.IsUsableForAddresses(now)}
 }
 
-func (w *cluster) addresses(at fleet.VMID) []fleet.VMID {
+func (cl *cluster) addresses(at fleet.VMID) []fleet.VMID {
 	var ids []fleet.VMID
-	for _, vm := range w.nodes[at].View().Addresses("s", place.Caller{}, time.Now()) {
+	for _, vm := range cl.nodes[at].View().Addresses("s", place.Caller{}, time.Now()) {
 		ids = append(ids, vm.ID)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-func (w *cluster) deliveries(at fleet.VMID) (got []delivery) {
-	w.do(func() { got = slices.Clone(w.nodes[at].got) })
+func (cl *cluster) deliveries(at fleet.VMID) (got []delivery) {
+	cl.withLock(func() { got = slices.Clone(cl.nodes[at].delivered) })
 	return got
 }
 
-func (w *cluster) reports() (sends []send) {
-	w.do(func() { sends = slices.Clone(w.sends) })
+func (cl *cluster) sentReports() (sends []send) {
+	cl.withLock(func() { sends = slices.Clone(cl.sends) })
 	return sends
 }
 
-func (w *cluster) sent(from, to fleet.VMID, since time.Time) (n int) {
-	for _, s := range w.reports() {
+func (cl *cluster) countSent(from, to fleet.VMID, since time.Time) (n int) {
+	for _, s := range cl.sentReports() {
 		if s.from == from && s.to == to && s.at.After(since) {
 			n++
 		}
@@ -224,7 +225,7 @@
 	return n
 }
 
-func ids(vms ...string) (list []fleet.VMID) {
+func vmIDs(vms ...string) (list []fleet.VMID) {
 	for _, id := range vms {
 		list = append(list, fleet.VMID(id))
 	}
@@ -232,8 +233,8 @@
 }
 
 var (
-	all  = [3]bool{true, true, true}
-	none = [3]bool{}
-	// evidenceOnly is the conclusion about a peer that is heard but does not hear.
+	usableForAll = [3]bool{true, true, true}
+	unusable     = [3]bool{}
+	// evidenceOnly is the usability of a peer that is heard but does not hear this VM.
 	evidenceOnly = [3]bool{true, false, false}
 )
--- a/core/member/dump.go
+++ b/core/member/dump.go
@@ -6,15 +6,15 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Dump is the membership in a state dump.
+// Dump is the part of a state dump about the membership.
 type Dump struct {
 	Self        fleet.VM          `json:"self"`
 	Incarnation fleet.Incarnation `json:"incarnation"`
 	Known       bool              `json:"known"`
 	Superseded  bool              `json:"superseded,omitempty"`
 	ListVersion uint64            `json:"list-version"`
-	// ListAge is the time since the VM list was read, such as "3.2s"; empty if
-	// it never was.
+	// ListAge is the time since the VM list was last read, such as "3.2s", or empty
+	// if it has never been read.
 	ListAge     string            `json:"list-age,omitempty"`
 	Generation  uint64            `json:"generation"`
 	LiveVMs     int               `json:"live-vms"`
@@ -24,24 +24,25 @@
 	Reports     Counters          `json:"reports"`
 }
 
-// PeerDump is one peer in a state dump, with the conclusions about it.
+// PeerDump is one peer in a state dump, with the results of the methods of Peer at
+// the time of the dump.
 type PeerDump struct {
-	ID            fleet.VMID        `json:"id"`
-	Incarnation   fleet.Incarnation `json:"incarnation,omitempty"`
-	Listed        bool              `json:"listed"`
-	Leaving       bool              `json:"leaving,omitempty"`
-	Ready         bool              `json:"ready"`
-	Heard         bool              `json:"heard"`
-	HearsUs       bool              `json:"hears-us"`
-	Silence       string            `json:"silence,omitempty"`
-	Revision      uint64            `json:"revision"`
-	AsEvidence    bool              `json:"usable-for-evidence"`
-	AsProber      bool              `json:"usable-as-prober"`
-	InAddresses   bool              `json:"usable-for-addresses"`
-	InFlightShare float64           `json:"in-flight-share"`
+	ID                 fleet.VMID        `json:"id"`
+	Incarnation        fleet.Incarnation `json:"incarnation,omitempty"`
+	Listed             bool              `json:"listed"`
+	Leaving            bool              `json:"leaving,omitempty"`
+	Ready              bool              `json:"ready"`
+	Heard              bool              `json:"heard"`
+	HearsUs            bool              `json:"hears-us"`
+	Silence            string            `json:"silence,omitempty"`
+	Revision           uint64            `json:"revision"`
+	UsableForEvidence  bool              `json:"usable-for-evidence"`
+	UsableAsProber     bool              `json:"usable-as-prober"`
+	UsableForAddresses bool              `json:"usable-for-addresses"`
+	InFlightWeight     float64           `json:"in-flight-share"`
 }
 
-// Dump returns the membership for a state dump.
+// Dump returns the part of a state dump about the membership.
 func (t *Table) Dump(now time.Time) Dump {
 	v := t.View()
 	d := Dump{
@@ -66,19 +67,19 @@
 
 func (p *Peer) dump(now time.Time) PeerDump {
 	return PeerDump{
-		ID:            p.VM.ID,
-		Incarnation:   p.Incarnation,
-		Listed:        p.Listed,
-		Leaving:       p.VM.Leaving,
-		Ready:         p.Ready,
-		Heard:         p.IsHeard(now),
-		HearsUs:       p.HearsUs(now),
-		Silence:       age(p.HeardAt, now),
-		Revision:      p.Revision,
-		AsEvidence:    p.IsUsableForEvidence(now),
-		AsProber:      p.IsUsableAsProber(now),
-		InAddresses:   p.IsUsableForAddresses(now),
-		InFlightShare: p.InFlightShare(now),
+		ID:                 p.VM.ID,
+		Incarnation:        p.Incarnation,
+		Listed:             p.Listed,
+		Leaving:            p.VM.Leaving,
+		Ready:              p.Ready,
+		Heard:              p.IsHeard(now),
+		HearsUs:            p.HearsUs(now),
+		Silence:            age(p.HeardAt, now),
+		Revision:           p.Revision,
+		UsableForEvidence:  p.IsUsableForEvidence(now),
+		UsableAsProber:     p.IsUsableAsProber(now),
+		UsableForAddresses: p.IsUsableForAddresses(now),
+		InFlightWeight:     p.InFlightWeight(now),
 	}
 }
 
--- a/core/member/main_test.go
+++ b/core/member/main_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestMain runs the tests on one thread at a time. The race detector's context
-// of a synctest bubble's timers is shared by all threads of the bubble, and
-// runs of core/daemon on several threads ended in a crash of the runtime.
+// TestMain runs the tests on one thread at a time. In a synctest bubble, all threads
+// share one race detector context for timers; tests of core/daemon on several
+// threads crashed the runtime.
 func TestMain(m *testing.M) {
 	runtime.GOMAXPROCS(1)
 	os.Exit(m.Run())
--- a/core/member/option.go
+++ b/core/member/option.go
@@ -12,34 +12,38 @@
 )
 
 const (
-	// Interval is the time between two reports to a peer. At 2 s, the control
-	// traffic of a daemon at the planned scale exceeds 5 KB/s.
-	Interval = roundsPerInterval * SuspectInterval
-	// SuspectInterval is the time between two reports about a suspect service.
-	SuspectInterval = time.Second
-	// roundsPerInterval is the number of rounds of which one is about all
-	// services and the others about the suspect ones.
+	// Interval is the time between two reports to a peer. With 2 s, the control
+	// traffic of a daemon would exceed 5 KB/s at the planned scale.
+	Interval = roundsPerInterval * SuspectReportInterval
+	// SuspectReportInterval is the time between two reports about a service that has
+	// a suspect target.
+	SuspectReportInterval = time.Second
+	// roundsPerInterval is the number of report rounds in an Interval. The first
+	// round covers all services, the others only those with a suspect target.
 	roundsPerInterval = 3
-	// UnheardAfter is the silence after which a peer is unheard; two reports
-	// may get lost before.
+	// UnheardAfter is the time without a report after which a peer counts as unheard.
+	// It tolerates the loss of two reports.
 	UnheardAfter = 3 * Interval
-	// WindDownExtra is added to the address lifetime of a service for the time
-	// that a daemon serves it after it stopped being a carrier.
-	WindDownExtra = 10 * time.Second
+	// WindDownMargin is added to the address lifetime of a service. For the sum, a
+	// daemon that is no longer a carrier of the service continues to serve it,
+	// because callers still hold its address.
+	WindDownMargin = 10 * time.Second
 
 	pollInterval = 5 * time.Second
 	pollTimeout  = 3 * time.Second
-	// A daemon that starts while the list is away serves nobody, so the first
-	// retries come quickly; 690 daemons that retry every 15 s make 46 reads/s.
+	// A daemon that starts while the VM list is unavailable cannot serve callers, so
+	// the first retries follow quickly. With the maximum of 15 s, 690 daemons make
+	// 46 reads/s.
 	pollRetryMin = 500 * time.Millisecond
 	pollRetryMax = 15 * time.Second
-	// jitter spreads reports and polls of the fleet by this share either way.
-	jitter = 0.1
-	// forgetAfter keeps what is known of a silent VM, so that a late report of
-	// a replaced incarnation is still recognised.
-	forgetAfter = 10 * time.Minute
-	// urgentRate and urgentBurst bound reports out of turn, so that a target
-	// that flaps its leaving sign does not flood the peers.
+	// jitterRatio is the maximum random deviation of the intervals of reports and
+	// polls. It keeps the daemons of the fleet from acting in step.
+	jitterRatio = 0.1
+	// peerStateTTL is how long the state of a silent VM is kept, so that a late report
+	// of a replaced incarnation is still recognized as outdated.
+	peerStateTTL = 10 * time.Minute
+	// urgentRate, per second, and urgentBurst limit urgent reports, so that a target
+	// whose leaving state flaps does not flood the peers.
 	urgentRate  = 4
 	urgentBurst = 8
 )
@@ -50,39 +54,41 @@
 	DataCentre  fleet.DataCentre
 }
 
-// Hooks connects a table to the rest of the daemon; nil fields are skipped.
-// The functions may be called from several goroutines at once.
+// Hooks holds the functions by which a table uses the rest of the daemon. A nil
+// function is not called. The functions may be called concurrently.
 type Hooks struct {
-	// Send delivers a report, usually inner.Client.Report; it bounds its own time.
+	// Send sends a report, usually by inner.Client.Report. It must apply a timeout of
+	// its own.
 	Send func(ctx context.Context, to inner.Peer, m *inner.ReportMsg) (*inner.ReportReplyMsg, error)
 	// List is the platform's VM list.
 	List store.VMList
-	// Collect returns what this daemon reports of a service. It is called once
-	// per round, also if the service has no other carrier, and the result goes
-	// to all peers of the service.
+	// Collect returns the part of the report about a service. It is called once per
+	// round, also if the service has no other carrier, and the result is sent to all
+	// peers that share the service.
 	Collect func(id fleet.ServiceID) inner.ServiceReport
-	// Deliver takes what a peer reports of a service that this daemon carries
-	// or winds down.
+	// Deliver receives the part of a peer's report about a service that this daemon
+	// carries or winds down.
 	Deliver func(id fleet.ServiceID, from Sender, r *inner.ServiceReport)
-	// IsSuspect reports whether a target of the service is suspect.
+	// IsSuspect reports whether the service has a suspect target.
 	IsSuspect func(id fleet.ServiceID) bool
 	// IsReady reports whether this daemon serves requests.
 	IsReady func() bool
 	// Revision returns the settings revision of this daemon.
 	Revision func() uint64
-	// SeenRevision takes the settings revision that a peer states.
+	// SeenRevision receives the settings revision that a peer states in a report or
+	// in a reply.
 	SeenRevision func(from fleet.VMID, revision uint64)
 }
 
-// Option changes a table.
+// Option configures a table.
 type Option func(*Table)
 
-// WithSeeds sets the VMs that are known before the VM list is read for the first time.
+// WithSeeds sets the VMs that are assumed to exist before the first read of the VM list.
 func WithSeeds(vms []fleet.VM) Option {
 	return func(t *Table) {
 		for _, vm := range vms {
 			t.listed[vm.ID] = vm
-			t.known = true
+			t.vmsKnown = true
 		}
 	}
 }
@@ -92,7 +98,7 @@
 	return func(t *Table) { t.log = l }
 }
 
-// WithSeed fixes the random numbers for jitter.
+// WithSeed sets the seed of the random numbers for jitter.
 func WithSeed(seed uint64) Option {
 	return func(t *Table) { t.seed = seed }
 }
--- a/core/member/outgoing.go
+++ b/core/member/outgoing.go
@@ -9,169 +9,179 @@
 	"wisteriarelay.example/core/inner"
 )
 
-// outgoingReport is one report to one peer, before the content of its services is added.
+// outgoingReport is a report to one peer.
 type outgoingReport struct {
-	to       inner.Peer
-	services []fleet.ServiceID
-	composed time.Time
-	// parts holds one message, or several if one would exceed the bounds.
+	to         inner.Peer
+	services   []fleet.ServiceID
+	composedAt time.Time
+	// parts holds one message, or several if one would exceed its size limits.
 	parts []*inner.ReportMsg
 }
 
-// maxPart leaves half of the bound of a message for what size does not count.
-const maxPart = inner.MaxAsk / 2
+// maxPartBytes is the limit of the estimated size of a part. It leaves half of the
+// message limit for the fields that estimateSize does not count.
+const maxPartBytes = inner.MaxRequestBytes / 2
 
-// fill adds the content of the services. Parts are rare: they need a fleet of
-// few daemons with hundreds of services.
-func (l *outgoingReport) fill(collected map[fleet.ServiceID]inner.ServiceReport) {
-	m, total := l.parts[0], 0
-	for _, id := range l.services {
+// addServices adds what was collected for the services and splits the report into
+// parts if necessary. This is rare: it takes a fleet of few daemons with hundreds
+// of services.
+func (o *outgoingReport) addServices(collected map[fleet.ServiceID]inner.ServiceReport) {
+	m, total := o.parts[0], 0
+	for _, id := range o.services {
 		r := collected[id]
-		total += size(&r)
-		if len(m.Services) == inner.MaxServices || total > maxPart && len(m.Services) > 0 {
+		total += estimateSize(&r)
+		if len(m.Services) == inner.MaxServices || total > maxPartBytes && len(m.Services) > 0 {
 			next := *m
-			next.Services, total = nil, size(&r)
+			next.Services, total = nil, estimateSize(&r)
 			next.Sequence++
 			m = &next
-			l.parts = append(l.parts, m)
+			o.parts = append(o.parts, m)
 		}
 		m.Services = append(m.Services, r)
 	}
 }
 
-// size estimates the encoded size of a service's part in bytes.
-func size(r *inner.ServiceReport) int {
-	const perLoad, perTarget = 12, 32
-	return len(r.Evidence) + len(r.Ejections) + perLoad*len(r.InFlight) + perTarget*len(r.Leaving)
+// estimateSize estimates the encoded size of r in bytes.
+func estimateSize(r *inner.ServiceReport) int {
+	const bytesPerLoad, bytesPerTarget = 12, 32
+	return len(r.Evidence) + len(r.Ejections) + bytesPerLoad*len(r.InFlight) + bytesPerTarget*len(r.Leaving)
 }
 
-// outgoing returns the reports of one round. A peer gets one report at a time,
-// or a second one if it is urgent, so that a slow peer does not pile them up.
-func (t *Table) outgoing(services []fleet.ServiceID, urgent bool, now time.Time) []outgoingReport {
+// composeReports returns the reports of one round. A peer for which a report is
+// still pending gets no other one, except for one urgent report, so that reports to
+// a slow peer do not pile up.
+func (t *Table) composeReports(services []fleet.ServiceID, urgent bool, now time.Time) []outgoingReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	limit := 1
 	if urgent {
 		limit++
 	}
-	shared := t.shared(services, now)
-	var outgoing []outgoingReport
-	for _, id := range slices.Sorted(maps.Keys(shared)) {
-		r, vm := t.record(id), t.vm(id)
+	byPeer := t.servicesByPeer(services, now)
+	var reports []outgoingReport
+	for _, id := range slices.Sorted(maps.Keys(byPeer)) {
+		r, vm := t.peerState(id), t.vm(id)
 		if vm.Inner == "" {
 			continue
 		}
-		if r.sending >= limit {
+		if r.pendingReports >= limit {
 			t.counters.skipped.Add(1)
 			continue
 		}
-		r.sending++
-		outgoing = append(outgoing, outgoingReport{
-			to:       inner.Peer{VM: id, Address: vm.Inner},
-			services: shared[id],
-			composed: now,
-			parts:    []*inner.ReportMsg{t.compose(id, shared, now)},
+		r.pendingReports++
+		reports = append(reports, outgoingReport{
+			to:         inner.Peer{VM: id, Address: vm.Inner},
+			services:   byPeer[id],
+			composedAt: now,
+			parts:      []*inner.ReportMsg{t.newReport(id, byPeer, now)},
 		})
 	}
-	return outgoing
+	return reports
 }
 
-// shared returns the peers with the services that are reported to them: the
-// carriers of each service, and the VMs that report it although the own VM
-// list does not make them its carriers.
-func (t *Table) shared(services []fleet.ServiceID, now time.Time) map[fleet.VMID][]fleet.ServiceID {
+// servicesByPeer returns the services to report to each peer. The peers of a service
+// are its carriers, and the VMs that recently reported about it although this
+// daemon does not place it on them.
+func (t *Table) servicesByPeer(services []fleet.ServiceID, now time.Time) map[fleet.VMID][]fleet.ServiceID {
 	v := t.View()
-	shared := make(map[fleet.VMID][]fleet.ServiceID)
+	byPeer := make(map[fleet.VMID][]fleet.ServiceID)
 	for _, id := range services {
 		for _, c := range v.Carriers(id) {
 			if c.ID != t.self.ID {
-				shared[c.ID] = append(shared[c.ID], id)
+				byPeer[c.ID] = append(byPeer[c.ID], id)
 			}
 		}
-		for vm, r := range t.records {
-			if isRecent(r.reported[id], now) && !slices.Contains(shared[vm], id) {
-				shared[vm] = append(shared[vm], id)
+		for vm, r := range t.peerStates {
+			if isRecent(r.serviceReportedAt[id], now) && !slices.Contains(byPeer[vm], id) {
+				byPeer[vm] = append(byPeer[vm], id)
 			}
 		}
 	}
-	return shared
+	return byPeer
 }
 
-// compose returns the report without its services. The sequence leaves room
-// for as many parts as there are services. It lists in the heard list the receiver and those peers that get a
-// report about one of the same services, because the receiver knows no others.
-func (t *Table) compose(to fleet.VMID, shared map[fleet.VMID][]fleet.ServiceID, now time.Time) *inner.ReportMsg {
-	n := uint64(len(shared[to]))
+// newReport returns a report without its services. It reserves one sequence number
+// for each service, because the report may be split into that many parts. The heard
+// list contains only the receiver and the peers that share one of its services,
+// because the receiver does not know the others.
+func (t *Table) newReport(to fleet.VMID, byPeer map[fleet.VMID][]fleet.ServiceID, now time.Time) *inner.ReportMsg {
+	n := uint64(len(byPeer[to]))
 	m := &inner.ReportMsg{
 		Run:      t.incarnation.Run(),
 		Started:  t.started,
 		Sequence: t.sequence.Add(n) - n + 1,
 		Leaving:  t.leaving,
 	}
-	for id, services := range shared {
-		r := t.record(id)
-		common := slices.ContainsFunc(services, func(s fleet.ServiceID) bool { return slices.Contains(shared[to], s) })
+	for id, services := range byPeer {
+		r := t.peerState(id)
+		common := slices.ContainsFunc(services, func(s fleet.ServiceID) bool { return slices.Contains(byPeer[to], s) })
 		if common && isRecent(r.heardAt, now) {
-			m.Heard = append(m.Heard, inner.HeardKey(r.incarnation(id)))
+			m.Heard = append(m.Heard, inner.IncarnationHash(r.incarnation(id)))
 		}
 	}
 	slices.Sort(m.Heard)
-	if !isRecent(t.record(to).confirmedAt, now) {
+	if !isRecent(t.peerState(to).confirmedAt, now) {
 		self := t.self
 		m.Self = &self
 	}
 	return m
 }
 
-func (t *Table) sent(to fleet.VMID) {
+// finishReport notes that a report to the peer is no longer pending.
+func (t *Table) finishReport(to fleet.VMID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.record(to).sending--
+	t.peerState(to).pendingReports--
 }
 
-// carriedNow returns the services that this daemon carries or winds down.
-func (t *Table) carriedNow() []fleet.ServiceID {
+// currentServices is like activeServices for the current view, but takes the lock.
+func (t *Table) currentServices() []fleet.ServiceID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.active(t.View())
+	return t.activeServices(t.View())
 }
 
-func (t *Table) takeUrgent() []fleet.ServiceID {
+// takeUrgentServices returns the services to report about at once, and clears them.
+func (t *Table) takeUrgentServices() []fleet.ServiceID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	ids := slices.Collect(maps.Keys(t.urgent))
-	clear(t.urgent)
+	ids := slices.Collect(maps.Keys(t.urgentServices))
+	clear(t.urgentServices)
 	return ids
 }
 
-func (t *Table) isLeaveNoticeDue() bool {
+// takeLeaveNotice reports whether the peers must be told at once that this daemon
+// leaves, and clears the flag.
+func (t *Table) takeLeaveNotice() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	due := t.leaveNotice
-	t.leaveNotice = false
+	due := t.leaveNoticeDue
+	t.leaveNoticeDue = false
 	return due
 }
 
-// sweep updates what changes with time alone: VMs that are live only while
-// heard, services that are wound down, and records that are out of use.
-func (t *Table) sweep(now time.Time, paused bool) {
+// expire applies the changes that are caused by time alone: unlisted VMs that are
+// no longer heard, services whose wind-down has ended, and unused peer states.
+// paused says that this daemon did not run for longer than an Interval. Missing
+// reports then prove nothing, so all peers get a new grace period.
+func (t *Table) expire(now time.Time, paused bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	changed := false
-	for id, r := range t.records {
+	for id, r := range t.peerStates {
 		if paused {
 			r.graceUntil = now.Add(UnheardAfter)
 		}
-		changed = changed || r.placed && !isRecent(r.heardAt, now)
-		if !r.expected && r.sending == 0 && now.Sub(r.heardAt) > forgetAfter {
-			delete(t.records, id)
+		changed = changed || r.liveWhileHeard && !isRecent(r.heardAt, now)
+		if !r.coCarrier && r.pendingReports == 0 && now.Sub(r.heardAt) > peerStateTTL {
+			delete(t.peerStates, id)
 		}
 	}
-	for _, until := range t.winding {
+	for _, until := range t.windDownUntil {
 		changed = changed || !now.Before(until)
 	}
-	maps.DeleteFunc(t.gone, func(id fleet.VMID, at time.Time) bool {
-		return t.records[id] == nil && now.Sub(at) > forgetAfter
+	maps.DeleteFunc(t.removedAt, func(id fleet.VMID, at time.Time) bool {
+		return t.peerStates[id] == nil && now.Sub(at) > peerStateTTL
 	})
 	switch {
 	case changed:
--- a/core/member/peer.go
+++ b/core/member/peer.go
@@ -6,34 +6,36 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Peer is a VM that shares a service with this daemon or that sends it reports.
-// Its methods take the time, so that a view stays right while nothing changes.
+// Peer is a VM that shares a service with this daemon or sends it reports. Its
+// methods take the current time, because a view is not replaced when a peer merely
+// becomes unheard.
 type Peer struct {
 	VM fleet.VM
-	// Incarnation is the run that was heard last; "" if none was.
+	// Incarnation is the one that sent the last accepted report, or "" if there is none.
 	Incarnation fleet.Incarnation
-	// Listed says that the VM list holds the VM. A VM may be heard before it is
-	// listed and after it is gone from the list.
+	// Listed says that the VM list contains the VM. A VM may be heard before it is
+	// added to the list and after it is removed.
 	Listed bool
-	// Ready is what the peer reported about itself in its last report.
+	// Ready says that the peer serves requests, according to its last report.
 	Ready bool
 	// Revision is the settings revision that the peer stated last.
 	Revision uint64
-	// HeardAt is the time of the last accepted report; zero if there is none.
+	// HeardAt is the time of the last accepted report, or zero if there is none.
 	HeardAt time.Time
-	// ConfirmedAt is the last time when the peer stated that it hears this
-	// daemon; zero if its last report left this daemon out.
+	// ConfirmedAt is the last time at which the peer stated, in a report or a reply,
+	// that it hears this daemon. It is zero if its last report did not state so.
 	ConfirmedAt time.Time
-	// GraceUntil is the time until which missing reports prove nothing, because
-	// the peer is new or this daemon was paused.
+	// GraceUntil is the end of the grace period. Until then, missing reports prove
+	// nothing, because the peer is new or this daemon was paused.
 	GraceUntil time.Time
 }
 
+// isRecent reports whether at is set and less than UnheardAfter ago.
 func isRecent(at, now time.Time) bool {
 	return !at.IsZero() && now.Sub(at) < UnheardAfter
 }
 
-// IsHeard reports whether a report of the peer arrived in the last 3 intervals.
+// IsHeard reports whether a report of the peer was accepted in the last 3 intervals.
 func (p *Peer) IsHeard(now time.Time) bool {
 	return isRecent(p.HeardAt, now)
 }
@@ -44,20 +46,20 @@
 	return isRecent(p.ConfirmedAt, now)
 }
 
-// IsUsableForEvidence reports whether the peer's evidence counts. A peer that
-// does not hear this daemon still observes targets.
+// IsUsableForEvidence reports whether the peer's evidence about targets counts. The
+// peer need not hear this daemon to observe targets.
 func (p *Peer) IsUsableForEvidence(now time.Time) bool {
 	return p.IsHeard(now)
 }
 
-// IsUsableAsProber reports whether this daemon may rely on the peer to probe.
-// Both directions are needed: the peer decides by the same rule, and results
-// must arrive.
+// IsUsableAsProber reports whether this daemon may rely on the peer to probe
+// targets. Reports must arrive in both directions: the peer applies the same rule
+// to this daemon, and its results must reach this daemon.
 func (p *Peer) IsUsableAsProber(now time.Time) bool {
 	return p.IsHeard(now) && p.HearsUs(now) && p.Ready && !p.VM.Leaving
 }
 
-// IsUsableForAddresses reports whether the peer may stand in address responses.
+// IsUsableForAddresses reports whether address responses may contain the peer.
 func (p *Peer) IsUsableForAddresses(now time.Time) bool {
 	if p.VM.Leaving || p.IsHeard(now) && !p.Ready {
 		return false
@@ -65,9 +67,10 @@
 	return p.IsHeard(now) && p.HearsUs(now) || now.Before(p.GraceUntil)
 }
 
-// InFlightShare returns the weight of the work in flight that the peer reported
-// last: 1 while the peer is heard, then falling to 0 within 3 intervals.
-func (p *Peer) InFlightShare(now time.Time) float64 {
+// InFlightWeight returns the weight of the requests in flight that the peer last
+// reported. It is 1 while the peer is heard and then falls linearly to 0 within 3
+// intervals.
+func (p *Peer) InFlightWeight(now time.Time) float64 {
 	if p.HeardAt.IsZero() {
 		return 0
 	}
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -12,7 +12,7 @@
 	"wisteriarelay.example/core/inner"
 )
 
-// Receive takes a report of a peer; it has the type of inner.Handlers.Report.
+// Receive handles a report from a peer. It can be used as inner.Handlers.Report.
 func (t *Table) Receive(_ context.Context, from fleet.VMID, m *inner.ReportMsg) (*inner.ReportReplyMsg, error) {
 	if from == t.self.ID {
 		return nil, fault.New(fault.Forbidden, "report comes from the VM id %s of this daemon", from)
@@ -20,12 +20,12 @@
 	if m.Self != nil && m.Self.ID != from {
 		return nil, fault.New(fault.MessageInvalid, "VM %s describes itself as %s", from, m.Self.ID)
 	}
-	sender, standing, fresh := t.accept(from, m, time.Now())
-	if fresh {
+	sender, status, isNew := t.acceptReport(from, m, time.Now())
+	if isNew {
 		t.counters.received.Add(1)
 		t.deliver(sender, m)
 	}
-	reply := &inner.ReportReplyMsg{Run: t.incarnation.Run(), Revision: t.revision(), Standing: standing}
+	reply := &inner.ReportReplyMsg{Run: t.incarnation.Run(), Revision: t.revision(), Status: status}
 	return reply, nil
 }
 
@@ -36,61 +36,63 @@
 	return t.hooks.Revision()
 }
 
-// accept merges the report into the record of its sender; fresh says that its
-// content is new.
-func (t *Table) accept(from fleet.VMID, m *inner.ReportMsg, now time.Time) (s Sender, standing inner.Standing, fresh bool) {
+// acceptReport applies the report to the state of its sender. isNew says that the
+// content of the report is new and comes from a known VM, and so may be delivered.
+func (t *Table) acceptReport(from fleet.VMID, m *inner.ReportMsg, now time.Time) (s Sender, status inner.ReportStatus, isNew bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.record(from)
-	if r.isOutdated(m, now) {
+	r := t.peerState(from)
+	if r.isOlderIncarnation(m, now) {
 		t.counters.outdated.Add(1)
-		return s, inner.Outdated, false
+		return s, inner.ReportOutdated, false
 	}
 	changed := m.Run != r.run
 	if changed {
-		r.replace(m)
-		// A process that started after the list dropped the VM is a new VM
-		// under the same id, which is listed late.
-		if at, ok := t.gone[from]; ok && time.UnixMilli(int64(m.Started)).After(at) {
-			delete(t.gone, from)
+		r.startIncarnation(m)
+		// A process that started after the list removed the VM runs on a new VM
+		// with the same id that the list does not contain yet.
+		if at, ok := t.removedAt[from]; ok && time.UnixMilli(int64(m.Started)).After(at) {
+			delete(t.removedAt, from)
 		}
 	}
 	if m.Sequence <= r.sequence {
 		t.counters.outdated.Add(1)
-		return s, inner.Accepted, false
+		return s, inner.ReportAccepted, false
 	}
-	changed = t.update(from, r, m, now) || changed
+	changed = t.updatePeer(from, r, m, now) || changed
 	if changed {
 		t.rebuild(now)
 	} else {
 		t.republish(now)
 	}
-	if _, listed := t.listed[from]; !listed && !r.known {
-		return s, inner.Unlisted, false
+	if _, listed := t.listed[from]; !listed && !r.hasVM {
+		return s, inner.ReportFromUnknownVM, false
 	}
-	return Sender{Incarnation: r.incarnation(from), DataCentre: t.vm(from).DataCentre}, inner.Accepted, true
+	return Sender{Incarnation: r.incarnation(from), DataCentre: t.vm(from).DataCentre}, inner.ReportAccepted, true
 }
 
-// update returns true if the placement may change.
-func (t *Table) update(from fleet.VMID, r *record, m *inner.ReportMsg, now time.Time) bool {
+// updatePeer applies a new report to the state of its sender. It returns true if
+// the placement may change.
+func (t *Table) updatePeer(from fleet.VMID, r *peerState, m *inner.ReportMsg, now time.Time) bool {
 	_, listed := t.listed[from]
 	changed := r.leaving != m.Leaving || !listed && !isRecent(r.heardAt, now)
 	r.sequence, r.revision = m.Sequence, m.Revision
 	r.ready, r.leaving, r.heardAt = m.Ready, m.Leaving, now
-	if m.Self != nil && (!r.known || r.vm != *m.Self) {
-		r.vm, r.known = *m.Self, true
+	if m.Self != nil && (!r.hasVM || r.vm != *m.Self) {
+		r.vm, r.hasVM = *m.Self, true
 		r.vm.Leaving = false
 		changed = true
 	}
-	// A report that leaves this daemon out revokes earlier confirmations.
+	// A report without this daemon in its heard list revokes earlier confirmations.
 	r.confirmedAt = time.Time{}
-	if slices.Contains(m.Heard, inner.HeardKey(t.incarnation)) {
+	if slices.Contains(m.Heard, inner.IncarnationHash(t.incarnation)) {
 		r.confirmedAt = now
 	}
-	r.note(m.Services, now)
+	r.recordServices(m.Services, now)
 	return changed
 }
 
+// deliver passes a new report to the hooks.
 func (t *Table) deliver(from Sender, m *inner.ReportMsg) {
 	if t.hooks.SeenRevision != nil {
 		t.hooks.SeenRevision(from.Incarnation.VM(), m.Revision)
@@ -100,29 +102,29 @@
 	}
 	v, now := t.View(), time.Now()
 	for i := range m.Services {
-		if id := m.Services[i].Service; v.Carries(id) || v.WindsDown(id, now) {
+		if id := m.Services[i].Service; v.Carries(id) || v.IsWindingDown(id, now) {
 			t.hooks.Deliver(id, from, &m.Services[i])
 		}
 	}
 }
 
-// replied takes the reply to a report.
-func (t *Table) replied(from fleet.VMID, reply *inner.ReportReplyMsg, now time.Time) {
+// handleReply handles the reply to a report.
+func (t *Table) handleReply(from fleet.VMID, reply *inner.ReportReplyMsg, now time.Time) {
 	if t.hooks.SeenRevision != nil {
 		t.hooks.SeenRevision(from, reply.Revision)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.record(from)
+	r := t.peerState(from)
 	if r.run != 0 && r.run != reply.Run {
-		return // a new incarnation, which has not reported yet
+		return // a new incarnation replied before its first report arrived
 	}
-	switch reply.Standing {
-	case inner.Accepted:
+	switch reply.Status {
+	case inner.ReportAccepted:
 		r.confirmedAt = now
-	case inner.Unlisted:
+	case inner.ReportFromUnknownVM:
 		r.confirmedAt = time.Time{}
-	case inner.Outdated:
+	case inner.ReportOutdated:
 		r.confirmedAt = time.Time{}
 		t.superseded = true
 		_ = level.Warn(t.log).Log("msg", "peer knows a newer incarnation of this VM", "peer", from)
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -14,7 +14,7 @@
 	"wisteriarelay.example/core/place"
 )
 
-// Table is the membership as one daemon sees it.
+// Table maintains the membership as one daemon sees it.
 type Table struct {
 	self        fleet.VM
 	incarnation fleet.Incarnation
@@ -25,49 +25,51 @@
 	view        atomic.Pointer[View]
 	sequence    atomic.Uint64
 	counters    counters
-	// wakeup wakes the sender; it holds at most one signal.
+	// wakeup makes the reporter send urgent reports; it buffers one signal.
 	wakeup chan struct{}
 
 	mu          sync.Mutex
-	known       bool
+	vmsKnown    bool
 	superseded  bool
 	leaving     bool
 	listVersion uint64
 	listReadAt  time.Time
-	// listed is the VM list; gone holds the VMs that it dropped, with the time.
-	listed  map[fleet.VMID]fleet.VM
-	gone    map[fleet.VMID]time.Time
-	records map[fleet.VMID]*record
-	plan    *place.Plan
-	ttl     map[fleet.ServiceID]time.Duration
-	winding map[fleet.ServiceID]time.Time
-	urgent  map[fleet.ServiceID]bool
-	// leaveNotice says that all peers are to be told at once that this daemon leaves.
-	leaveNotice bool
+	// listed is the VM list. removedAt holds when VMs were removed from it.
+	listed     map[fleet.VMID]fleet.VM
+	removedAt  map[fleet.VMID]time.Time
+	peerStates map[fleet.VMID]*peerState
+	// plan and addressTTL are computed from the services of SetServices.
+	plan          *place.Plan
+	addressTTL    map[fleet.ServiceID]time.Duration
+	windDownUntil map[fleet.ServiceID]time.Time
+	// urgentServices holds the services to report about at once.
+	urgentServices map[fleet.ServiceID]bool
+	// leaveNoticeDue says that all peers must be told at once that this daemon leaves.
+	leaveNoticeDue bool
 }
 
-// New returns a table for the daemon on the VM; Run starts it.
+// New returns a table for the daemon on the VM self. Run must be called to start it.
 func New(self fleet.VM, incarnation fleet.Incarnation, hooks Hooks, opts ...Option) *Table {
 	t := &Table{
-		self:        self,
-		incarnation: incarnation,
-		started:     uint64(time.Now().UnixMilli()),
-		hooks:       hooks,
-		log:         log.NewNopLogger(),
-		seed:        incarnation.Run(),
-		wakeup:      make(chan struct{}, 1),
-		listed:      make(map[fleet.VMID]fleet.VM),
-		gone:        make(map[fleet.VMID]time.Time),
-		records:     make(map[fleet.VMID]*record),
-		plan:        place.NewPlan(nil),
-		ttl:         make(map[fleet.ServiceID]time.Duration),
-		winding:     make(map[fleet.ServiceID]time.Time),
-		urgent:      make(map[fleet.ServiceID]bool),
+		self:           self,
+		incarnation:    incarnation,
+		started:        uint64(time.Now().UnixMilli()),
+		hooks:          hooks,
+		log:            log.NewNopLogger(),
+		seed:           incarnation.Run(),
+		wakeup:         make(chan struct{}, 1),
+		listed:         make(map[fleet.VMID]fleet.VM),
+		removedAt:      make(map[fleet.VMID]time.Time),
+		peerStates:     make(map[fleet.VMID]*peerState),
+		plan:           place.NewPlan(nil),
+		addressTTL:     make(map[fleet.ServiceID]time.Duration),
+		windDownUntil:  make(map[fleet.ServiceID]time.Time),
+		urgentServices: make(map[fleet.ServiceID]bool),
 	}
 	for _, o := range opts {
 		o(t)
 	}
-	t.view.Store(&View{Self: self, Incarnation: incarnation, placed: t.plan.Place(place.NewMap(nil)), ready: hooks.IsReady})
+	t.view.Store(&View{Self: self, Incarnation: incarnation, placement: t.plan.Place(place.NewMap(nil)), isReady: hooks.IsReady})
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rebuild(time.Now())
@@ -79,8 +81,8 @@
 	return t.view.Load()
 }
 
-// Run polls the VM list and sends reports until ctx ends. It returns after the
-// reports under way have ended.
+// Run polls the VM list and sends reports until ctx ends. It returns when no report
+// is pending any more.
 func (t *Table) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	if t.hooks.List.Since != nil {
@@ -89,13 +91,13 @@
 		go p.loop(ctx)
 	}
 	running.Add(1)
-	s := newSender(t, &running)
-	go s.loop(ctx)
+	r := newReporter(t, &running)
+	go r.loop(ctx)
 	running.Wait()
 }
 
-// SetServices replaces the services that are placed on the VMs. A service that
-// is no longer among them is dropped without winding down.
+// SetServices replaces the services that are placed on the VMs. A service that is
+// removed by this is dropped at once, without a wind-down.
 func (t *Table) SetServices(services []*fleet.Service) {
 	demands := make([]place.Demand, len(services))
 	ttl := make(map[fleet.ServiceID]time.Duration, len(services))
@@ -103,186 +105,196 @@
 		demands[i] = place.Demand{Service: s.ID, Region: s.Region, Carriers: s.Policy.Carriers}
 		ttl[s.ID] = s.Policy.AddressTTL
 	}
+	// plan and addressTTL are computed from the services of SetServices.
 	plan := place.NewPlan(demands)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.plan, t.ttl = plan, ttl
+	t.plan, t.addressTTL = plan, ttl
 	t.rebuild(time.Now())
 }
 
-// Leave makes this daemon leave: it carries no service any more, winds down
-// those that it carried, and tells its peers at once.
+// Leave makes this daemon leave the fleet: it stops being a carrier, winds down the
+// services that it carried, and tells its peers at once.
 func (t *Table) Leave() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.leaving {
 		return
 	}
-	t.leaving, t.leaveNotice = true, true
+	t.leaving, t.leaveNoticeDue = true, true
 	t.rebuild(time.Now())
-	t.signal()
+	t.wakeReporter()
 }
 
-// ReportNow sends a report about the service at once, for example because a target
-// starts to leave or the ejection list has changed.
+// ReportNow requests an urgent report about the service, for example because a
+// target starts to leave or the ejection list has changed.
 func (t *Table) ReportNow(service fleet.ServiceID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.urgent[service] = true
-	t.signal()
+	t.urgentServices[service] = true
+	t.wakeReporter()
 }
 
-func (t *Table) signal() {
+// wakeReporter signals wakeup unless a signal is already buffered.
+func (t *Table) wakeReporter() {
 	select {
 	case t.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// rebuild places the services anew and publishes a view. The caller holds mu.
+// rebuild recomputes the placement of the services and publishes a view. The caller
+// holds mu.
 func (t *Table) rebuild(now time.Time) {
 	old := t.View()
 	v := *old
 	v.Self = t.ownVM()
-	v.Live = t.live(now)
-	v.placed = t.placeAll(now, v.Live)
-	if !v.placed.Equal(old.placed) {
+	v.Live = t.liveVMs(now)
+	v.placement = t.placeServices(now, v.Live)
+	if !v.placement.Equal(old.placement) {
 		v.Generation++
 	}
-	v.Carried = v.placed.CarriedBy(t.self.ID)
+	v.Carried = v.placement.CarriedBy(t.self.ID)
 	slices.Sort(v.Carried)
-	t.windDown(old.Carried, v.Carried, now)
-	v.winding = maps.Clone(t.winding)
+	t.updateWindDown(old.Carried, v.Carried, now)
+	v.windDownUntil = maps.Clone(t.windDownUntil)
 	t.publish(&v, now)
 }
 
-// ownVM returns the own VM as the others see it.
+// ownVM returns this daemon's VM. It is leaving if the daemon leaves or if the VM
+// list says so.
 func (t *Table) ownVM() fleet.VM {
 	vm := t.self
 	vm.Leaving = t.leaving || t.listed[vm.ID].Leaving
 	return vm
 }
 
-// live returns all VMs that are listed or heard, sorted by id.
-func (t *Table) live(now time.Time) []fleet.VM {
+// liveVMs returns all VMs that are listed or heard, sorted by id.
+func (t *Table) liveVMs(now time.Time) []fleet.VM {
 	vms := make([]fleet.VM, 0, len(t.listed)+1)
 	vms = append(vms, t.ownVM())
 	for id, vm := range t.listed {
 		if id != t.self.ID {
-			vms = append(vms, t.merge(vm))
+			vms = append(vms, t.mergeReported(vm))
 		}
 	}
-	for id, r := range t.records {
-		r.placed = false
-		if _, ok := t.listed[id]; !ok && r.known && isRecent(r.heardAt, now) {
-			r.placed = true
-			vms = append(vms, t.merge(r.vm))
+	for id, r := range t.peerStates {
+		r.liveWhileHeard = false
+		if _, ok := t.listed[id]; !ok && r.hasVM && isRecent(r.heardAt, now) {
+			r.liveWhileHeard = true
+			vms = append(vms, t.mergeReported(r.vm))
 		}
 	}
-	slices.SortFunc(vms, compareID)
+	slices.SortFunc(vms, compareVMID)
 	return vms
 }
 
-// merge adds what the VM reports about itself to its entry.
-func (t *Table) merge(vm fleet.VM) fleet.VM {
-	r, ok := t.records[vm.ID]
+// mergeReported returns the listed VM with the changes that it reported itself.
+func (t *Table) mergeReported(vm fleet.VM) fleet.VM {
+	r, ok := t.peerStates[vm.ID]
 	if !ok {
 		return vm
 	}
 	leaving := vm.Leaving || r.leaving
-	if r.known {
+	if r.hasVM {
 		vm = r.vm
 	}
 	vm.Leaving = leaving
 	return vm
 }
 
-// placeAll leaves out VMs that the list dropped, although they may still be
-// heard: only their co-carriers hear them, and all daemons must place alike.
-// Peers that are unheard stay in for the same reason until the list drops them.
-func (t *Table) placeAll(now time.Time, live []fleet.VM) *place.Table {
-	if !t.known {
+// placeServices computes the placement. All daemons must compute the same one, but
+// only the co-carriers of a VM know whether it is heard. Therefore VMs that were
+// removed from the list are left out even if they are still heard, and VMs that are
+// unheard remain until they are removed from the list.
+func (t *Table) placeServices(now time.Time, live []fleet.VM) *place.Table {
+	if !t.vmsKnown {
 		return t.plan.Place(place.NewMap(nil))
 	}
 	placeable := make([]fleet.VM, 0, len(live))
 	for _, vm := range live {
-		if _, gone := t.gone[vm.ID]; !gone || vm.ID == t.self.ID {
+		if _, gone := t.removedAt[vm.ID]; !gone || vm.ID == t.self.ID {
 			placeable = append(placeable, vm)
 		}
 	}
 	return t.plan.Place(place.NewMap(placeable))
 }
 
-func (t *Table) windDown(before, after []fleet.ServiceID, now time.Time) {
+// updateWindDown starts the wind-down of services that this daemon no longer
+// carries, and ends it for services that it carries again or that are removed, and
+// when its time is over.
+func (t *Table) updateWindDown(before, after []fleet.ServiceID, now time.Time) {
 	for _, id := range before {
-		if ttl, ok := t.ttl[id]; ok && !slices.Contains(after, id) {
-			t.winding[id] = now.Add(ttl + WindDownExtra)
+		if ttl, ok := t.addressTTL[id]; ok && !slices.Contains(after, id) {
+			t.windDownUntil[id] = now.Add(ttl + WindDownMargin)
 		}
 	}
-	maps.DeleteFunc(t.winding, func(id fleet.ServiceID, until time.Time) bool {
-		_, ok := t.ttl[id]
+	maps.DeleteFunc(t.windDownUntil, func(id fleet.ServiceID, until time.Time) bool {
+		_, ok := t.addressTTL[id]
 		return !ok || !now.Before(until) || slices.Contains(after, id)
 	})
 }
 
 // publish fills in the peers and stores the view. The caller holds mu.
 func (t *Table) publish(v *View, now time.Time) {
-	v.Known, v.Superseded = t.known, t.superseded
+	v.Known, v.Superseded = t.vmsKnown, t.superseded
 	v.ListVersion, v.ListReadAt = t.listVersion, t.listReadAt
-	t.expect(v, now)
-	v.Peers = make([]Peer, 0, len(t.records))
-	for id, r := range t.records {
-		if r.expected || isRecent(r.heardAt, now) {
+	t.updateCoCarriers(v, now)
+	v.Peers = make([]Peer, 0, len(t.peerStates))
+	for id, r := range t.peerStates {
+		if r.coCarrier || isRecent(r.heardAt, now) {
 			_, listed := t.listed[id]
-			v.Peers = append(v.Peers, r.peer(listed, t.vm(id)))
+			v.Peers = append(v.Peers, r.toPeer(listed, t.vm(id)))
 		}
 	}
-	slices.SortFunc(v.Peers, func(a, b Peer) int { return compareID(a.VM, b.VM) })
+	slices.SortFunc(v.Peers, func(a, b Peer) int { return compareVMID(a.VM, b.VM) })
 	t.view.Store(v)
 }
 
-// vm returns what is known of a VM.
+// vm returns the description of a VM, which must be listed or have a peer state.
 func (t *Table) vm(id fleet.VMID) fleet.VM {
 	vm, ok := t.listed[id]
 	if !ok {
-		vm = t.records[id].vm
+		vm = t.peerStates[id].vm
 		vm.ID = id
 	}
-	return t.merge(vm)
+	return t.mergeReported(vm)
 }
 
-// republish publishes the peers without placing the services anew.
+// republish publishes a view with new peers but the same placement. The caller
+// holds mu.
 func (t *Table) republish(now time.Time) {
 	v := *t.View()
 	t.publish(&v, now)
 }
 
-// expect marks the records of the co-carriers, whose reports are expected.
-func (t *Table) expect(v *View, now time.Time) {
-	expected := make(map[fleet.VMID]bool)
-	for _, id := range t.active(v) {
+// updateCoCarriers marks the states of the co-carriers. New ones get a grace period.
+func (t *Table) updateCoCarriers(v *View, now time.Time) {
+	coCarriers := make(map[fleet.VMID]bool)
+	for _, id := range t.activeServices(v) {
 		for _, c := range v.Carriers(id) {
-			expected[c.ID] = true
+			coCarriers[c.ID] = true
 		}
 	}
-	delete(expected, t.self.ID)
-	for id, r := range t.records {
-		if !expected[id] {
-			r.expected = false
+	delete(coCarriers, t.self.ID)
+	for id, r := range t.peerStates {
+		if !coCarriers[id] {
+			r.coCarrier = false
 		}
 	}
-	for id := range expected {
-		r := t.record(id)
-		if !r.expected {
-			r.expected, r.graceUntil = true, now.Add(UnheardAfter)
+	for id := range coCarriers {
+		r := t.peerState(id)
+		if !r.coCarrier {
+			r.coCarrier, r.graceUntil = true, now.Add(UnheardAfter)
 		}
 	}
 }
 
-// active returns the services that this daemon carries or winds down.
-func (t *Table) active(v *View) []fleet.ServiceID {
+// activeServices returns the services that this daemon carries or winds down, sorted.
+// The caller holds mu.
+func (t *Table) activeServices(v *View) []fleet.ServiceID {
 	ids := slices.Clone(v.Carried)
-	for id := range t.winding {
+	for id := range t.windDownUntil {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
--- a/core/member/view.go
+++ b/core/member/view.go
@@ -11,30 +11,33 @@
 
 // View is an immutable snapshot of the membership. Its slices must not be changed.
 type View struct {
-	// Self is this daemon's VM; Leaving is set if it leaves or is listed as leaving.
+	// Self is this daemon's VM. Its Leaving is set if the daemon leaves or if the VM
+	// is listed as leaving.
 	Self        fleet.VM
 	Incarnation fleet.Incarnation
-	// Known says that VMs are known from the VM list or the seeds; before that,
-	// no service is carried.
+	// Known says that VMs are known from the VM list or the seeds. Before that, this
+	// daemon carries no service.
 	Known bool
-	// ListVersion and ListReadAt say which VM list is in use; ListReadAt is
-	// zero before the first read.
+	// ListVersion is the version of the VM list in use, and ListReadAt the time when
+	// it was read, which is zero before the first read.
 	ListVersion uint64
 	ListReadAt  time.Time
-	// Superseded says that a peer knows a newer incarnation on this VM id.
+	// Superseded says that a peer knows a newer incarnation with the VM id of this
+	// daemon.
 	Superseded bool
-	// Generation rises with each change of a carrier set.
+	// Generation increases when the carriers of any service change.
 	Generation uint64
-	// Live holds the VMs that are listed or heard, sorted by id, with Self.
+	// Live holds the VMs that are listed or heard, including Self, sorted by id.
 	Live []fleet.VM
 	// Peers holds the peers, sorted by id.
 	Peers []Peer
-	// Carried holds the services that this daemon carries now.
+	// Carried holds the services that this daemon carries, sorted.
 	Carried []fleet.ServiceID
 
-	winding map[fleet.ServiceID]time.Time
-	placed  *place.Table
-	ready   func() bool
+	// windDownUntil holds the end of the wind-down of each service that is wound down.
+	windDownUntil map[fleet.ServiceID]time.Time
+	placement     *place.Table
+	isReady       func() bool
 }
 
 // Peer returns the peer with the id.
@@ -48,10 +51,10 @@
 	return &v.Peers[i], true
 }
 
-// Carriers returns the carriers of the service, also those that are not heard;
-// nil if the service is unknown.
+// Carriers returns the carriers of the service, including unheard ones, or nil if
+// the service is unknown.
 func (v *View) Carriers(id fleet.ServiceID) []*fleet.VM {
-	return v.placed.Carriers(id)
+	return v.placement.Carriers(id)
 }
 
 // Carries reports whether this daemon carries the service.
@@ -59,17 +62,17 @@
 	return slices.Contains(v.Carried, id)
 }
 
-// WindsDown reports whether this daemon stopped being a carrier of the service
-// less than the address lifetime and 10 s ago and therefore still serves it.
-func (v *View) WindsDown(id fleet.ServiceID, now time.Time) bool {
-	return now.Before(v.winding[id])
+// IsWindingDown reports whether this daemon is no longer a carrier of the service but
+// still serves it. It does so for the address lifetime of the service and 10 s.
+func (v *View) IsWindingDown(id fleet.ServiceID, now time.Time) bool {
+	return now.Before(v.windDownUntil[id])
 }
 
-// WindingDown returns the services for which WindsDown is true, sorted.
+// WindingDown returns the services for which IsWindingDown is true, sorted.
 func (v *View) WindingDown(now time.Time) []fleet.ServiceID {
 	var ids []fleet.ServiceID
-	for id := range v.winding {
-		if v.WindsDown(id, now) {
+	for id := range v.windDownUntil {
+		if v.IsWindingDown(id, now) {
 			ids = append(ids, id)
 		}
 	}
@@ -78,7 +81,7 @@
 }
 
 // Prober returns the VM that probes the target of a service that this daemon
-// carries, chosen among itself and the peers that are usable as prober.
+// carries. It is this daemon or a peer that is usable as prober.
 func (v *View) Prober(service fleet.ServiceID, target fleet.TargetID, now time.Time) fleet.VMID {
 	var usable []fleet.VMID
 	for _, c := range v.Carriers(service) {
@@ -90,22 +93,22 @@
 	return place.Prober(service, target, usable)
 }
 
-// Candidates returns the carriers of the service that may stand in an address
-// response. A carrier that shares no service with this daemon is known by the
-// VM list only, which excludes leaving VMs.
-func (v *View) Candidates(service fleet.ServiceID, now time.Time) []place.Candidate {
+// AddressCandidates returns the carriers of the service that an address response may
+// contain. A carrier that shares no service with this daemon is known only from the
+// VM list; it is a candidate unless it is listed as leaving.
+func (v *View) AddressCandidates(service fleet.ServiceID, now time.Time) []place.Candidate {
 	var candidates []place.Candidate
 	for _, c := range v.Carriers(service) {
-		if v.isUsable(c, now) {
+		if v.isUsableForAddresses(c, now) {
 			candidates = append(candidates, place.Candidate{VM: c})
 		}
 	}
 	return candidates
 }
 
-func (v *View) isUsable(c *fleet.VM, now time.Time) bool {
+func (v *View) isUsableForAddresses(c *fleet.VM, now time.Time) bool {
 	if c.ID == v.Self.ID {
-		return v.ready == nil || v.ready()
+		return v.isReady == nil || v.isReady()
 	}
 	if p, ok := v.Peer(c.ID); ok {
 		return p.IsUsableForAddresses(now)
@@ -113,8 +116,8 @@
 	return !c.Leaving
 }
 
-// Addresses returns the carriers of the service in the order in which the
+// Addresses returns the address candidates of the service in the order in which the
 // caller tries them.
 func (v *View) Addresses(service fleet.ServiceID, caller place.Caller, now time.Time) []*fleet.VM {
-	return place.Addresses(service, caller, v.Candidates(service, now))
+	return place.Addresses(service, caller, v.AddressCandidates(service, now))
 }
