--- a/core/inner/fuzz_test.go
+++ b/core/inner/fuzz_test.go
@@ -29,7 +29,7 @@
 			t.Fatalf("accepted message cannot be encoded: %v", err)
 		}
 		if err := (Codec{}).Unmarshal(buf, empty(kind)); err != nil {
-			t.Fatalf("encoded message is refused: %v", err)
+			t.Fatalf("encoded message is rejected: %v", err)
 		}
 	})
 }
--- a/core/inner/inner_test.go
+++ b/core/inner/inner_test.go
@@ -155,7 +155,7 @@
 
 	// Guards against messages that exhaust a peer's memory or that are accepted
 	// although a field is missing.
-	ginkgo.DescribeTable("that exceed a bound or lack a field are refused in both directions",
+	ginkgo.DescribeTable("that exceed a size limit or lack a field are rejected in both directions",
 		func(m drpc.Message) {
 			_, err := Codec{}.Marshal(m)
 			gomega.Expect(fault.Is(err, fault.MessageInvalid)).To(gomega.BeTrue(), "%v", err)
@@ -191,28 +191,28 @@
 		ginkgo.Entry("state reply", &StateReplyMsg{Dump: make([]byte, MaxDumpBytes+1)}),
 	)
 
-	ginkgo.DescribeTable("with malformed bytes are refused",
+	ginkgo.DescribeTable("with malformed bytes are rejected",
 		func(buf []byte) {
 			err := Codec{}.Unmarshal(buf, new(ReportMsg))
 			gomega.Expect(fault.Is(err, fault.MessageInvalid)).To(gomega.BeTrue(), "%v", err)
 		},
 		ginkgo.Entry("empty", []byte{}),
-		ginkgo.Entry("cut short", []byte{0xa3, 0x01, 0x01}),
+		ginkgo.Entry("truncated", []byte{0xa3, 0x01, 0x01}),
 		ginkgo.Entry("key twice", []byte{0xa4, 0x01, 0x01, 0x01, 0x02, 0x02, 0x01, 0x03, 0x01}),
-		ginkgo.Entry("bytes behind the message", []byte{0xa3, 0x01, 0x01, 0x02, 0x01, 0x03, 0x01, 0x00}),
+		ginkgo.Entry("bytes after the message", []byte{0xa3, 0x01, 0x01, 0x02, 0x01, 0x03, 0x01, 0x00}),
 		ginkgo.Entry("indefinite length", []byte{0xbf, 0x01, 0x01, 0x02, 0x01, 0x03, 0x01, 0xff}),
 		ginkgo.Entry("array of 4 billion", []byte{0xa1, 0x07, 0x9a, 0xff, 0xff, 0xff, 0xff}),
 		ginkgo.Entry("text for a number", []byte{0xa1, 0x01, 0x61, 0x31}),
 		ginkgo.Entry("deep nesting", append(bytes.Repeat([]byte{0x81}, 64), 0x00)),
 	)
 
-	ginkgo.It("skip keys of a later version", func() {
+	ginkgo.It("ignore keys of a later version", func() {
 		m := new(ReportMsg)
 		gomega.Expect(Codec{}.Unmarshal([]byte{0xa4, 0x01, 0x01, 0x02, 0x01, 0x03, 0x01, 0x18, 0x63, 0x81, 0x01}, m)).To(gomega.Succeed())
 		gomega.Expect(m.Sequence).To(gomega.Equal(uint64(1)))
 	})
 
-	ginkgo.It("of other types are refused", func() {
+	ginkgo.It("of other types are rejected", func() {
 		_, err := Codec{}.Marshal(new(int))
 		gomega.Expect(fault.Is(err, fault.MessageInvalid)).To(gomega.BeTrue())
 	})
--- a/core/inner/pool.go
+++ b/core/inner/pool.go
@@ -23,7 +23,7 @@
 	dial      func(ctx context.Context) (T, error)
 	isClosed  func(T) bool
 	closeConn func(T)
-	// inUse holds one entry for each connection in use; its capacity is their limit.
+	// inUse holds one entry for each connection in use; its capacity limits their number.
 	inUse chan struct{}
 
 	mu       sync.Mutex
--- a/core/inner/report.go
+++ b/core/inner/report.go
@@ -57,7 +57,8 @@
 	// Target is the TargetKey of the target.
 	Target uint32
 	// Quarters is the mean in quarters of a request. The receiver adds up the means
-	// of several peers, and whole numbers would round most short requests to 0.
+	// of several peers, and with whole numbers most of the load of short requests
+	// would be rounded away.
 	Quarters uint32
 }
 
--- a/core/member/cluster_test.go
+++ b/core/member/cluster_test.go
@@ -102,10 +102,10 @@
 }
 
 func (n *node) collect(fleet.ServiceID) inner.ServiceReport {
-	var block time.Duration
+	var delay time.Duration
 	var r inner.ServiceReport
-	n.cluster.withLock(func() { block, r.Evidence = n.collectDelay, n.evidence })
-	time.Sleep(block)
+	n.cluster.withLock(func() { delay, r.Evidence = n.collectDelay, n.evidence })
+	time.Sleep(delay)
 	return r
 }
 
@@ -166,15 +166,15 @@
 	cl.list = slices.DeleteFunc(cl.list, func(v fleet.VM) bool { return v.ID == id })
 }
 
-func (cl *cluster) setLinkDown(from, to fleet.VMID, on bool) {
-	cl.withLock(func() { cl.linkDown[[2]fleet.VMID{from, to}] = on })
+func (cl *cluster) setLinkDown(from, to fleet.VMID, down bool) {
+	cl.withLock(func() { cl.linkDown[[2]fleet.VMID{from, to}] = down })
 }
 
-// isolate disconnects the VM from all others, or reconnects it if on is false.
-func (cl *cluster) isolate(id fleet.VMID, on bool) {
+// isolate disconnects the VM from all others, or reconnects it if isolated is false.
+func (cl *cluster) isolate(id fleet.VMID, isolated bool) {
 	for other := range cl.nodes {
-		cl.setLinkDown(id, other, on)
-		cl.setLinkDown(other, id, on)
+		cl.setLinkDown(id, other, isolated)
+		cl.setLinkDown(other, id, isolated)
 	}
 }
 
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -52,11 +52,11 @@
 // Guards against two daemons that rely on each other although reports arrive in one
 // direction only, and against discarding the evidence that does arrive.
 func TestOneWayPartition(t *testing.T) {
-	for _, cut := range [][2]fleet.VMID{{"a1", "b1"}, {"b1", "a1"}} {
+	for _, link := range [][2]fleet.VMID{{"a1", "b1"}, {"b1", "a1"}} {
 		synctest.Test(t, func(t *testing.T) {
 			cl := newCluster(t, "a1", "b1", "c1")
 			time.Sleep(10 * time.Second)
-			silenced, receiver := cut[0], cut[1]
+			silenced, receiver := link[0], link[1]
 			cl.setLinkDown(silenced, receiver, true)
 			// After 3 intervals the receiver counts the silenced VM as unheard; its next
 			// report, within one more interval, tells the silenced VM.
--- a/core/member/peerstate.go
+++ b/core/member/peerstate.go
@@ -66,7 +66,7 @@
 
 // isOlderIncarnation reports whether a report comes from an older incarnation than
 // the one that is known. Incarnations are ordered by their start times. These come
-// from the clocks of different VMs and may be wrong, so if the known incarnation is
+// from the clocks of different VMs, which may differ, so if the known incarnation is
 // unheard, any other one replaces it.
 func (r *peerState) isOlderIncarnation(m *inner.ReportMsg, now time.Time) bool {
 	if r.run == 0 || m.Run == r.run || !isRecent(r.heardAt, now) {
--- a/core/member/reporter.go
+++ b/core/member/reporter.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// tick sends the reports of a regular round.
+// tick expires state and sends the reports of a regular round. This daemon was paused
+// if the last tick is longer ago than an Interval.
 func (r *reporter) tick(ctx context.Context, now time.Time) {
 	paused := now.Sub(r.lastTick) > Interval
 	r.lastTick = now
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -34,13 +34,17 @@
 	leaving     bool
 	listVersion uint64
 	listReadAt  time.Time
-	// listed is the VM list. removedAt holds when VMs were removed from it.
-	listed     map[fleet.VMID]fleet.VM
+	// listed holds the VMs of the VM list.
+	listed map[fleet.VMID]fleet.VM
+	// removedAt holds the VMs that were removed from the VM list and since when. They
+	// are not placed. An entry ends when the VM is listed again, when a new VM with
+	// the same id reports, or after peerStateTTL.
 	removedAt  map[fleet.VMID]time.Time
 	peerStates map[fleet.VMID]*peerState
 	// plan and addressTTL are computed from the services of SetServices.
-	plan          *place.Plan
-	addressTTL    map[fleet.ServiceID]time.Duration
+	plan       *place.Plan
+	addressTTL map[fleet.ServiceID]time.Duration
+	// windDownUntil holds the end of the wind-down of each service that is wound down.
 	windDownUntil map[fleet.ServiceID]time.Time
 	// urgentServices holds the services to report about at once.
 	urgentServices map[fleet.ServiceID]bool
@@ -105,7 +109,6 @@
 		demands[i] = place.Demand{Service: s.ID, Region: s.Region, Carriers: s.Policy.Carriers}
 		ttl[s.ID] = s.Policy.AddressTTL
 	}
-	// plan and addressTTL are computed from the services of SetServices.
 	plan := place.NewPlan(demands)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -189,7 +192,8 @@
 	return vms
 }
 
-// mergeReported returns the listed VM with the changes that it reported itself.
+// mergeReported returns vm, or the newer description in its peer state if there is
+// one. The VM is leaving if either the VM list or its last report says so.
 func (t *Table) mergeReported(vm fleet.VM) fleet.VM {
 	r, ok := t.peerStates[vm.ID]
 	if !ok {
