--- a/core/inner/authority.go
+++ b/core/inner/authority.go
@@ -87,22 +87,22 @@
 	return newIdentity(tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key, Leaf: leaf}, pool)
 }
 
-// PEMFiles holds the PEM blocks that ParseIdentity reads.
-type PEMFiles struct {
+// IdentityPEM holds the PEM blocks that ParseIdentity reads.
+type IdentityPEM struct {
 	Certificate, Key, Authority []byte
 }
 
 // IssuePEM is like Issue, but returns the identity as PEM blocks.
-func (a *Authority) IssuePEM(vm fleet.VMID) (PEMFiles, error) {
+func (a *Authority) IssuePEM(vm fleet.VMID) (IdentityPEM, error) {
 	id, err := a.Issue(vm)
 	if err != nil {
-		return PEMFiles{}, err
+		return IdentityPEM{}, err
 	}
 	key, err := x509.MarshalPKCS8PrivateKey(id.Certificate.PrivateKey)
 	if err != nil {
-		return PEMFiles{}, fault.Wrap(err, fault.Internal, "key of %s", vm)
+		return IdentityPEM{}, fault.Wrap(err, fault.Internal, "key of %s", vm)
 	}
-	return PEMFiles{
+	return IdentityPEM{
 		Certificate: pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: id.Certificate.Certificate[0]}),
 		Key:         pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: key}),
 		Authority:   pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: a.certificate.Raw}),
