--- a/core/inner/order.go
+++ b/core/inner/order.go
@@ -8,7 +8,7 @@
 	// OrderAskMsg asks the daemon that holds a ledger for the state of an order, or
 	// for the right to run it.
 	OrderAskMsg = order.OrderAsk
-	// OrderReplyMsg is the reply to OrderAskMsg.
+	// OrderReplyMsg returns the state of an order.
 	OrderReplyMsg = order.OrderReply
 	// LedgerMsg transfers a part of a ledger to another carrier.
 	LedgerMsg = order.LedgerPart
--- a/core/inner/report.go
+++ b/core/inner/report.go
@@ -54,7 +54,7 @@
 // TargetLoad is the mean number of requests that a daemon has in flight at one target.
 type TargetLoad struct {
 	_ struct{} `cbor:",toarray"`
-	// Target is the TargetKey of the target.
+	// Target is the hash that stands for the target id.
 	Target uint32
 	// Quarters is the mean in quarters of a request. The receiver adds up the means
 	// of several peers, and with whole numbers most of the load of short requests
--- a/core/inner/revision.go
+++ b/core/inner/revision.go
@@ -7,6 +7,6 @@
 type (
 	// RevisionAskMsg asks a peer for the changes of the settings after a revision.
 	RevisionAskMsg = settle.RevisionAskMsg
-	// RevisionReplyMsg is the reply to RevisionAskMsg.
+	// RevisionReplyMsg returns these changes, or a snapshot of the settings.
 	RevisionReplyMsg = settle.RevisionReplyMsg
 )
--- a/core/inner/state.go
+++ b/core/inner/state.go
@@ -13,7 +13,7 @@
 	return v.err
 }
 
-// StateReplyMsg is the reply to StateAskMsg.
+// StateReplyMsg returns a state dump.
 type StateReplyMsg struct {
 	Revision uint64 `cbor:"1,keyasint,omitempty"`
 	// Dump is the state in JSON.
--- a/core/inner/vms.go
+++ b/core/inner/vms.go
@@ -11,7 +11,7 @@
 	return nil
 }
 
-// VMsReplyMsg is the reply to VMsAskMsg.
+// VMsReplyMsg lists the VMs that a peer knows.
 type VMsReplyMsg struct {
 	VMs []fleet.VM `cbor:"1,keyasint,omitempty"`
 }
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -33,7 +33,7 @@
 		}
 		want := delivery{"s", Sender{a.incarnation, "dc-a"}, inner.ServiceReport{Service: "s", Evidence: []byte("rows")}}
 		cl.g.Expect(cl.deliveries("b1")).To(gomega.ContainElement(want))
-		// Each peer gets a report per Interval, or every second while the service is suspect.
+		// Each peer gets one report per report interval, or one per second while the service is suspect.
 		start := time.Now()
 		time.Sleep(40 * time.Second)
 		cl.g.Expect(cl.countSent("a1", "b1", start)).To(gomega.BeNumerically("~", 40*time.Second/Interval, 2))
@@ -58,7 +58,7 @@
 			time.Sleep(10 * time.Second)
 			silenced, receiver := link[0], link[1]
 			cl.setLinkDown(silenced, receiver, true)
-			// After 3 intervals the receiver counts the silenced VM as unheard; its next
+			// After 3 report intervals the receiver counts the silenced VM as unheard; its next
 			// report, within one more interval, tells the silenced VM.
 			time.Sleep(UnheardAfter + Interval + Interval/4)
 			cl.g.Expect(cl.usability(receiver, silenced)).To(gomega.Equal(unusable))
@@ -76,7 +76,7 @@
 }
 
 // Guards against relying on a peer whose reports are lost while its replies to this
-// daemon's reports arrive. It hears this daemon, but counts as unheard after 3
+// daemon's reports arrive. It hears this daemon, but counts as unheard after 3 report
 // intervals.
 func TestReplyConfirmsReceipt(t *testing.T) {
 	g := gomega.NewWithT(t)
--- a/core/member/option.go
+++ b/core/member/option.go
@@ -18,7 +18,7 @@
 	// SuspectReportInterval is the time between two reports about a service that has
 	// a suspect target.
 	SuspectReportInterval = time.Second
-	// roundsPerInterval is the number of report rounds in an Interval. The first
+	// roundsPerInterval is the number of rounds in a report interval. The first
 	// round covers all services, the others only those with a suspect target.
 	roundsPerInterval = 3
 	// UnheardAfter is the time without a report after which a peer counts as unheard.
--- a/core/member/outgoing.go
+++ b/core/member/outgoing.go
@@ -162,7 +162,7 @@
 
 // expire applies the changes that are caused by time alone: unlisted VMs that are
 // no longer heard, services whose wind-down has ended, and unused peer states.
-// paused says that this daemon did not run for longer than an Interval. Missing
+// paused says that this daemon did not run for longer than a report interval. Missing
 // reports then prove nothing, so all peers get a new grace period.
 func (t *Table) expire(now time.Time, paused bool) {
 	t.mu.Lock()
--- a/core/member/peer.go
+++ b/core/member/peer.go
@@ -30,17 +30,17 @@
 	GraceUntil time.Time
 }
 
-// isRecent reports whether at is set and less than UnheardAfter ago.
+// isRecent reports whether at is set and less than 3 report intervals ago.
 func isRecent(at, now time.Time) bool {
 	return !at.IsZero() && now.Sub(at) < UnheardAfter
 }
 
-// IsHeard reports whether a report of the peer was accepted in the last 3 intervals.
+// IsHeard reports whether a report of the peer was accepted in the last 3 report intervals.
 func (p *Peer) IsHeard(now time.Time) bool {
 	return isRecent(p.HeardAt, now)
 }
 
-// HearsUs reports whether the peer stated in the last 3 intervals that it hears
+// HearsUs reports whether the peer stated in the last 3 report intervals that it hears
 // this daemon.
 func (p *Peer) HearsUs(now time.Time) bool {
 	return isRecent(p.ConfirmedAt, now)
@@ -68,7 +68,7 @@
 }
 
 // InFlightWeight returns the weight of the requests in flight that the peer last
-// reported. It is 1 while the peer is heard and then falls linearly to 0 within 3
+// reported. It is 1 while the peer is heard and then falls linearly to 0 within 3 report
 // intervals.
 func (p *Peer) InFlightWeight(now time.Time) float64 {
 	if p.HeardAt.IsZero() {
--- a/core/member/reporter.go
+++ b/core/member/reporter.go
@@ -20,7 +20,7 @@
 	running       *sync.WaitGroup
 	rng           *rand.Rand
 	urgentLimiter *rate.Limiter
-	// rounds counts the regular rounds. The first of each Interval covers all
+	// rounds counts the regular rounds. The first of each report interval covers all
 	// services, the others only suspect and urgent ones.
 	rounds   int
 	lastTick time.Time
@@ -57,7 +57,7 @@
 }
 
 // tick expires state and sends the reports of a regular round. This daemon was paused
-// if the last tick is longer ago than an Interval.
+// if the last tick is longer ago than a report interval.
 func (r *reporter) tick(ctx context.Context, now time.Time) {
 	paused := now.Sub(r.lastTick) > Interval
 	r.lastTick = now
