--- a/core/admin/admin_test.go
+++ b/core/admin/admin_test.go
@@ -60,12 +60,12 @@
 		first, second := r.floor("marta", "55%"), r.floor("hector", "65%")
 		var won CommitReply
 		Expect(r.as("marta", "POST", "/v1/changes/"+first+"/commit", nil, &won)).To(Equal(http.StatusOK))
-		Expect(won).To(Equal(CommitReply{Change: first, Outcome: settle.Accepted, Revision: 2}))
+		Expect(won).To(Equal(CommitReply{Change: first, Outcome: settle.OutcomeAccepted, Revision: 2}))
 		var p Problem
 		Expect(r.as("hector", "POST", "/v1/changes/"+second+"/commit", nil, &p)).To(Equal(http.StatusConflict))
 		Expect(p.Kind).To(Equal("settings-conflict"))
 		Expect(p.Change).To(Equal(second))
-		Expect(p.Conflict.Overlaps).To(ConsistOf(HaveField("Path", workspace)))
+		Expect(p.Conflict.OverlappingOps).To(ConsistOf(HaveField("Path", workspace)))
 		Expect(r.as("hector", "POST", "/v1/changes/"+second+"/rebase", nil, nil)).To(Equal(http.StatusOK))
 		Expect(r.as("hector", "POST", "/v1/changes/"+second+"/commit", nil, &won)).To(Equal(http.StatusOK))
 		var v ValueReply
@@ -84,7 +84,7 @@
 		r.platform.Misbehave(stand.PlatformFaults{LoseReplies: 1, DownAfterLoss: true})
 		var reply CommitReply
 		Expect(r.as("marta", "POST", "/v1/changes/"+id+"/commit", nil, &reply)).To(Equal(http.StatusAccepted))
-		Expect(reply.Outcome).To(Equal(settle.NotYetKnown))
+		Expect(reply.Outcome).To(Equal(settle.OutcomeNotYetKnown))
 		Expect(reply.AskAgain).To(Equal("POST /v1/changes/" + id + "/resolve"))
 		Expect(r.as("marta", "POST", "/v1/changes/"+id+"/resolve", nil, &reply)).To(Equal(http.StatusAccepted))
 		var head HeadReply
@@ -93,7 +93,7 @@
 		r.platform.Misbehave(stand.PlatformFaults{})
 		for _, again := range []string{"resolve", "commit", "resolve"} {
 			Expect(r.as("marta", "POST", "/v1/changes/"+id+"/"+again, nil, &reply)).To(Equal(http.StatusOK))
-			Expect(reply.Outcome).To(Equal(settle.Accepted))
+			Expect(reply.Outcome).To(Equal(settle.OutcomeAccepted))
 			Expect(reply.Revision).To(Equal(settle.Revision(2)))
 		}
 		Expect(r.as("marta", "GET", "/v1/settings/head", nil, &head)).To(Equal(http.StatusOK))
@@ -155,7 +155,7 @@
 		r.boot()
 		var reply CommitReply
 		Expect(r.as("marta", "POST", "/v1/services/reservas/targets/r1/drain", nil, &reply)).To(Equal(http.StatusOK))
-		Expect(reply.Outcome).To(Equal(settle.Accepted))
+		Expect(reply.Outcome).To(Equal(settle.OutcomeAccepted))
 		Expect(drained(r)).To(MatchJSON(`["r1"]`))
 		Expect(r.as("marta", "POST", "/v1/services/reservas/targets/r1/drain", nil, &reply)).To(Equal(http.StatusOK))
 		Expect(reply.Outcome).To(Equal(Unchanged))
--- a/core/admin/api.go
+++ b/core/admin/api.go
@@ -20,7 +20,7 @@
 	Operators []config.Operator
 	Changelog *settle.Changelog
 	// Applied returns the revision in force at this daemon, or nil.
-	Applied func() *settle.Applied
+	Applied func() *settle.AppliedRevision
 	// Live returns the VMs of the membership, this one included.
 	Live func() []fleet.VM
 	// Carriers returns the carriers of a service; nil if it is unknown.
--- a/core/admin/changes.go
+++ b/core/admin/changes.go
@@ -25,7 +25,7 @@
 	if len(list) == limit {
 		reply.Next = list[len(list)-1].ID
 	}
-	state := settle.State(r.URL.Query().Get("state"))
+	state := settle.ChangeState(r.URL.Query().Get("state"))
 	for _, c := range list {
 		if state == "" || c.State == state {
 			reply.Changes = append(reply.Changes, c)
@@ -108,7 +108,7 @@
 func committed(id string, revision settle.Revision, err error) (any, error) {
 	switch {
 	case err == nil:
-		return CommitReply{Change: id, Outcome: settle.Accepted, Revision: revision}, nil
+		return CommitReply{Change: id, Outcome: settle.OutcomeAccepted, Revision: revision}, nil
 	case fault.Is(err, fault.StoreAmbiguous):
 		return unsettled(id), nil
 	}
@@ -117,7 +117,7 @@
 
 func unsettled(id string) CommitReply {
 	return CommitReply{
-		Change: id, Outcome: settle.NotYetKnown, AskAgain: "POST /v1/changes/" + id + "/resolve",
+		Change: id, Outcome: settle.OutcomeNotYetKnown, AskAgain: "POST /v1/changes/" + id + "/resolve",
 		Detail: "the platform's table has not answered; asking again never applies the change twice",
 	}
 }
@@ -129,7 +129,7 @@
 	if err != nil {
 		return nil, &about{cause: err, change: id}
 	}
-	if resolution.Outcome == settle.NotYetKnown {
+	if resolution.Outcome == settle.OutcomeNotYetKnown {
 		return unsettled(id), nil
 	}
 	return CommitReply{Change: id, Outcome: resolution.Outcome, Revision: resolution.Revision}, nil
--- a/core/admin/problem.go
+++ b/core/admin/problem.go
@@ -79,7 +79,7 @@
 // writeReply writes a reply; one whose outcome is not yet known has status 202.
 func writeReply(w http.ResponseWriter, reply any) {
 	status := http.StatusOK
-	if c, ok := reply.(CommitReply); ok && c.Outcome == settle.NotYetKnown {
+	if c, ok := reply.(CommitReply); ok && c.Outcome == settle.OutcomeNotYetKnown {
 		status = http.StatusAccepted
 	}
 	data, err := json.Marshal(reply)
--- a/core/admin/suite_test.go
+++ b/core/admin/suite_test.go
@@ -85,7 +85,7 @@
 		VM:        "mdp-1",
 		Operators: []config.Operator{seal("marta"), seal("hector")},
 		Changelog: settle.NewChangelog(store.Table{Get: table.Get, Scan: table.Scan, Apply: r.apply}),
-		Applied:   func() *settle.Applied { return &settle.Applied{Revision: 1, Doc: doc} },
+		Applied:   func() *settle.AppliedRevision { return &settle.AppliedRevision{Revision: 1, Doc: doc} },
 		Live:      func() []fleet.VM { return live },
 		Carriers: func(id fleet.ServiceID) []fleet.VM {
 			if id == "elsewhere" {
--- a/core/config/fields.go
+++ b/core/config/fields.go
@@ -52,8 +52,8 @@
 	{key: "operators", allowed: "a list of {name, token-sha256}, the token as 64 hex digits", set: setOperators},
 	{key: "domain", allowed: "a domain name", set: textSetter(func(s *Settings, v string) { s.Domain = v })},
 	{key: "log-level", allowed: "one of " + strings.Join(logLevels, ", "), set: setLogLevel},
-	{key: "store-reads", allowed: "a number above 0", set: numberSetter(func(s *Settings, v float64) { s.StoreReads = v })},
-	{key: "store-writes", allowed: "a number above 0", set: numberSetter(func(s *Settings, v float64) { s.StoreWrites = v })},
+	{key: "store-reads", allowed: "a number above 0", set: numberSetter(func(s *Settings, v float64) { s.StoreReadRate = v })},
+	{key: "store-writes", allowed: "a number above 0", set: numberSetter(func(s *Settings, v float64) { s.StoreWriteRate = v })},
 	{key: "memory-limit-mb", allowed: "a number above 0", set: numberSetter(func(s *Settings, v float64) { s.MemoryLimit = int64(v * bytesPerMB) })},
 	{key: "shutdown-limit", allowed: `a duration above 0, such as "10m"`, set: setShutdownLimit},
 }
--- a/core/config/settings.go
+++ b/core/config/settings.go
@@ -54,10 +54,10 @@
 	// Domain is the suffix of the services' host names, <service>.<domain>.
 	Domain   string `json:"domain"`
 	LogLevel string `json:"log-level"`
-	// StoreReads and StoreWrites are the rate limits of the whole fleet for requests
+	// StoreReadRate and StoreWrites are the rate limits of the whole fleet for requests
 	// to the store, in requests per second.
-	StoreReads  float64 `json:"store-reads"`
-	StoreWrites float64 `json:"store-writes"`
+	StoreReadRate  float64 `json:"store-reads"`
+	StoreWriteRate float64 `json:"store-writes"`
 	// MemoryLimit is the soft memory limit of the process in bytes.
 	MemoryLimit int64 `json:"memory-limit"`
 	// ShutdownLimit is the longest time for which a shutdown waits for requests in
@@ -102,11 +102,11 @@
 // Defaults returns settings with the default values of the optional keys.
 func Defaults() *Settings {
 	return &Settings{
-		LogLevel:      "info",
-		StoreReads:    defaultStoreReads,
-		StoreWrites:   defaultStoreWrites,
-		MemoryLimit:   defaultMemoryLimit,
-		ShutdownLimit: defaultShutdownLimit,
+		LogLevel:       "info",
+		StoreReadRate:  defaultStoreReads,
+		StoreWriteRate: defaultStoreWrites,
+		MemoryLimit:    defaultMemoryLimit,
+		ShutdownLimit:  defaultShutdownLimit,
 	}
 }
 
--- a/core/daemon/admin.go
+++ b/core/daemon/admin.go
@@ -27,7 +27,7 @@
 		VM:        s.VM,
 		Operators: s.Operators,
 		Changelog: settle.NewChangelog(p.Table, settle.WithObjects(p.Objects)),
-		Applied:   func() *settle.Applied { return e.follower.Current() },
+		Applied:   func() *settle.AppliedRevision { return e.follower.Current() },
 		Live:      func() []fleet.VM { return e.members.View().Live },
 		Carriers:  e.carriersOf,
 		Addresses: func(id fleet.ServiceID, dc fleet.DataCentre, caller string) any { return e.addresses(id, dc, caller) },
--- a/core/daemon/engine.go
+++ b/core/daemon/engine.go
@@ -34,7 +34,7 @@
 	leaving  atomic.Bool
 	wake     chan struct{}
 	// applied and generation are what the watches were last brought in step with.
-	applied    *settle.Applied
+	applied    *settle.AppliedRevision
 	generation uint64
 	winding    []fleet.ServiceID
 }
@@ -47,7 +47,7 @@
 }
 
 // onApplied is told by the follower of a new revision.
-func (e *engine) onApplied(a *settle.Applied) {
+func (e *engine) onApplied(a *settle.AppliedRevision) {
 	_ = level.Info(e.logger).Log("msg", "settings applied", "revision", a.Revision, "services", len(a.Catalog.Services()))
 	select {
 	case e.wake <- struct{}{}:
@@ -96,7 +96,7 @@
 	e.replace(ctx, applied, view, slices.Concat(view.Carried, winding))
 }
 
-func (e *engine) replace(ctx context.Context, applied *settle.Applied, view *member.View, wanted []fleet.ServiceID) {
+func (e *engine) replace(ctx context.Context, applied *settle.AppliedRevision, view *member.View, wanted []fleet.ServiceID) {
 	old := *e.watches.Load()
 	next := make(map[fleet.ServiceID]*watch, len(wanted))
 	for _, id := range wanted {
@@ -162,7 +162,7 @@
 
 // hear takes the settings revision that a peer states.
 func (e *engine) hear(_ fleet.VMID, revision uint64) {
-	e.follower.Hear(settle.Revision(revision))
+	e.follower.ObservePeerRevision(settle.Revision(revision))
 }
 
 func (e *engine) revision() uint64 {
--- a/core/daemon/parts.go
+++ b/core/daemon/parts.go
@@ -67,14 +67,14 @@
 		return *o.platform
 	}
 	c := store.NewClient(s.PlatformURL,
-		store.WithFleetBudget(s.StoreReads, s.StoreWrites),
+		store.WithFleetRateLimits(s.StoreReadRate, s.StoreWriteRate),
 		store.WithDaemons(func() int { return int(max(1, b.daemons.Load())) }))
 	lc.Append(fx.StopHook(c.Close))
 	return Platform{
 		Table:   c.Table(),
 		Objects: c.Objects(),
 		VMs:     c.VMList(),
-		State:   func() any { return c.Dump() },
+		State:   func() any { return c.State() },
 	}
 }
 
@@ -154,7 +154,7 @@
 	return settle.NewFollower(p.Table,
 		settle.WithSnapshots(p.Objects),
 		settle.WithPeers(ps.askRevisions, len(s.Seeds)),
-		settle.WithApplied(e.onApplied))
+		settle.WithOnApply(e.onApplied))
 }
 
 func newManager(s *config.Settings, inc fleet.Incarnation, p Platform, ps *peers) (*order.Manager, error) {
--- a/core/daemon/peers.go
+++ b/core/daemon/peers.go
@@ -150,8 +150,8 @@
 // peers instead, so that it can start while the platform is away; version 0
 // makes the next read of the platform a full one.
 func (p *peers) listVMs(list store.VMList) store.VMList {
-	return store.VMList{Since: func(ctx context.Context, version uint64) (store.VMChanges, error) {
-		changes, err := list.Since(ctx, version)
+	return store.VMList{ChangesSince: func(ctx context.Context, version uint64) (store.VMChanges, error) {
+		changes, err := list.ChangesSince(ctx, version)
 		if err == nil || version != 0 {
 			return changes, err
 		}
--- a/core/daemon/slope_test.go
+++ b/core/daemon/slope_test.go
@@ -132,8 +132,8 @@
 	var head, list, full float64
 	for b.Loop() {
 		head = poll(func() error { _, err := c.Table().Get(ctx, "settings/head"); return err })
-		full = poll(func() error { v, err := c.VMList().Since(ctx, 0); version = v.Version; return err })
-		list = poll(func() error { _, err := c.VMList().Since(ctx, version); return err })
+		full = poll(func() error { v, err := c.VMList().ChangesSince(ctx, 0); version = v.Version; return err })
+		list = poll(func() error { _, err := c.VMList().ChangesSince(ctx, version); return err })
 	}
 	b.ReportMetric(head, "head-bytes/poll")
 	b.ReportMetric(list, "list-bytes/poll")
--- a/core/daemon/trouble_golden_test.go
+++ b/core/daemon/trouble_golden_test.go
@@ -109,7 +109,7 @@
 	var conflict *settle.Conflict
 	switch {
 	case errors.As(err, &conflict):
-		s.note("%s commits: conflict, base %d, head %d, overlapping changes: %d", owner, conflict.Base, conflict.Head, len(conflict.Overlaps))
+		s.note("%s commits: conflict, base %d, head %d, overlapping changes: %d", owner, conflict.Base, conflict.Head, len(conflict.OverlappingOps))
 	case err != nil:
 		s.note("%s commits: %v", owner, err)
 	default:
--- a/core/member/cluster_test.go
+++ b/core/member/cluster_test.go
@@ -86,7 +86,7 @@
 	cl.seed++
 	n.Table = New(vm, fleet.NewIncarnation(vm.ID), Hooks{
 		Send:      n.send,
-		List:      store.VMList{Since: cl.listSince},
+		List:      store.VMList{ChangesSince: cl.listSince},
 		Collect:   n.collect,
 		Deliver:   n.deliver,
 		IsSuspect: n.isSuspect,
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -269,7 +269,7 @@
 		cl.g.Expect(c.View().Known).To(gomega.BeFalse())
 		cl.g.Expect(c.View().Carried).To(gomega.BeEmpty(), "a daemon that knows no others must not carry everything")
 		c.applyListChanges(store.VMChanges{Version: 9, Live: []fleet.VM{makeVM("a1"), makeVM("c1")}}, time.Now())
-		for _, ignored := range []store.VMChanges{{Version: 10, Full: true}, {Version: 8, Gone: vmIDs("a1")}} {
+		for _, ignored := range []store.VMChanges{{Version: 10, Full: true}, {Version: 8, Removed: vmIDs("a1")}} {
 			c.applyListChanges(ignored, time.Now())
 			cl.g.Expect(c.View().Live).To(gomega.HaveLen(2))
 			cl.g.Expect(c.View().ListVersion).To(gomega.Equal(uint64(9)))
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -89,7 +89,7 @@
 // is pending any more.
 func (t *Table) Run(ctx context.Context) {
 	var running sync.WaitGroup
-	if t.hooks.List.Since != nil {
+	if t.hooks.List.ChangesSince != nil {
 		running.Add(1)
 		p := newPoller(t, &running)
 		go p.loop(ctx)
--- a/core/member/vmlist.go
+++ b/core/member/vmlist.go
@@ -54,7 +54,7 @@
 func (p *poller) poll(ctx context.Context) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	changes, err := p.table.hooks.List.Since(ctx, p.table.View().ListVersion)
+	changes, err := p.table.hooks.List.ChangesSince(ctx, p.table.View().ListVersion)
 	if err != nil {
 		_ = level.Warn(p.table.log).Log("msg", "cannot read VM list", "detail", err)
 		return p.retryBackoff.NextBackOff()
@@ -87,7 +87,7 @@
 	for _, vm := range c.Live {
 		changed = t.addListed(vm) || changed
 	}
-	for _, id := range c.Gone {
+	for _, id := range c.Removed {
 		changed = t.removeListed(id, now) || changed
 	}
 	t.vmsKnown, t.listVersion, t.listReadAt = true, c.Version, now
--- a/core/order/claim.go
+++ b/core/order/claim.go
@@ -113,7 +113,7 @@
 		return fault.Wrap(err, fault.Internal, "encode a claim")
 	}
 	tx := store.Tx{ID: row.ID, Conds: []store.Cond{{Key: rowKey}}, Puts: []store.Put{{Key: rowKey, Value: value}}}
-	return store.ApplyOnce(ctx, c.table, tx, store.Marker{Key: rowKey, Mine: row.hasSameID})
+	return store.ApplyOnce(ctx, c.table, tx, store.Marker{Key: rowKey, WrittenByTx: row.hasSameID})
 }
 
 // hasSameID reports whether value is an encoded row with the same ID.
--- a/core/settle/changelog.go
+++ b/core/settle/changelog.go
@@ -246,7 +246,7 @@
 
 // closeChange moves a proposed change to the final state s. Repeating the call has
 // no effect.
-func (l *Changelog) closeChange(ctx context.Context, id string, s State, by, reason string) (Change, error) {
+func (l *Changelog) closeChange(ctx context.Context, id string, s ChangeState, by, reason string) (Change, error) {
 	return l.update(ctx, id, func(c *Change) (bool, error) {
 		if c.State == s && c.DecidedBy == by {
 			return false, nil
--- a/core/settle/changelog_test.go
+++ b/core/settle/changelog_test.go
@@ -91,8 +91,8 @@
 		Expect(kindOf(failures[loser])).To(Equal(fault.SettingsConflict))
 		var conflict *Conflict
 		Expect(errors.As(failures[loser], &conflict)).To(BeTrue())
-		Expect(conflict.Since).To(HaveLen(1))
-		Expect(conflict.Overlaps).To(HaveLen(1))
+		Expect(conflict.DeltasSinceBase).To(HaveLen(1))
+		Expect(conflict.OverlappingOps).To(HaveLen(1))
 		kept, err := changelog.Change(ctx, lost.ID)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(kept.State).To(Equal(StateProposed))
@@ -140,7 +140,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(r).To(Equal(Revision(2)))
 		Expect(changelog.Commit(ctx, c.ID)).To(Equal(Revision(2)))
-		Expect(changelog.Resolve(ctx, c.ID)).To(Equal(Resolution{Outcome: Accepted, Revision: 2}))
+		Expect(changelog.Resolve(ctx, c.ID)).To(Equal(Resolution{Outcome: OutcomeAccepted, Revision: 2}))
 		Expect(p.execute(p.delayedTx)).To(Or(Succeed(), MatchError(ContainSubstring("store-conflict"))))
 		Expect(commits(c.ID)).To(Equal(1))
 		head, _, err := changelog.Head(ctx)
@@ -164,11 +164,11 @@
 		}
 		_, err := NewChangelog(table).Commit(ctx, c.ID)
 		Expect(kindOf(err)).To(Equal(fault.StoreAmbiguous))
-		Expect(changelog.Resolve(ctx, c.ID)).To(Equal(Resolution{Outcome: NotYetKnown}))
+		Expect(changelog.Resolve(ctx, c.ID)).To(Equal(Resolution{Outcome: OutcomeNotYetKnown}))
 		p.setDown(false)
 		// Guards against a delayed commit that takes effect after it was reported as
 		// not accepted.
-		Expect(changelog.Resolve(ctx, c.ID)).To(Equal(Resolution{Outcome: NotAccepted}))
+		Expect(changelog.Resolve(ctx, c.ID)).To(Equal(Resolution{Outcome: OutcomeNotAccepted}))
 		Expect(fault.Is(p.execute(p.delayedTx), fault.StoreConflict)).To(BeTrue())
 		Expect(commits(c.ID)).To(BeZero())
 		Expect(changelog.Commit(ctx, c.ID)).To(Equal(Revision(2)))
@@ -215,7 +215,7 @@
 	It("resolves a change with a conflict as not accepted", func() {
 		lost := propose("luis", queue(20))
 		commitOps(Default, changelog, queue(10))
-		Expect(changelog.Resolve(ctx, lost.ID)).To(Equal(Resolution{Outcome: NotAccepted}))
+		Expect(changelog.Resolve(ctx, lost.ID)).To(Equal(Resolution{Outcome: OutcomeNotAccepted}))
 	})
 
 	It("reports a revision row that cannot be decoded", func() {
@@ -317,7 +317,7 @@
 			Expect(kindOf(err)).To(Equal(fault.SettingsDecided))
 			_, err = changelog.Approve(ctx, id, "luis")
 			Expect(kindOf(err)).To(Equal(fault.SettingsDecided))
-			Expect(changelog.Resolve(ctx, id)).To(Equal(Resolution{Outcome: NotAccepted}))
+			Expect(changelog.Resolve(ctx, id)).To(Equal(Resolution{Outcome: OutcomeNotAccepted}))
 		}
 	})
 
--- a/core/settle/commit.go
+++ b/core/settle/commit.go
@@ -34,10 +34,10 @@
 			return 0, err
 		}
 		r, resolveErr := l.Resolve(ctx, id)
-		if resolveErr != nil || r.Outcome == NotYetKnown {
+		if resolveErr != nil || r.Outcome == OutcomeNotYetKnown {
 			return 0, fault.Wrap(err, fault.StoreAmbiguous, "commit of change %s is not yet known", id)
 		}
-		if r.Outcome == Accepted {
+		if r.Outcome == OutcomeAccepted {
 			return r.Revision, nil
 		}
 	}
@@ -120,7 +120,7 @@
 	}
 	to := min(head.Revision, c.Base+snapshotThreshold)
 	since, _ := l.reader.deltas(ctx, c.Base, to)
-	conflict := &Conflict{Change: c.ID, Base: c.Base, Head: head.Revision, Since: since, Overlaps: overlappingOps(since, c.Ops)}
+	conflict := &Conflict{Change: c.ID, Base: c.Base, Head: head.Revision, DeltasSinceBase: since, OverlappingOps: overlappingOps(since, c.Ops)}
 	return commitAttempt{}, fault.Wrap(conflict, fault.SettingsConflict, "base %d, head %d", c.Base, head.Revision)
 }
 
@@ -129,9 +129,9 @@
 
 // The outcomes of a commit.
 const (
-	Accepted    Outcome = "accepted"
-	NotAccepted Outcome = "not-accepted"
-	NotYetKnown Outcome = "not-yet-known"
+	OutcomeAccepted    Outcome = "accepted"
+	OutcomeNotAccepted Outcome = "not-accepted"
+	OutcomeNotYetKnown Outcome = "not-yet-known"
 )
 
 // Resolution is the outcome of a commit as found by Resolve.
@@ -157,10 +157,10 @@
 			break
 		}
 		if c.State == StateCommitted {
-			return Resolution{Outcome: Accepted, Revision: c.Revision}, nil
+			return Resolution{Outcome: OutcomeAccepted, Revision: c.Revision}, nil
 		}
 		if c.State != StateProposed {
-			return Resolution{Outcome: NotAccepted}, nil
+			return Resolution{Outcome: OutcomeNotAccepted}, nil
 		}
 		next := c.Base + 1
 		row, err := l.reader.table.Get(ctx, revisionKey(next))
@@ -173,13 +173,13 @@
 		c.Fence++
 		err = l.writeChange(ctx, c, version)
 		if err == nil {
-			return Resolution{Outcome: NotAccepted}, nil
+			return Resolution{Outcome: OutcomeNotAccepted}, nil
 		}
 		if !mustReread(err) {
 			break
 		}
 	}
-	return Resolution{Outcome: NotYetKnown}, nil
+	return Resolution{Outcome: OutcomeNotYetKnown}, nil
 }
 
 // resolutionFromRow returns Accepted if the row of the revision names the change,
@@ -187,10 +187,10 @@
 func resolutionFromRow(row store.Row, revision Revision, id string) Resolution {
 	d, err := decodeDelta(row, revision)
 	if err != nil {
-		return Resolution{Outcome: NotYetKnown}
+		return Resolution{Outcome: OutcomeNotYetKnown}
 	}
 	if d.Change != id {
-		return Resolution{Outcome: NotAccepted}
+		return Resolution{Outcome: OutcomeNotAccepted}
 	}
-	return Resolution{Outcome: Accepted, Revision: revision}
+	return Resolution{Outcome: OutcomeAccepted, Revision: revision}
 }
--- a/core/settle/fetch.go
+++ b/core/settle/fetch.go
@@ -151,7 +151,7 @@
 		f.reportInvalid(&revisionError{revision: r, cause: err})
 		return
 	}
-	next := &Applied{Revision: r, Change: change, Doc: doc, Catalog: catalog, HeadReadAt: old.HeadReadAt}
+	next := &AppliedRevision{Revision: r, Change: change, Doc: doc, Catalog: catalog, HeadReadAt: old.HeadReadAt}
 	if len(deltas) > 0 {
 		// Concurrent readers use the old slice, so the deltas are copied.
 		next.recent = append(append(make([]*Delta, 0, len(old.recent)+len(deltas)), old.recent...), deltas...)
--- a/core/settle/follower.go
+++ b/core/settle/follower.go
@@ -40,13 +40,13 @@
 	reader     storeReader
 	queryPeers func(ctx context.Context, have Revision) []PeerReply
 	numSeeds   int
-	onApply    func(*Applied)
+	onApply    func(*AppliedRevision)
 	rng        *rand.Rand
 
 	// current is the revision in force; it is nil until the follower is ready.
-	current atomic.Pointer[Applied]
+	current atomic.Pointer[AppliedRevision]
 	// held is the newest valid revision, also while the follower is not ready.
-	held  atomic.Pointer[Applied]
+	held  atomic.Pointer[AppliedRevision]
 	state atomic.Pointer[FollowerState]
 	// peerRevision is the highest revision that a peer reported.
 	peerRevision atomic.Uint64
@@ -102,10 +102,10 @@
 	return func(f *Follower) { f.queryPeers, f.numSeeds = query, numSeeds }
 }
 
-// WithApplied sets a function that the follower's goroutine calls with each
+// WithOnApply sets a function that the follower's goroutine calls with each
 // revision that comes into force. If several revisions are fetched together, it is
 // called with the last one only.
-func WithApplied(onApply func(*Applied)) FollowerOption {
+func WithOnApply(onApply func(*AppliedRevision)) FollowerOption {
 	return func(f *Follower) { f.onApply = onApply }
 }
 
@@ -134,10 +134,10 @@
 }
 
 // emptyRevision returns revision 0, which has an empty document.
-func emptyRevision() *Applied {
+func emptyRevision() *AppliedRevision {
 	doc := tree.New()
 	catalog, _ := doc.Compile()
-	return &Applied{Doc: doc, Catalog: catalog}
+	return &AppliedRevision{Doc: doc, Catalog: catalog}
 }
 
 // newBackoff returns an exponential backoff without jitter.
@@ -166,15 +166,15 @@
 }
 
 // Current returns the revision in force, or nil while the follower is not ready.
-func (f *Follower) Current() *Applied { return f.current.Load() }
+func (f *Follower) Current() *AppliedRevision { return f.current.Load() }
 
 // State returns the state of the follower. The caller must not modify it.
 func (f *Follower) State() *FollowerState { return f.state.Load() }
 
-// Hear tells the follower that a peer holds the revision. If it is higher than the
+// ObservePeerRevision tells the follower that a peer holds the revision. If it is higher than the
 // held one and any reported before, the follower polls the store immediately; after
 // a store error it only queries the peers.
-func (f *Follower) Hear(r Revision) {
+func (f *Follower) ObservePeerRevision(r Revision) {
 	if f.raisePeerRevision(r) && r > f.held.Load().Revision {
 		select {
 		case f.wake <- struct{}{}:
--- a/core/settle/follower_test.go
+++ b/core/settle/follower_test.go
@@ -78,7 +78,7 @@
 }
 
 // queueLength returns the effective queue length of the test service.
-func queueLength(a *Applied) int {
+func queueLength(a *AppliedRevision) int {
 	svc, _ := a.Catalog.Service("stock")
 	return svc.Policy.QueueLength
 }
@@ -89,7 +89,7 @@
 	inBubble(t, func(t *testing.T, g *gomega.WithT) {
 		p, changelog := bootstrapped(g)
 		var seen []Revision
-		f := newSeededFollower(p.table(), 1, WithApplied(func(a *Applied) { seen = append(seen, a.Revision) }))
+		f := newSeededFollower(p.table(), 1, WithOnApply(func(a *AppliedRevision) { seen = append(seen, a.Revision) }))
 		g.Expect(f.Current()).To(gomega.BeNil())
 		startAndStop(t, f)
 		synctest.Wait()
@@ -110,12 +110,12 @@
 		f := startFollower(t, p, 1)
 		synctest.Wait()
 		r := commitQueueLengths(g, changelog, 1)
-		f.Hear(r)
+		f.ObservePeerRevision(r)
 		synctest.Wait()
 		g.Expect(f.Current().Revision).To(gomega.Equal(r))
 		reads, _ := p.counts()
-		f.Hear(r)
-		f.Hear(r - 1)
+		f.ObservePeerRevision(r)
+		f.ObservePeerRevision(r - 1)
 		synctest.Wait()
 		again, _ := p.counts()
 		g.Expect(again).To(gomega.Equal(reads))
@@ -303,7 +303,7 @@
 		r := commitQueueLengths(g, changelog, 3)
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		f.Hear(r)
+		f.ObservePeerRevision(r)
 		synctest.Wait()
 		g.Expect(f.Current().Revision).To(gomega.Equal(r))
 		commitQueueLengths(g, changelog, 200)
@@ -315,7 +315,7 @@
 		g.Expect(reply.Deltas).To(gomega.BeEmpty())
 		g.Expect(reply.Snapshot).NotTo(gomega.BeEmpty())
 		g.Expect(peer.Answer(RevisionAskMsg{Have: reply.Revision - maxRecentDeltas}).Deltas).To(gomega.HaveLen(maxRecentDeltas))
-		f.Hear(reply.Revision)
+		f.ObservePeerRevision(reply.Revision)
 		synctest.Wait()
 		g.Expect(f.Current().Revision).To(gomega.Equal(reply.Revision))
 		g.Expect(queueLength(f.Current())).To(gomega.Equal(queueLength(peer.Current())))
@@ -334,14 +334,14 @@
 			return nil, fault.New(fault.StoreUnavailable, "slow")
 		}
 		commitQueueLengths(g, changelog, 2)
-		peer.Hear(3)
+		peer.ObservePeerRevision(3)
 		synctest.Wait()
 		f := newSeededFollower(table, 2, WithPeers(answeringPeers(g, 1, false, peer), 0))
 		startAndStop(t, f)
 		synctest.Wait()
 		g.Expect(f.Current().Revision).To(gomega.Equal(Revision(3)))
 		commitQueueLengths(g, changelog, 2)
-		peer.Hear(5)
+		peer.ObservePeerRevision(5)
 		time.Sleep(6 * time.Second)
 		synctest.Wait()
 		g.Expect(f.Current().Revision).To(gomega.Equal(Revision(5)))
@@ -401,7 +401,7 @@
 		synctest.Wait()
 		p.setDown(true)
 		f := newSeededFollower(p.table(), 2, WithPeers(answeringPeers(g, 1, false, peer), 0))
-		f.Hear(2)
+		f.ObservePeerRevision(2)
 		startAndStop(t, f)
 		time.Sleep(20 * time.Second)
 		synctest.Wait()
@@ -474,7 +474,7 @@
 		}
 		f := startFollower(t, p, 1, WithPeers(ask, 0))
 		synctest.Wait()
-		f.Hear(900)
+		f.ObservePeerRevision(900)
 		time.Sleep(10 * time.Minute)
 		synctest.Wait()
 		g.Expect(f.Current().Revision).To(gomega.Equal(Revision(1)))
--- a/core/settle/snapshot.go
+++ b/core/settle/snapshot.go
@@ -27,7 +27,7 @@
 
 // scheduleSnapshot schedules the snapshot object of the revision if there is to be
 // one. A revision that was itself loaded from a snapshot needs none.
-func (f *Follower) scheduleSnapshot(a *Applied) {
+func (f *Follower) scheduleSnapshot(a *AppliedRevision) {
 	if f.reader.objects.Put == nil || a.Revision%SnapshotInterval != 0 || len(a.recent) == 0 {
 		return
 	}
@@ -76,7 +76,7 @@
 
 // encode returns the encoded snapshot of the held revision and caches it for the
 // next peer. The mutex lets one caller encode at a time; no I/O happens under it.
-func (f *Follower) encode(held *Applied) []byte {
+func (f *Follower) encode(held *AppliedRevision) []byte {
 	f.encodeMu.Lock()
 	defer f.encodeMu.Unlock()
 	if cached := f.encoded.Load(); cached != nil && cached.revision == held.Revision {
--- a/core/settle/state.go
+++ b/core/settle/state.go
@@ -6,9 +6,9 @@
 	"wisteriarelay.example/core/tree"
 )
 
-// Applied is a revision with its document and the compiled catalog, as a daemon
+// AppliedRevision is a revision with its document and the compiled catalog, as a daemon
 // uses it. It is immutable.
-type Applied struct {
+type AppliedRevision struct {
 	Revision Revision
 	// Change is the id of the change that created the revision. It is empty if
 	// the revision was loaded from a snapshot.
--- a/core/settle/types.go
+++ b/core/settle/types.go
@@ -14,15 +14,15 @@
 // The first revision is 1; 0 means that there are no settings.
 type Revision uint64
 
-// State is the state of a change.
-type State string
+// ChangeState is the state of a change.
+type ChangeState string
 
 // The states of a change. All but StateProposed are final.
 const (
-	StateProposed  State = "proposed"
-	StateCommitted State = "committed"
-	StateRejected  State = "rejected"
-	StateWithdrawn State = "withdrawn"
+	StateProposed  ChangeState = "proposed"
+	StateCommitted ChangeState = "committed"
+	StateRejected  ChangeState = "rejected"
+	StateWithdrawn ChangeState = "withdrawn"
 )
 
 // Approval records that an owner approved a change.
@@ -34,14 +34,14 @@
 // Change is a proposed change to the settings, as stored in its table row. Its
 // ops apply to the document of the base revision.
 type Change struct {
-	ID         string     `json:"id"`
-	Base       Revision   `json:"base"`
-	Ops        []tree.Op  `json:"ops"`
-	Author     string     `json:"author"`
-	Note       string     `json:"note,omitempty"`
-	ProposedAt time.Time  `json:"proposed"`
-	Approvals  []Approval `json:"approvals,omitempty"`
-	State      State      `json:"state"`
+	ID         string      `json:"id"`
+	Base       Revision    `json:"base"`
+	Ops        []tree.Op   `json:"ops"`
+	Author     string      `json:"author"`
+	Note       string      `json:"note,omitempty"`
+	ProposedAt time.Time   `json:"proposed"`
+	Approvals  []Approval  `json:"approvals,omitempty"`
+	State      ChangeState `json:"state"`
 	// Revision is the revision that the commit of the change created.
 	Revision Revision `json:"revision,omitempty"`
 	// DecidedBy and Reason are set when the change is rejected or withdrawn.
@@ -181,17 +181,17 @@
 	Change string   `json:"change"`
 	Base   Revision `json:"base"`
 	Head   Revision `json:"head"`
-	// Since lists the first revisions after the base, at most 64, oldest first.
+	// DeltasSinceBase lists the first revisions after the base, at most 64, oldest first.
 	// It is incomplete or empty if the store could not be read.
-	Since []*Delta `json:"since,omitempty"`
-	// Overlaps lists the ops of these revisions that overlap with the change.
-	Overlaps []tree.Op `json:"overlaps,omitempty"`
+	DeltasSinceBase []*Delta `json:"since,omitempty"`
+	// OverlappingOps lists the ops of these revisions that overlap with the change.
+	OverlappingOps []tree.Op `json:"overlaps,omitempty"`
 }
 
 // Error names the change and the overlapping paths and keys.
 func (c *Conflict) Error() string {
 	text := "change " + c.Change + " was proposed against an earlier revision"
-	for _, o := range c.Overlaps {
+	for _, o := range c.OverlappingOps {
 		text += "; also changed: " + string(o.Path) + " " + o.Key
 	}
 	return text
--- a/core/stand/platform_vms.go
+++ b/core/stand/platform_vms.go
@@ -81,7 +81,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(gone)) {
 		if gone[id] {
-			out.Gone = append(out.Gone, id)
+			out.Removed = append(out.Removed, id)
 		}
 	}
 	return out
@@ -89,7 +89,7 @@
 
 // VMList returns the platform's list of VMs.
 func (p *Platform) VMList() store.VMList {
-	return store.VMList{Since: p.vmsSince}
+	return store.VMList{ChangesSince: p.vmsSince}
 }
 
 func (p *Platform) vmsSince(ctx context.Context, version uint64) (out store.VMChanges, err error) {
--- a/core/store/apply_once.go
+++ b/core/store/apply_once.go
@@ -16,8 +16,8 @@
 // transaction. Nobody may delete it, or overwrite it with a value for which Mine
 // returns false although the transaction took effect.
 type Marker struct {
-	Key  string
-	Mine func(value []byte) bool
+	Key         string
+	WrittenByTx func(value []byte) bool
 }
 
 const (
@@ -107,7 +107,7 @@
 	if err != nil {
 		return false, false, err
 	}
-	return u.marker.Mine(row.Value), row.Version == u.version, nil
+	return u.marker.WrittenByTx(row.Value), row.Version == u.version, nil
 }
 
 // RetryWait returns the wait before the next attempt at a write. It doubles with each
--- a/core/store/client.go
+++ b/core/store/client.go
@@ -54,8 +54,8 @@
 	return func(c *Client) { c.daemons = live }
 }
 
-// WithFleetBudget sets the rate limits of the whole fleet in reads/s and writes/s.
-func WithFleetBudget(reads, writes float64) Option {
+// WithFleetRateLimits sets the rate limits of the whole fleet in reads/s and writes/s.
+func WithFleetRateLimits(reads, writes float64) Option {
 	return func(c *Client) { c.fleetRates = [2]float64{reads, writes} }
 }
 
@@ -89,8 +89,8 @@
 	VMs         BreakerStatus `json:"vms"`
 }
 
-// Dump returns the state of the client.
-func (c *Client) Dump() ClientState {
+// State returns the state of the client.
+func (c *Client) State() ClientState {
 	return ClientState{Table: c.table.currentStatus(), TableWrites: c.tableWrites.currentStatus(), Objects: c.objects.currentStatus(), VMs: c.vms.currentStatus()}
 }
 
@@ -111,7 +111,7 @@
 
 // VMList returns the VM list.
 func (c *Client) VMList() VMList {
-	return VMList{Since: c.vmsSince}
+	return VMList{ChangesSince: c.vmsSince}
 }
 
 func (c *Client) getRow(ctx context.Context, key string) (row Row, err error) {
--- a/core/store/store_test.go
+++ b/core/store/store_test.go
@@ -30,7 +30,7 @@
 
 // valueMarker returns a marker that recognises the row by its value.
 func valueMarker(key, value string) store.Marker {
-	return store.Marker{Key: key, Mine: func(v []byte) bool { return string(v) == value }}
+	return store.Marker{Key: key, WrittenByTx: func(v []byte) bool { return string(v) == value }}
 }
 
 func beKind(k fault.Kind) OmegaMatcher {
@@ -73,7 +73,7 @@
 		Expect(err).To(beKind(fault.NotFound))
 
 		Expect(p.PutVM(ctx, fleet.VM{ID: "v"})).To(Succeed())
-		changes, err := c.VMList().Since(ctx, 0)
+		changes, err := c.VMList().ChangesSince(ctx, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(changes.Live).To(HaveLen(1))
 	})
@@ -108,7 +108,7 @@
 			Expect(err).To(beKind(fault.StoreUnavailable))
 		}
 		Expect(p.Counts().TableReads).To(BeEquivalentTo(3))
-		Expect(c.Dump().Table.OpenSince).NotTo(BeZero())
+		Expect(c.State().Table.OpenSince).NotTo(BeZero())
 		Expect(c.Objects().Put(ctx, "o", nil)).To(Succeed())
 	})
 })
--- a/core/store/types.go
+++ b/core/store/types.go
@@ -63,12 +63,12 @@
 	// too old for a list of changes.
 	Full bool `json:"full,omitempty"`
 	// Live holds the VMs that were added or changed, Gone those that were removed.
-	Live []fleet.VM   `json:"live"`
-	Gone []fleet.VMID `json:"gone,omitempty"`
+	Live    []fleet.VM   `json:"live"`
+	Removed []fleet.VMID `json:"gone,omitempty"`
 }
 
 // VMList is the platform's list of live and leaving VMs, which is updated with a
 // delay. Since returns the changes after a version.
 type VMList struct {
-	Since func(ctx context.Context, version uint64) (VMChanges, error)
+	ChangesSince func(ctx context.Context, version uint64) (VMChanges, error)
 }
--- a/wisteriactl/changes.go
+++ b/wisteriactl/changes.go
@@ -140,9 +140,9 @@
 	switch {
 	case err != nil:
 		return err
-	case reply.Outcome == settle.NotYetKnown:
+	case reply.Outcome == settle.OutcomeNotYetKnown:
 		return &unknown{detail: reply.Detail + "; ask with: wisteriactl resolve " + reply.Change}
-	case reply.Outcome == settle.NotAccepted:
+	case reply.Outcome == settle.OutcomeNotAccepted:
 		return &refused{detail: "the change is not accepted; commit it again, or rebase it first"}
 	case reply.Outcome == admin.AwaitsApproval:
 		return &refused{detail: reply.Detail}
--- a/wisteriactl/exit.go
+++ b/wisteriactl/exit.go
@@ -66,7 +66,7 @@
 		fmt.Fprintln(w, "  ", problem)
 	}
 	if p.Conflict != nil {
-		for _, d := range p.Conflict.Since {
+		for _, d := range p.Conflict.DeltasSinceBase {
 			fmt.Fprintf(w, "   revision %d by %s is change %s: %s\n", d.Revision, d.Author, d.Change, opsText(d.Ops))
 		}
 		fmt.Fprintf(w, "   the change is kept; move it to the head with: wisteriactl rebase %s\n", p.Conflict.Change)
--- a/wisteriactl/main_test.go
+++ b/wisteriactl/main_test.go
@@ -48,7 +48,7 @@
 	router := mux.NewRouter()
 	Expect(admin.Mount(router, admin.Deps{
 		VM: "mdp-1", Operators: operators, Changelog: settle.NewChangelog(c.platform.Table()),
-		Applied: func() *settle.Applied { return nil },
+		Applied: func() *settle.AppliedRevision { return nil },
 		Targets: func(id fleet.ServiceID) ([]admin.Target, bool) {
 			return []admin.Target{
 				{Target: "reservas-1", DataCentre: "mdp", Health: "good", State: "ready", Weight: 1, InFlight: 2},
