--- a/core/admin/suite_test.go
+++ b/core/admin/suite_test.go
@@ -76,7 +76,7 @@
 	DeferCleanup(cancel)
 	ejector.Submit(detect.Assessment{Service: compiled})
 	live := []fleet.VM{
-		{ID: "mdp-1", DataCentre: "mdp", Admin: "10.1.0.1:7200"},
+		{ID: "mdp-1", DataCentre: "mdp", AdminAddress: "10.1.0.1:7200"},
 		{ID: "mdp-2", DataCentre: "mdp"},
 		{ID: "mdp-3", DataCentre: "mdp"},
 	}
--- a/core/admin/targets.go
+++ b/core/admin/targets.go
@@ -36,7 +36,7 @@
 func (a *api) notCarried(id fleet.ServiceID) error {
 	carriers := []Carrier{}
 	for _, vm := range a.Carriers(id) {
-		carriers = append(carriers, Carrier{VM: vm.ID, Admin: vm.Admin})
+		carriers = append(carriers, Carrier{VM: vm.ID, Admin: vm.AdminAddress})
 	}
 	if len(carriers) == 0 {
 		return fault.New(fault.UnknownService, "service %q", id)
--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -33,7 +33,7 @@
 	It("accepts comments and trailing commas and fills in defaults", func() {
 		s, err := config.Parse("d.json", []byte(example))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(s.Self().Caller).To(Equal("127.0.0.1:7000"))
+		Expect(s.Self().CallerAddress).To(Equal("127.0.0.1:7000"))
 		Expect(s.LogLevel).To(Equal("info"))
 	})
 
--- a/core/config/settings.go
+++ b/core/config/settings.go
@@ -82,12 +82,12 @@
 // Self returns the VM on which the daemon runs.
 func (s *Settings) Self() fleet.VM {
 	return fleet.VM{
-		ID:         s.VM,
-		Region:     s.Region,
-		DataCentre: s.DataCentre,
-		Caller:     s.CallerAddress,
-		Inner:      s.InnerAddress,
-		Admin:      s.AdminAddress,
+		ID:            s.VM,
+		Region:        s.Region,
+		DataCentre:    s.DataCentre,
+		CallerAddress: s.CallerAddress,
+		PeerAddress:   s.InnerAddress,
+		AdminAddress:  s.AdminAddress,
 	}
 }
 
--- a/core/daemon/engine.go
+++ b/core/daemon/engine.go
@@ -215,7 +215,7 @@
 	}
 	list.TTLSeconds = int(service.Policy.AddressTTL.Seconds())
 	for _, vm := range e.members.View().Addresses(id, place.Caller{DataCentre: dc, Key: caller}, time.Now()) {
-		list.Addresses = append(list.Addresses, proxy.Address{VM: vm.ID, DataCentre: vm.DataCentre, Address: vm.Caller})
+		list.Addresses = append(list.Addresses, proxy.Address{VM: vm.ID, DataCentre: vm.DataCentre, Address: vm.CallerAddress})
 	}
 	return list
 }
--- a/core/daemon/handlers.go
+++ b/core/daemon/handlers.go
@@ -39,12 +39,12 @@
 }
 
 func (h *handlers) orderAsk(_ context.Context, _ fleet.VMID, m *inner.OrderAskMsg) (*inner.OrderReplyMsg, error) {
-	reply := h.manager.Answer(*m)
+	reply := h.manager.AnswerQuery(*m)
 	return &reply, nil
 }
 
 func (h *handlers) ledger(_ context.Context, _ fleet.VMID, m *inner.LedgerMsg) (*inner.LedgerReplyMsg, error) {
-	if err := h.manager.Import(*m); err != nil {
+	if err := h.manager.ImportLedgerPart(*m); err != nil {
 		return nil, err
 	}
 	return &inner.LedgerReplyMsg{Kept: uint32(len(m.Records))}, nil
--- a/core/daemon/parts.go
+++ b/core/daemon/parts.go
@@ -168,8 +168,8 @@
 	}
 	return order.NewManager(inc, signer,
 		order.WithTable(p.Table),
-		order.WithAskHome(ps.askHome),
-		order.WithHolders(ps.holders)), nil
+		order.WithQueryFunc(ps.askHome),
+		order.WithImporters(ps.holders)), nil
 }
 
 func newRelay(s *config.Settings, e *engine, manager *order.Manager, set *stats.Set, l log.Logger) *proxy.Relay {
--- a/core/daemon/peers.go
+++ b/core/daemon/peers.go
@@ -39,14 +39,14 @@
 }
 
 // askHome asks the daemon that runs as the incarnation about an order.
-func (p *peers) askHome(ctx context.Context, to fleet.Incarnation, ask order.OrderAsk) (order.OrderReply, error) {
+func (p *peers) askHome(ctx context.Context, to fleet.Incarnation, ask order.KeyQuery) (order.KeyReply, error) {
 	vm, ok := p.find(to.VM())
 	if !ok {
-		return order.OrderReply{}, fault.New(fault.PeerUnreachable, "VM %s is not known", to.VM())
+		return order.KeyReply{}, fault.New(fault.PeerUnreachable, "VM %s is not known", to.VM())
 	}
-	reply, err := p.client.OrderAsk(ctx, inner.Peer{VM: vm.ID, Address: vm.Inner}, &ask)
+	reply, err := p.client.OrderAsk(ctx, inner.Peer{VM: vm.ID, Address: vm.PeerAddress}, &ask)
 	if err != nil {
-		return order.OrderReply{}, err
+		return order.KeyReply{}, err
 	}
 	return *reply, nil
 }
@@ -110,18 +110,18 @@
 	others := 0
 	for _, i := range rand.Perm(len(live)) {
 		vm := live[i]
-		if vm.ID == p.self.ID || !seeds[vm.Inner] && others >= maxAsked {
+		if vm.ID == p.self.ID || !seeds[vm.PeerAddress] && others >= maxAsked {
 			continue
 		}
-		if !seeds[vm.Inner] {
+		if !seeds[vm.PeerAddress] {
 			others++
 		}
-		calls = append(calls, &revisionCall{peers: p, vm: vm, seed: seeds[vm.Inner]})
-		delete(seeds, vm.Inner)
+		calls = append(calls, &revisionCall{peers: p, vm: vm, seed: seeds[vm.PeerAddress]})
+		delete(seeds, vm.PeerAddress)
 	}
 	for address := range seeds {
-		if address != p.self.Inner {
-			calls = append(calls, &revisionCall{peers: p, vm: fleet.VM{Inner: address}, seed: true})
+		if address != p.self.PeerAddress {
+			calls = append(calls, &revisionCall{peers: p, vm: fleet.VM{PeerAddress: address}, seed: true})
 		}
 	}
 	return calls
@@ -137,9 +137,9 @@
 }
 
 func (c *revisionCall) run(ctx context.Context) {
-	msg, err := c.peers.client.RevisionAsk(ctx, inner.Peer{VM: c.vm.ID, Address: c.vm.Inner}, &settle.RevisionAskMsg{Have: c.have})
+	msg, err := c.peers.client.RevisionAsk(ctx, inner.Peer{VM: c.vm.ID, Address: c.vm.PeerAddress}, &settle.RevisionAskMsg{Have: c.have})
 	if err != nil {
-		_ = level.Debug(c.peers.logger).Log("msg", "peer did not answer about settings", "address", c.vm.Inner, "detail", err)
+		_ = level.Debug(c.peers.logger).Log("msg", "peer did not answer about settings", "address", c.vm.PeerAddress, "detail", err)
 		c.replies <- nil
 		return
 	}
@@ -166,7 +166,7 @@
 // askVMs returns the VMs that the first answering seed knows.
 func (p *peers) askVMs(ctx context.Context) []fleet.VM {
 	for _, i := range rand.Perm(len(p.seeds)) {
-		if p.seeds[i] == p.self.Inner {
+		if p.seeds[i] == p.self.PeerAddress {
 			continue
 		}
 		callCtx, cancel := context.WithTimeout(ctx, seedTimeout)
@@ -204,7 +204,7 @@
 	view := p.members.View()
 	for i := range view.Peers {
 		peer := &view.Peers[i]
-		to := inner.Peer{VM: peer.VM.ID, Address: peer.VM.Inner}
+		to := inner.Peer{VM: peer.VM.ID, Address: peer.VM.PeerAddress}
 		switch {
 		case peer.VM.Leaving || !peer.IsHeard(now):
 		case peer.HearsUs(now):
--- a/core/daemon/shutdown.go
+++ b/core/daemon/shutdown.go
@@ -26,8 +26,8 @@
 	_ = level.Info(d.logger).Log("msg", "leaving", "serving-on-for", wait, "active", d.parts.Relay.Active())
 	d.waitForCallers(ctx, wait)
 	d.waitForRequests(ctx)
-	copies := d.parts.Peers.handOver(ctx, d.parts.Manager.Export())
-	if err := d.parts.Manager.Flush(ctx); err != nil {
+	copies := d.parts.Peers.handOver(ctx, d.parts.Manager.ExportLedgers())
+	if err := d.parts.Manager.FlushOutcomes(ctx); err != nil {
 		_ = level.Warn(d.logger).Log("msg", "order outcomes not written", "detail", err)
 	}
 	_ = level.Info(d.logger).Log("msg", "left", "ledger-copies", copies, "active", d.parts.Relay.Active())
--- a/core/daemon/slope_test.go
+++ b/core/daemon/slope_test.go
@@ -120,7 +120,7 @@
 	ctx := context.Background()
 	must(p.Table().Apply(ctx, store.Tx{ID: "t", Puts: []store.Put{{Key: "settings/head", Value: []byte(`{"revision":4000,"change":"0123456789abcdef"}`)}}}))
 	for i := range 690 {
-		must(p.PutVM(ctx, fleet.VM{ID: fleet.VMID(fmt.Sprintf("mdp-entry-%03d", i)), Region: "ar-costa", DataCentre: "mdp", Caller: "10.0.0.1:7000", Inner: "10.0.0.1:7100", Admin: "10.0.0.1:7200"}))
+		must(p.PutVM(ctx, fleet.VM{ID: fleet.VMID(fmt.Sprintf("mdp-entry-%03d", i)), Region: "ar-costa", DataCentre: "mdp", CallerAddress: "10.0.0.1:7000", PeerAddress: "10.0.0.1:7100", AdminAddress: "10.0.0.1:7200"}))
 	}
 	poll := func(call func() error) float64 {
 		must(call())
--- a/core/detect/floor_test.go
+++ b/core/detect/floor_test.go
@@ -155,7 +155,7 @@
 		return err
 	}
 	n := len(d.svc.Targets)
-	bound := n - d.svc.Policy.Floor.Of(n)
+	bound := n - d.svc.Policy.Floor.MinTargets(n)
 	if len(j.Entries) > bound {
 		return fmt.Errorf("row lists %d targets, bound is %d", len(j.Entries), bound)
 	}
@@ -250,7 +250,7 @@
 		}
 		available++
 	}
-	floor := svc.Policy.Floor.Of(len(svc.Targets))
+	floor := svc.Policy.Floor.MinTargets(len(svc.Targets))
 	if inService < min(floor, available) {
 		return fmt.Errorf("%d targets in service, floor %d, %d available: %v", inService, floor, available, states)
 	}
--- a/core/detect/policy_sim_test.go
+++ b/core/detect/policy_sim_test.go
@@ -392,7 +392,7 @@
 			usable++
 		}
 	}
-	if usable < s.svc.Policy.Floor.Of(s.c.targets)-len(s.signals) {
+	if usable < s.svc.Policy.Floor.MinTargets(s.c.targets)-len(s.signals) {
 		s.floorViolations++
 	}
 	for i := range s.c.faulty {
--- a/core/detect/state.go
+++ b/core/detect/state.go
@@ -85,7 +85,7 @@
 
 func newStateBuilder(svc *fleet.Service, ej Ejections, signals LeavingSignals, started map[fleet.TargetID]time.Time, now time.Time) *stateBuilder {
 	n := len(svc.Targets)
-	b := &stateBuilder{states: make([]TargetState, n), index: make(map[fleet.TargetID]int, n), removable: n - svc.Policy.Floor.Of(n)}
+	b := &stateBuilder{states: make([]TargetState, n), index: make(map[fleet.TargetID]int, n), removable: n - svc.Policy.Floor.MinTargets(n)}
 	for i := range svc.Targets {
 		t := &svc.Targets[i]
 		s := &b.states[i]
--- a/core/detect/transition.go
+++ b/core/detect/transition.go
@@ -123,7 +123,7 @@
 func (j Ejections) withSettings(svc *fleet.Service, now time.Time) Ejections {
 	n := j
 	n.Targets = len(svc.Targets)
-	n.Floor = svc.Policy.Floor.Of(n.Targets)
+	n.Floor = svc.Policy.Floor.MinTargets(n.Targets)
 	n.Past = slices.DeleteFunc(slices.Clone(j.Past), func(p PastEjection) bool {
 		keep := max(flapFactor*time.Duration(p.PeriodMS)*time.Millisecond, svc.Policy.SlowStart)
 		return now.Sub(p.Returned) > keep || !hasTarget(svc, p.Target)
--- a/core/fault/error.go
+++ b/core/fault/error.go
@@ -17,14 +17,14 @@
 	// advises a default wait and other advice none.
 	RetryAfter time.Duration
 	// Retry replaces the retry advice of the kind if it is set.
-	Retry Retry
+	Retry RetryAdvice
 	// Cause is the wrapped error; it may be nil.
 	Cause error
 }
 
 // New returns an error of the kind with the kind's default outcome.
 func New(k Kind, format string, args ...any) *Error {
-	return &Error{Kind: k, Outcome: k.Answer().Outcome, Detail: fmt.Sprintf(format, args...)}
+	return &Error{Kind: k, Outcome: k.Response().Outcome, Detail: fmt.Sprintf(format, args...)}
 }
 
 // Wrap returns an error of the kind that wraps cause.
@@ -62,7 +62,7 @@
 }
 
 // WithRetry returns a copy of the error with other retry advice.
-func (e *Error) WithRetry(r Retry) *Error {
+func (e *Error) WithRetry(r RetryAdvice) *Error {
 	c := *e
 	c.Retry = r
 	return &c
--- a/core/fault/kind.go
+++ b/core/fault/kind.go
@@ -53,26 +53,26 @@
 	kindCount
 )
 
-// Retry advises a caller whether and how to retry a request.
-type Retry string
+// RetryAdvice advises a caller whether and how to retry a request.
+type RetryAdvice string
 
 // The retry advice, with its names in responses.
 const (
-	RetryNever   Retry = "never"
-	RetrySameKey Retry = "same-key"
-	RetryNewKey  Retry = "new-key"
-	RetryLater   Retry = "later"
-	RetryOther   Retry = "other-address"
+	RetryNever        RetryAdvice = "never"
+	RetrySameKey      RetryAdvice = "same-key"
+	RetryNewKey       RetryAdvice = "new-key"
+	RetryLater        RetryAdvice = "later"
+	RetryOtherAddress RetryAdvice = "other-address"
 )
 
-// Answer is the default response for errors of one kind.
-type Answer struct {
+// Response is the default response for errors of one kind.
+type Response struct {
 	// Name is the kebab-case name of the kind.
 	Name    string
 	Title   string
 	Status  int
 	Outcome Outcome
-	Retry   Retry
+	Retry   RetryAdvice
 }
 
 // statusClientClosed is the status that is logged, but never sent, if the caller
@@ -80,7 +80,7 @@
 const statusClientClosed = 499
 
 // defaultResponses is the table of default responses by kind.
-var defaultResponses = [kindCount]Answer{
+var defaultResponses = [kindCount]Response{
 	Internal:           {"internal", "Internal error", http.StatusInternalServerError, Unknown, RetrySameKey},
 	BadRequest:         {"bad-request", "Malformed request", http.StatusBadRequest, NotRun, RetryNever},
 	RequestTooLarge:    {"request-too-large", "Request body too large", http.StatusRequestEntityTooLarge, NotRun, RetryNever},
@@ -88,8 +88,8 @@
 	UnknownRoute:       {"unknown-route", "No route for this path", http.StatusNotFound, NotRun, RetryNever},
 	RouteUnusable:      {"route-unusable", "Configuration of this route cannot be used", http.StatusServiceUnavailable, NotRun, RetryLater},
 	MethodNotAllowed:   {"method-not-allowed", "Method not allowed on this route", http.StatusMethodNotAllowed, NotRun, RetryNever},
-	NotCarried:         {"not-carried", "Service is not carried by this daemon", http.StatusMisdirectedRequest, NotRun, RetryOther},
-	NotReady:           {"not-ready", "Daemon is not ready", http.StatusServiceUnavailable, NotRun, RetryOther},
+	NotCarried:         {"not-carried", "Service is not carried by this daemon", http.StatusMisdirectedRequest, NotRun, RetryOtherAddress},
+	NotReady:           {"not-ready", "Daemon is not ready", http.StatusServiceUnavailable, NotRun, RetryOtherAddress},
 	DeadlineExceeded:   {"deadline-exceeded", "Deadline cannot be met", http.StatusGatewayTimeout, NotRun, RetryLater},
 	QueueFull:          {"queue-full", "Service is at its limit", http.StatusServiceUnavailable, NotRun, RetryLater},
 	NoTarget:           {"no-target", "No target can take the request", http.StatusServiceUnavailable, NotRun, RetryLater},
@@ -126,9 +126,9 @@
 	MessageInvalid:     {"message-invalid", "Message is not valid", http.StatusBadRequest, NotRun, RetryNever},
 }
 
-// Answer returns the default response for the kind, and that of Internal for a
+// Response returns the default response for the kind, and that of Internal for a
 // kind outside the list.
-func (k Kind) Answer() Answer {
+func (k Kind) Response() Response {
 	if k >= kindCount {
 		return defaultResponses[Internal]
 	}
@@ -137,7 +137,7 @@
 
 // String returns the kebab-case name of the kind.
 func (k Kind) String() string {
-	return k.Answer().Name
+	return k.Response().Name
 }
 
 // Kinds returns all kinds in the order of their declaration.
--- a/core/fault/problem.go
+++ b/core/fault/problem.go
@@ -17,20 +17,20 @@
 
 // Problem is the body of a failure response (RFC 9457, application/problem+json).
 type Problem struct {
-	Type         string  `json:"type"`
-	Title        string  `json:"title"`
-	Status       int     `json:"status"`
-	Detail       string  `json:"detail"`
-	Kind         string  `json:"kind"`
-	Outcome      Outcome `json:"outcome"`
-	Retry        Retry   `json:"retry"`
-	RetryAfterMs int64   `json:"retry-after-ms,omitempty"`
-	RequestID    string  `json:"request-id"`
+	Type         string      `json:"type"`
+	Title        string      `json:"title"`
+	Status       int         `json:"status"`
+	Detail       string      `json:"detail"`
+	Kind         string      `json:"kind"`
+	Outcome      Outcome     `json:"outcome"`
+	Retry        RetryAdvice `json:"retry"`
+	RetryAfterMs int64       `json:"retry-after-ms,omitempty"`
+	RequestID    string      `json:"request-id"`
 }
 
 // Problem returns the problem details for the response to a failed request.
 func (e *Error) Problem(requestID string) Problem {
-	response := e.Kind.Answer()
+	response := e.Kind.Response()
 	p := Problem{
 		Type:      problemTypePrefix + response.Name,
 		Title:     response.Title,
--- a/core/fleet/incarnation.go
+++ b/core/fleet/incarnation.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// IncarnationOf returns the incarnation of the VM with the given run id.
-func IncarnationOf(vm VMID, runID uint64) Incarnation {
+// IncarnationFromRunID returns the incarnation of the VM with the given run id.
+func IncarnationFromRunID(vm VMID, runID uint64) Incarnation {
 	b := []byte(vm)
 	b = append(b, '.')
 	digits := strconv.FormatUint(runID, 16)
@@ -16,8 +16,8 @@
 	return Incarnation(append(b, digits...))
 }
 
-// Run returns the run id of the incarnation, or 0 if i is malformed.
-func (i Incarnation) Run() uint64 {
+// RunID returns the run id of the incarnation, or 0 if i is malformed.
+func (i Incarnation) RunID() uint64 {
 	digits := string(i)[len(i.VM()):]
 	if len(digits) != 1+runIDSize*hex.EncodedLen(1) {
 		return 0
--- a/core/fleet/incarnation_test.go
+++ b/core/fleet/incarnation_test.go
@@ -13,9 +13,9 @@
 func TestIncarnationRoundTrip(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, i := range []fleet.Incarnation{"vm.a.000000000000000f", "vm-1.ffffffffffffffff", fleet.NewIncarnation("x")} {
-		g.Expect(fleet.IncarnationOf(i.VM(), i.Run())).To(gomega.Equal(i))
+		g.Expect(fleet.IncarnationFromRunID(i.VM(), i.RunID())).To(gomega.Equal(i))
 	}
 	for _, i := range []fleet.Incarnation{"", "vm", "vm.12", "vm.000000000000000g"} {
-		g.Expect(i.Run()).To(gomega.BeZero(), string(i))
+		g.Expect(i.RunID()).To(gomega.BeZero(), string(i))
 	}
 }
--- a/core/fleet/service.go
+++ b/core/fleet/service.go
@@ -61,18 +61,18 @@
 	return rest == "" || strings.HasSuffix(r.PathPrefix, "/") || rest[0] == '/'
 }
 
-// Kind is the kind of a request. It decides the priority of the request in the queue.
-type Kind uint8
+// RequestKind is the kind of a request. It decides the priority of the request in the queue.
+type RequestKind uint8
 
 // The kinds of requests.
 const (
-	Lookup Kind = iota
+	Lookup RequestKind = iota
 	Order
 	Batch
 )
 
 // String returns the kebab-case name of the kind.
-func (k Kind) String() string {
+func (k RequestKind) String() string {
 	switch k {
 	case Order:
 		return "order"
@@ -97,7 +97,7 @@
 	Name       string        `json:"name"`
 	Methods    []string      `json:"methods"`
 	PathPrefix string        `json:"path-prefix"`
-	Kind       Kind          `json:"kind"`
+	Kind       RequestKind   `json:"kind"`
 	Idempotent bool          `json:"idempotent"`
 	Deadline   time.Duration `json:"deadline"`
 	// Attempts is the maximum number of targets that are tried for one request.
@@ -161,9 +161,9 @@
 
 const hundredPercent = 100
 
-// Of returns the minimum number of targets for a service with n targets. A
+// MinTargets returns the minimum number of targets for a service with n targets. A
 // percentage is rounded up, and the result is at most n.
-func (f Floor) Of(n int) int {
+func (f Floor) MinTargets(n int) int {
 	floor := f.Count
 	if f.Percent > 0 {
 		share := f.Percent * float64(n) / hundredPercent
--- a/core/fleet/vm.go
+++ b/core/fleet/vm.go
@@ -6,11 +6,11 @@
 	ID         VMID       `json:"id" cbor:"1,keyasint"`
 	Region     Region     `json:"region" cbor:"2,keyasint"`
 	DataCentre DataCentre `json:"data-centre" cbor:"3,keyasint"`
-	// Caller, Inner and Admin are the daemon's addresses for callers, for peers
+	// CallerAddress, Inner and Admin are the daemon's addresses for callers, for peers
 	// and for the admin API.
-	Caller string `json:"caller" cbor:"4,keyasint"`
-	Inner  string `json:"inner" cbor:"5,keyasint"`
-	Admin  string `json:"admin" cbor:"6,keyasint"`
+	CallerAddress string `json:"caller" cbor:"4,keyasint"`
+	PeerAddress   string `json:"inner" cbor:"5,keyasint"`
+	AdminAddress  string `json:"admin" cbor:"6,keyasint"`
 	// Leaving says that the daemon shuts down or the VM is about to be removed.
 	Leaving bool `json:"leaving,omitempty" cbor:"7,keyasint,omitempty"`
 }
--- a/core/inner/bounds.go
+++ b/core/inner/bounds.go
@@ -76,7 +76,7 @@
 	v.requireID(field+" id", len(vm.ID))
 	v.atMost(field+" region", len(vm.Region), MaxIDLen)
 	v.atMost(field+" data centre", len(vm.DataCentre), MaxIDLen)
-	v.atMost(field+" caller address", len(vm.Caller), MaxAddressLen)
-	v.atMost(field+" inner address", len(vm.Inner), MaxAddressLen)
-	v.atMost(field+" admin address", len(vm.Admin), MaxAddressLen)
+	v.atMost(field+" caller address", len(vm.CallerAddress), MaxAddressLen)
+	v.atMost(field+" inner address", len(vm.PeerAddress), MaxAddressLen)
+	v.atMost(field+" admin address", len(vm.AdminAddress), MaxAddressLen)
 }
--- a/core/inner/client_test.go
+++ b/core/inner/client_test.go
@@ -101,7 +101,7 @@
 		reply := f.mustReport()
 		f.g.Expect(reply.Revision).To(gomega.Equal(uint64(4_001)))
 		f.g.Expect(from).To(gomega.Equal(fleet.VMID("a")))
-		_, err := f.client.OrderAsk(ctx, f.peer, &OrderAskMsg{Ledger: fleet.IncarnationOf("b", 1), Epoch: 1, Key: order.Hash{1}})
+		_, err := f.client.OrderAsk(ctx, f.peer, &OrderAskMsg{Ledger: fleet.IncarnationFromRunID("b", 1), Epoch: 1, Key: order.Hash{1}})
 		f.expectFault(err, fault.OrderClosed)
 		f.g.Expect(fault.From(err).Detail).To(gomega.Equal("closed: for good"))
 		kept, err := f.client.Ledger(ctx, f.peer, ledgerPart(1))
--- a/core/inner/inner_test.go
+++ b/core/inner/inner_test.go
@@ -91,7 +91,7 @@
 func makeReport(services, targets int) *ReportMsg {
 	m := &ReportMsg{Run: 1<<63 + 5, Started: 1_790_000_000_000, Sequence: 70_000, Revision: 4_000, Ready: true}
 	for i := range 5 {
-		m.Heard = append(m.Heard, IncarnationHash(fleet.IncarnationOf("vm", uint64(i+1))))
+		m.Heard = append(m.Heard, IncarnationHash(fleet.IncarnationFromRunID("vm", uint64(i+1))))
 	}
 	for i := range services {
 		s := ServiceReport{Service: fleet.ServiceID("disponible-0" + string(rune('1'+i))), EjectionVersion: 812}
@@ -106,7 +106,7 @@
 
 // ledgerPart returns a part of a ledger with n records.
 func ledgerPart(n int) *LedgerMsg {
-	p := &LedgerMsg{Ledger: fleet.IncarnationOf("vm-1", 1), Parts: 1, First: 1, Last: 1, Keep: time.Hour, Export: 5}
+	p := &LedgerMsg{Ledger: fleet.IncarnationFromRunID("vm-1", 1), Count: 1, FirstEpoch: 1, LastEpoch: 1, Retention: time.Hour, ExportID: 5}
 	for i := range n {
 		key := order.Hash{1, byte(i), byte(i >> 8)}
 		p.Records = append(p.Records, order.Record{Epoch: 1, Key: key, Digest: order.Hash{2}, State: order.StateNotRun})
@@ -118,20 +118,20 @@
 func samples() []drpc.Message {
 	home := fleet.NewIncarnation("vm-1")
 	report := makeReport(2, 3)
-	report.Self = &fleet.VM{ID: "vm-1", Region: "r", DataCentre: "d", Caller: "1.2.3.4:80", Inner: "1.2.3.4:81", Leaving: true}
+	report.Self = &fleet.VM{ID: "vm-1", Region: "r", DataCentre: "d", CallerAddress: "1.2.3.4:80", PeerAddress: "1.2.3.4:81", Leaving: true}
 	report.Services[0].Leaving = []fleet.TargetID{"t1"}
 	report.Services[1].Ejections = []byte("list")
 	return []drpc.Message{
 		report,
 		&ReportReplyMsg{Run: 7, Revision: 9, Status: ReportFromUnknownVM},
-		&OrderAskMsg{Ledger: home, Epoch: 2, Key: order.Hash{1}, Digest: order.Hash{2}, Want: order.WantRelease, Asker: &order.Grant{Holder: home, Epoch: 1}},
+		&OrderAskMsg{Ledger: home, Epoch: 2, Key: order.Hash{1}, Digest: order.Hash{2}, OnUnseen: order.UnseenRelease, Grant: &order.Grant{Grantee: home, Epoch: 1}},
 		&OrderReplyMsg{State: order.StateRun, Response: &order.Response{Status: 200, Body: []byte("answer")}},
 		ledgerPart(2),
 		&LedgerReplyMsg{Kept: 2},
 		&RevisionAskMsg{Have: 8},
 		&RevisionReplyMsg{Revision: 9, HeadRead: true, HeadAge: 1500, Snapshot: []byte("s")},
 		&VMsAskMsg{},
-		&VMsReplyMsg{VMs: []fleet.VM{{ID: "vm-1", Inner: "1.2.3.4:81"}}},
+		&VMsReplyMsg{VMs: []fleet.VM{{ID: "vm-1", PeerAddress: "1.2.3.4:81"}}},
 		&StateAskMsg{What: "peers"},
 		&StateReplyMsg{Revision: 3, Dump: []byte("{}")},
 	}
@@ -168,7 +168,7 @@
 		ginkgo.Entry("no start", &ReportMsg{Run: 1, Sequence: 1}),
 		ginkgo.Entry("no sequence", &ReportMsg{Run: 1, Started: 1}),
 		ginkgo.Entry("heard list", &ReportMsg{Run: 1, Started: 1, Sequence: 1, Heard: make([]uint32, MaxHeard+1)}),
-		ginkgo.Entry("self", &ReportMsg{Run: 1, Started: 1, Sequence: 1, Self: &fleet.VM{ID: "a", Inner: string(make([]byte, MaxAddressLen+1))}}),
+		ginkgo.Entry("self", &ReportMsg{Run: 1, Started: 1, Sequence: 1, Self: &fleet.VM{ID: "a", PeerAddress: string(make([]byte, MaxAddressLen+1))}}),
 		ginkgo.Entry("services", makeReport(MaxServices+1, 0)),
 		ginkgo.Entry("service twice", &ReportMsg{Run: 1, Started: 1, Sequence: 1, Services: []ServiceReport{{Service: "a"}, {Service: "a"}}}),
 		ginkgo.Entry("service id", &ReportMsg{Run: 1, Started: 1, Sequence: 1, Services: []ServiceReport{{}}}),
@@ -178,9 +178,9 @@
 		ginkgo.Entry("leaving target", &ReportMsg{Run: 1, Started: 1, Sequence: 1, Services: []ServiceReport{{Service: "a", Leaving: []fleet.TargetID{""}}}}),
 		ginkgo.Entry("reply", &ReportReplyMsg{Run: 1, Status: reportStatusCount}),
 		ginkgo.Entry("order home", &OrderAskMsg{Epoch: 1, Key: order.Hash{1}}),
-		ginkgo.Entry("order release without asker", &OrderAskMsg{Ledger: fleet.IncarnationOf("v", 1), Epoch: 1, Key: order.Hash{1}, Want: order.WantRelease}),
+		ginkgo.Entry("order release without asker", &OrderAskMsg{Ledger: fleet.IncarnationFromRunID("v", 1), Epoch: 1, Key: order.Hash{1}, OnUnseen: order.UnseenRelease}),
 		ginkgo.Entry("order response missing", &OrderReplyMsg{State: order.StateReleased}),
-		ginkgo.Entry("ledger part", &LedgerMsg{Ledger: fleet.IncarnationOf("v", 1), Part: 2, Parts: 2}),
+		ginkgo.Entry("ledger part", &LedgerMsg{Ledger: fleet.IncarnationFromRunID("v", 1), Index: 2, Count: 2}),
 		ginkgo.Entry("ledger size", ledgerPart(MaxRequestBytes/32)),
 		ginkgo.Entry("ledger reply", &LedgerReplyMsg{Kept: MaxLedgerRecords + 1}),
 		ginkgo.Entry("deltas out of order", &RevisionReplyMsg{Revision: 2, Deltas: []*settle.Delta{{Revision: 2}, {Revision: 2}}}),
--- a/core/inner/order.go
+++ b/core/inner/order.go
@@ -7,9 +7,9 @@
 type (
 	// OrderAskMsg asks the daemon that holds a ledger for the state of an order, or
 	// for the right to run it.
-	OrderAskMsg = order.OrderAsk
+	OrderAskMsg = order.KeyQuery
 	// OrderReplyMsg returns the state of an order.
-	OrderReplyMsg = order.OrderReply
+	OrderReplyMsg = order.KeyReply
 	// LedgerMsg transfers a part of a ledger to another carrier.
 	LedgerMsg = order.LedgerPart
 )
--- a/core/limit/dispatch.go
+++ b/core/limit/dispatch.go
@@ -63,7 +63,7 @@
 // to meet its deadline, the first one is served anyway, so that a wrong estimate of the
 // service time is corrected. exhausted is set if no waiter of any kind can use a slot,
 // so that the search may end.
-func (g *Gate) dispatchKind(step *dispatchStep, k fleet.Kind) (served, exhausted bool) {
+func (g *Gate) dispatchKind(step *dispatchStep, k fleet.RequestKind) (served, exhausted bool) {
 	var late []*waiter
 	serviceTime := g.estimate.serviceTime(k)
 	for w := range g.queue.kinds[k].inTurnOrder() {
--- a/core/limit/estimate.go
+++ b/core/limit/estimate.go
@@ -43,13 +43,13 @@
 
 func (e *serviceEstimate) addHoldTime(d time.Duration) { e.holdTime.add(d) }
 
-func (e *serviceEstimate) addServiceTime(k fleet.Kind, d time.Duration) {
+func (e *serviceEstimate) addServiceTime(k fleet.RequestKind, d time.Duration) {
 	e.serviceTimes[min(k, fleet.Batch)].add(d)
 }
 
 // serviceTime returns the expected service time of a kind. It is the hold time if the
 // kind has no sample yet, and 0 without any sample.
-func (e *serviceEstimate) serviceTime(k fleet.Kind) time.Duration {
+func (e *serviceEstimate) serviceTime(k fleet.RequestKind) time.Duration {
 	if d := e.serviceTimes[min(k, fleet.Batch)].value(); d > 0 {
 		return d
 	}
@@ -57,6 +57,6 @@
 }
 
 // Expected returns the expected service time of a kind, 0 without any sample.
-func (g *Gate) Expected(k fleet.Kind) time.Duration {
+func (g *Gate) Expected(k fleet.RequestKind) time.Duration {
 	return g.estimate.serviceTime(k)
 }
--- a/core/limit/gate.go
+++ b/core/limit/gate.go
@@ -31,7 +31,7 @@
 // Ask describes a request that needs a slot at a target.
 type Ask struct {
 	Workspace  fleet.WorkspaceID
-	Kind       fleet.Kind
+	Kind       fleet.RequestKind
 	Idempotent bool
 	// Deadline is the deadline of the request; zero means none.
 	Deadline time.Time
--- a/core/limit/grant.go
+++ b/core/limit/grant.go
@@ -33,12 +33,12 @@
 	gate     *Gate
 	usage    *targetUsage
 	start    time.Duration
-	kind     fleet.Kind
+	kind     fleet.RequestKind
 	released atomic.Bool
 }
 
 // newGrant returns a grant for a slot that is already claimed.
-func (g *Gate) newGrant(usage *targetUsage, kind fleet.Kind, now time.Duration) *Grant {
+func (g *Gate) newGrant(usage *targetUsage, kind fleet.RequestKind, now time.Duration) *Grant {
 	g.counts.granted.Add(1)
 	usage.workOffset.Add(-int64(now))
 	return &Grant{Target: usage.id, gate: g, usage: usage, kind: kind, start: now}
--- a/core/limit/harness_test.go
+++ b/core/limit/harness_test.go
@@ -37,7 +37,7 @@
 func dataCentre(i int) fleet.DataCentre { return fleet.DataCentre(fmt.Sprint("dc", i%3)) }
 
 // newRequest returns a request without a deadline; only orders are not idempotent.
-func newRequest(k fleet.Kind, ws fleet.WorkspaceID) limit.Ask {
+func newRequest(k fleet.RequestKind, ws fleet.WorkspaceID) limit.Ask {
 	return limit.Ask{Workspace: ws, Kind: k, Idempotent: k != fleet.Order}
 }
 
--- a/core/limit/property_test.go
+++ b/core/limit/property_test.go
@@ -45,7 +45,7 @@
 }
 
 func (m *stateModel) newRequest() limit.Ask {
-	a := newRequest(fleet.Kind(m.rng.IntN(3)), fleet.WorkspaceID(fmt.Sprint("w", m.rng.IntN(4))))
+	a := newRequest(fleet.RequestKind(m.rng.IntN(3)), fleet.WorkspaceID(fmt.Sprint("w", m.rng.IntN(4))))
 	if m.rng.IntN(4) == 0 {
 		a.Exclude = []fleet.TargetID{fleet.TargetID(fmt.Sprintf("t%02d", m.rng.IntN(6)))}
 	}
@@ -151,7 +151,7 @@
 	rng := rand.New(rand.NewPCG(seed, 2))
 	for range 300 {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(rng.IntN(2000))*time.Microsecond)
-		if gr, err := c.gate.Acquire(ctx, newRequest(fleet.Kind(rng.IntN(3)), fleet.WorkspaceID(fmt.Sprint(rng.IntN(3))))); err == nil {
+		if gr, err := c.gate.Acquire(ctx, newRequest(fleet.RequestKind(rng.IntN(3)), fleet.WorkspaceID(fmt.Sprint(rng.IntN(3))))); err == nil {
 			n := &c.held[gr.Target[2]-'0']
 			if n.Add(1) > 2 {
 				c.overSlots.Add(1)
--- a/core/limit/queue.go
+++ b/core/limit/queue.go
@@ -38,15 +38,15 @@
 type queue struct {
 	kinds [fleet.Batch + 1]kindQueue
 	// nextInteractive is the interactive kind whose turn it is.
-	nextInteractive fleet.Kind
+	nextInteractive fleet.RequestKind
 }
 
-func kindOf(req *Ask) fleet.Kind {
+func kindOf(req *Ask) fleet.RequestKind {
 	return min(req.Kind, fleet.Batch)
 }
 
 // otherInteractive returns the interactive kind that alternates with k.
-func otherInteractive(k fleet.Kind) fleet.Kind {
+func otherInteractive(k fleet.RequestKind) fleet.RequestKind {
 	if k == fleet.Order {
 		return fleet.Lookup
 	}
--- a/core/limit/sim_test.go
+++ b/core/limit/sim_test.go
@@ -185,7 +185,7 @@
 // addFigures adds the measured values to sums; refusals are in percent of all requests.
 func (sim *simulation) addFigures(sums map[string]float64) {
 	for k, n := range sim.offered {
-		sums["%"+fleet.Kind(k).String()+"-in-time"] += 100 * float64(sim.inTime[k]) / float64(n)
+		sums["%"+fleet.RequestKind(k).String()+"-in-time"] += 100 * float64(sim.inTime[k]) / float64(n)
 	}
 	percent := 100 / float64(sim.offered[0]+sim.offered[1]+sim.offered[2])
 	for _, g := range sim.gates {
--- a/core/member/cluster_test.go
+++ b/core/member/cluster_test.go
@@ -57,7 +57,7 @@
 }
 
 func makeVM(id string) fleet.VM {
-	return fleet.VM{ID: fleet.VMID(id), Region: "r", DataCentre: fleet.DataCentre("dc-" + id[:1]), Caller: id + ":80", Inner: id + ":81"}
+	return fleet.VM{ID: fleet.VMID(id), Region: "r", DataCentre: fleet.DataCentre("dc-" + id[:1]), CallerAddress: id + ":80", PeerAddress: id + ":81"}
 }
 
 func makeService(id string) *fleet.Service {
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -165,20 +165,20 @@
 		synctest.Wait()
 		time.Sleep(3 * time.Second)
 		moved := makeVM("b1")
-		moved.Inner = "b1-moved:81"
+		moved.PeerAddress = "b1-moved:81"
 		replaced := cl.start(moved)
 		time.Sleep(3 * time.Second)
 		p := cl.peer("a1", "b1")
 		cl.g.Expect(p.Incarnation).To(gomega.Equal(replaced.incarnation))
-		cl.g.Expect(p.VM.Inner).To(gomega.Equal("b1-moved:81"), "the list lags behind the VM")
-		late := &inner.ReportMsg{Run: old.incarnation.Run(), Started: old.started, Sequence: 1000, Leaving: true}
+		cl.g.Expect(p.VM.PeerAddress).To(gomega.Equal("b1-moved:81"), "the list lags behind the VM")
+		late := &inner.ReportMsg{Run: old.incarnation.RunID(), Started: old.started, Sequence: 1000, Leaving: true}
 		before := a.Counters().Outdated
 		reply, err := a.Receive(cl.ctx, "b1", late)
 		cl.g.Expect(err).NotTo(gomega.HaveOccurred())
 		cl.g.Expect(reply.Status).To(gomega.Equal(inner.ReportOutdated))
 		cl.g.Expect(cl.peer("a1", "b1").Incarnation).To(gomega.Equal(replaced.incarnation))
 		cl.g.Expect(cl.usability("a1", "b1")).To(gomega.Equal(usableForAll))
-		overtaken := &inner.ReportMsg{Run: replaced.incarnation.Run(), Started: replaced.started, Sequence: 1, Leaving: true}
+		overtaken := &inner.ReportMsg{Run: replaced.incarnation.RunID(), Started: replaced.started, Sequence: 1, Leaving: true}
 		_, err = a.Receive(cl.ctx, "b1", overtaken)
 		cl.g.Expect(err).NotTo(gomega.HaveOccurred())
 		cl.g.Expect(cl.usability("a1", "b1")).To(gomega.Equal(usableForAll))
--- a/core/member/outgoing.go
+++ b/core/member/outgoing.go
@@ -61,7 +61,7 @@
 	var reports []outgoingReport
 	for _, id := range slices.Sorted(maps.Keys(byPeer)) {
 		r, vm := t.peerState(id), t.vm(id)
-		if vm.Inner == "" {
+		if vm.PeerAddress == "" {
 			continue
 		}
 		if r.pendingReports >= limit {
@@ -70,7 +70,7 @@
 		}
 		r.pendingReports++
 		reports = append(reports, outgoingReport{
-			to:         inner.Peer{VM: id, Address: vm.Inner},
+			to:         inner.Peer{VM: id, Address: vm.PeerAddress},
 			services:   byPeer[id],
 			composedAt: now,
 			parts:      []*inner.ReportMsg{t.newReport(id, byPeer, now)},
@@ -107,7 +107,7 @@
 func (t *Table) newReport(to fleet.VMID, byPeer map[fleet.VMID][]fleet.ServiceID, now time.Time) *inner.ReportMsg {
 	n := uint64(len(byPeer[to]))
 	m := &inner.ReportMsg{
-		Run:      t.incarnation.Run(),
+		Run:      t.incarnation.RunID(),
 		Started:  t.started,
 		Sequence: t.sequence.Add(n) - n + 1,
 		Leaving:  t.leaving,
--- a/core/member/peerstate.go
+++ b/core/member/peerstate.go
@@ -48,7 +48,7 @@
 	if r.run == 0 {
 		return ""
 	}
-	return fleet.IncarnationOf(id, r.run)
+	return fleet.IncarnationFromRunID(id, r.run)
 }
 
 func (r *peerState) toPeer(listed bool, vm fleet.VM) Peer {
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -25,7 +25,7 @@
 		t.counters.received.Add(1)
 		t.deliver(sender, m)
 	}
-	reply := &inner.ReportReplyMsg{Run: t.incarnation.Run(), Revision: t.revision(), Status: status}
+	reply := &inner.ReportReplyMsg{Run: t.incarnation.RunID(), Revision: t.revision(), Status: status}
 	return reply, nil
 }
 
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -60,7 +60,7 @@
 		started:        uint64(time.Now().UnixMilli()),
 		hooks:          hooks,
 		log:            log.NewNopLogger(),
-		seed:           incarnation.Run(),
+		seed:           incarnation.RunID(),
 		wakeup:         make(chan struct{}, 1),
 		listed:         make(map[fleet.VMID]fleet.VM),
 		removedAt:      make(map[fleet.VMID]time.Time),
--- a/core/order/bench_test.go
+++ b/core/order/bench_test.go
@@ -17,7 +17,7 @@
 	f := newTestFleet()
 	m := f.addManager("vm-0123", WithMaxRecords(1<<30), WithMaxKeptBytes(1<<40, 64<<10))
 	list := make([]Request, b.N)
-	token, err := m.Token("reservas", ModeHome)
+	token, err := m.IssueToken("reservas", ModeLedger)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 		if callerChosen {
 			key = fmt.Sprint(i)
 		}
-		list[i] = Request{Key: key, Service: "reservas", Workspace: "w", Digest: sum, Carried: true}
+		list[i] = Request{Key: key, Service: "reservas", Workspace: "w", Digest: sum, MayRun: true}
 	}
 	return f, m, list
 }
@@ -41,7 +41,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for _, r := range list {
-		m.Begin(ctx, r).Ticket.Finish(fault.Run, nil)
+		m.Begin(ctx, r).Permit.Finish(fault.Run, nil)
 	}
 	b.StopTimer()
 	b.ReportMetric(float64(heapAlloc()-before)/float64(b.N), "heap-B/record")
@@ -62,7 +62,7 @@
 	b.ReportAllocs()
 	size := 0
 	for b.Loop() {
-		t, _ := m.Token("reservas", ModeHome)
+		t, _ := m.IssueToken("reservas", ModeLedger)
 		size = len(t)
 	}
 	b.ReportMetric(float64(size), "chars")
@@ -94,8 +94,8 @@
 			f, m, list := benchManager(b, callerChosen)
 			ctx := context.Background()
 			for _, r := range list {
-				m.Begin(ctx, r).Ticket.Finish(fault.Run, response("booked"))
-				_ = m.Flush(ctx)
+				m.Begin(ctx, r).Permit.Finish(fault.Run, response("booked"))
+				_ = m.FlushOutcomes(ctx)
 			}
 			n := f.platform.Counts()
 			b.ReportMetric(float64(n.TableWrites)/float64(b.N), "writes/order")
--- a/core/order/copy.go
+++ b/core/order/copy.go
@@ -18,12 +18,12 @@
 // allow returns the decision to run the order, whose record is in the given epoch
 // of this incarnation's ledger.
 func (c *orderCopy) allow(epoch uint32, claim *openClaim) Decision {
-	return Decision{Verdict: VerdictRun, Ticket: Ticket{manager: c.manager, key: c.key, epoch: epoch, claim: claim}}
+	return Decision{Verdict: VerdictRun, Permit: Permit{manager: c.manager, key: c.key, epoch: epoch, claim: claim}}
 }
 
 // beginLocal decides on a key under a token that this incarnation issued.
 func (c *orderCopy) beginLocal(ctx context.Context) Decision {
-	r, admitted := c.manager.ledger.begin(c.token.Epoch, c.key, c.req.Digest, c.req.Carried)
+	r, admitted := c.manager.ledger.begin(c.token.Epoch, c.key, c.req.Digest, c.req.MayRun)
 	switch {
 	case admitted:
 		return c.allow(c.token.Epoch, nil)
@@ -39,7 +39,7 @@
 // reservation, or 0 if the key is to be closed instead. If done is true, the
 // ledger already has a record of the key, and d is the decision.
 func (c *orderCopy) reserve() (epoch uint32, d Decision, done bool) {
-	if !c.req.Carried {
+	if !c.req.MayRun {
 		return 0, d, false
 	}
 	r, known, epoch := c.manager.ledger.reserve(c.key, c.req.Digest)
@@ -55,12 +55,12 @@
 	if done {
 		return d
 	}
-	query := OrderAsk{Ledger: c.token.Issuer, Epoch: c.token.Epoch, Key: c.key, Digest: c.req.Digest, Want: WantClose}
+	query := KeyQuery{Ledger: c.token.Issuer, Epoch: c.token.Epoch, Key: c.key, Digest: c.req.Digest, OnUnseen: UnseenClose}
 	if epoch != 0 {
-		query.Want, query.Asker = WantRelease, &Grant{Holder: c.manager.self, Epoch: epoch}
+		query.OnUnseen, query.Grant = UnseenRelease, &Grant{Grantee: c.manager.self, Epoch: epoch}
 	}
 	reply, err := c.manager.queryLedger(ctx, query)
-	if err == nil && reply.State == StateReleased && reply.Grant.Holder == c.manager.self {
+	if err == nil && reply.State == StateReleased && reply.Grant.Grantee == c.manager.self {
 		return c.useGrant(epoch, *reply.Grant, nil)
 	}
 	c.cancelReservation(epoch)
@@ -102,8 +102,8 @@
 }
 
 // closeQuery returns a query to the grantee that closes the key unless it has a record.
-func (c *orderCopy) closeQuery(g Grant) OrderAsk {
-	return OrderAsk{Ledger: g.Holder, Epoch: g.Epoch, Key: c.key, Digest: c.req.Digest, Want: WantClose}
+func (c *orderCopy) closeQuery(g Grant) KeyQuery {
+	return KeyQuery{Ledger: g.Grantee, Epoch: g.Epoch, Key: c.key, Digest: c.req.Digest, OnUnseen: UnseenClose}
 }
 
 // queryGrantee queries the only incarnation that may run the order. If that has
@@ -118,7 +118,7 @@
 
 // queryLedger sends a query to a ledger wherever it may be: in this daemon, at
 // the incarnation that owns it, or at a daemon to which it was handed over.
-func (m *Manager) queryLedger(ctx context.Context, query OrderAsk) (OrderReply, error) {
+func (m *Manager) queryLedger(ctx context.Context, query KeyQuery) (KeyReply, error) {
 	if query.Ledger == m.self {
 		return m.ledger.answer(query), nil
 	}
@@ -144,16 +144,16 @@
 
 // queryIncarnation sends a query to another incarnation. It returns an error if
 // that does not have the ledger.
-func (m *Manager) queryIncarnation(ctx context.Context, to fleet.Incarnation, query OrderAsk) (OrderReply, error) {
+func (m *Manager) queryIncarnation(ctx context.Context, to fleet.Incarnation, query KeyQuery) (KeyReply, error) {
 	reply, err := m.queryPeer(ctx, to, query)
 	if err != nil {
-		return OrderReply{}, err
+		return KeyReply{}, err
 	}
 	if err := reply.Validate(); err != nil {
-		return OrderReply{}, err
+		return KeyReply{}, err
 	}
 	if reply.State == StateNotHeld {
-		return OrderReply{}, fault.New(fault.PeerUnreachable, "%s doesn't hold the ledger of %s", to, query.Ledger)
+		return KeyReply{}, fault.New(fault.PeerUnreachable, "%s doesn't hold the ledger of %s", to, query.Ledger)
 	}
 	return reply, nil
 }
@@ -167,7 +167,7 @@
 	rowKey := claimRowKey(c.req.Workspace, c.key)
 	row := ClaimRow{
 		ID:     c.manager.claims.newID(),
-		Grant:  Grant{Holder: c.manager.self, Epoch: max(epoch, 1)},
+		Grant:  Grant{Grantee: c.manager.self, Epoch: max(epoch, 1)},
 		Digest: c.req.Digest,
 		State:  StateRunning,
 	}
@@ -178,7 +178,7 @@
 	defer cancel()
 	err := c.manager.claims.insert(limited, rowKey, row)
 	if err == nil && epoch == 0 {
-		return decisionFor(OrderReply{State: StateNotRun})
+		return decisionFor(KeyReply{State: StateNotRun})
 	}
 	if err == nil {
 		return c.useGrant(epoch, row.Grant, &openClaim{rowKey, row})
@@ -200,9 +200,9 @@
 	known := record{digest: row.Digest, state: row.State, response: row.Response}
 	if known.forDigest(c.req.Digest).state == StateMismatch {
 		c.cancelReservation(epoch)
-		return decisionFor(OrderReply{State: StateMismatch})
+		return decisionFor(KeyReply{State: StateMismatch})
 	}
-	if row.State == StateRunning && row.Grant.Holder == c.manager.self {
+	if row.State == StateRunning && row.Grant.Grantee == c.manager.self {
 		// The row comes from an earlier insert by this incarnation whose reply was lost.
 		return c.useGrant(epoch, row.Grant, &openClaim{rowKey, row})
 	}
@@ -216,7 +216,7 @@
 		if d := c.queryGrantee(ctx, row.Grant); d.Verdict == VerdictReplay {
 			return d
 		}
-		return decisionFor(OrderReply{State: StateRunDropped})
+		return decisionFor(KeyReply{State: StateRunDropped})
 	default:
 		return c.queryGrantee(ctx, row.Grant)
 	}
--- a/core/order/decision.go
+++ b/core/order/decision.go
@@ -41,11 +41,11 @@
 	Workspace fleet.WorkspaceID
 	// Digest is the digest of the request. It may be zero only if Carried is
 	// false; the decision then has no response.
-	Digest Hash
-	Mode   fleet.OrderKeyMode
-	// Carried says that this daemon may run the order. If it is false, the key
+	Digest  Hash
+	KeyMode fleet.OrderKeyMode
+	// MayRun says that this daemon may run the order. If it is false, the key
 	// is closed as not run, provided that no copy ran or may still run.
-	Carried bool
+	MayRun bool
 }
 
 // Decision is the verdict on one copy of an order.
@@ -56,13 +56,13 @@
 	// Fault is the error for the caller. It is nil with VerdictRun and if there
 	// is a Response.
 	Fault *fault.Error
-	// Ticket is set with VerdictRun. The caller must call its Finish once.
-	Ticket Ticket
+	// Permit is set with VerdictRun. The caller must call its Finish once.
+	Permit Permit
 }
 
-// Ticket is the permission to run an order once. The zero Ticket is for an order
+// Permit is the permission to run an order once. The zero Permit is for an order
 // without a key, whose outcome is not recorded.
-type Ticket struct {
+type Permit struct {
 	manager *Manager
 	key     Hash
 	epoch   uint32
@@ -78,7 +78,7 @@
 // Finish records the outcome of the order and, with fault.Run, its response. The
 // outcome may be fault.NotRun only if it is certain that the target did not act
 // on any part of the request; the key can then never be used again.
-func (t Ticket) Finish(outcome fault.Outcome, res *Response) {
+func (t Permit) Finish(outcome fault.Outcome, res *Response) {
 	if t.manager == nil {
 		return
 	}
@@ -89,7 +89,7 @@
 }
 
 // decisionFor returns the decision for a reply that does not permit the copy to run.
-func decisionFor(r OrderReply) Decision {
+func decisionFor(r KeyReply) Decision {
 	switch r.State {
 	case StateAsking, StateRunning:
 		return refusedDecision(VerdictInProgress, fault.OrderInProgress, "another copy of the order is running")
@@ -122,4 +122,4 @@
 
 // QueryFunc sends a query to the daemon with the given incarnation and returns
 // its reply, or an error if there was none.
-type QueryFunc func(ctx context.Context, to fleet.Incarnation, query OrderAsk) (OrderReply, error)
+type QueryFunc func(ctx context.Context, to fleet.Incarnation, query KeyQuery) (KeyReply, error)
--- a/core/order/fault_injector_test.go
+++ b/core/order/fault_injector_test.go
@@ -80,7 +80,7 @@
 // successor while its last requests still run.
 func (t *faultInjector) replaceProcess(vm int, p *process) {
 	s := t.sim
-	parts := p.manager.Export()
+	parts := p.manager.ExportLedgers()
 	for range 2 {
 		_, to := s.randomVM()
 		for _, part := range parts {
@@ -89,7 +89,7 @@
 			}
 			var in LedgerPart
 			reencode(part, &in)
-			if to.manager.Import(in) == nil {
+			if to.manager.ImportLedgerPart(in) == nil {
 				s.importedParts++
 			}
 		}
--- a/core/order/fuzz_test.go
+++ b/core/order/fuzz_test.go
@@ -17,7 +17,7 @@
 	}
 	// A constant nonce, because all processes of a fuzz run must issue the same token.
 	s.random = func(b []byte) (int, error) { return len(b), nil }
-	token, err := s.Issue(Token{Service: "reservas", Issuer: "vm1.0123456789abcdef", Epoch: 3, Mode: ModeHome})
+	token, err := s.Issue(Token{Service: "reservas", Issuer: "vm1.0123456789abcdef", Epoch: 3, Mode: ModeLedger})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -39,12 +39,12 @@
 // message that changes when it is encoded and decoded again.
 func FuzzMessages(f *testing.F) {
 	key := digest("key")
-	grant := &Grant{Holder: "vm1.0123456789abcdef", Epoch: 2}
+	grant := &Grant{Grantee: "vm1.0123456789abcdef", Epoch: 2}
 	for _, m := range []any{
-		OrderAsk{Ledger: "vm1.0123456789abcdef", Epoch: 1, Key: key, Digest: key, Want: WantRelease, Asker: grant},
-		OrderReply{State: StateReleased, Grant: grant},
-		OrderReply{State: StateRun, Response: response("x")},
-		LedgerPart{Ledger: "vm1.0123456789abcdef", Parts: 1, First: 1, Last: 2, Records: []Record{{Epoch: 1, Key: key, State: StateNotRun}}},
+		KeyQuery{Ledger: "vm1.0123456789abcdef", Epoch: 1, Key: key, Digest: key, OnUnseen: UnseenRelease, Grant: grant},
+		KeyReply{State: StateReleased, Grant: grant},
+		KeyReply{State: StateRun, Response: response("x")},
+		LedgerPart{Ledger: "vm1.0123456789abcdef", Count: 1, FirstEpoch: 1, LastEpoch: 2, Records: []Record{{Epoch: 1, Key: key, State: StateNotRun}}},
 		ClaimRow{ID: "1", Grant: *grant, Digest: key, State: StateRunning},
 	} {
 		b, err := cbor.Marshal(m)
@@ -54,8 +54,8 @@
 		f.Add(b)
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		checkRoundTrip(t, b, &OrderAsk{}, &OrderAsk{})
-		checkRoundTrip(t, b, &OrderReply{}, &OrderReply{})
+		checkRoundTrip(t, b, &KeyQuery{}, &KeyQuery{})
+		checkRoundTrip(t, b, &KeyReply{}, &KeyReply{})
 		checkRoundTrip(t, b, &LedgerPart{}, &LedgerPart{})
 		checkRoundTrip(t, b, &ClaimRow{}, &ClaimRow{})
 	})
--- a/core/order/handover.go
+++ b/core/order/handover.go
@@ -68,7 +68,7 @@
 	for i := range l.shards {
 		records = l.shards[i].export(records)
 	}
-	return LedgerPart{Ledger: l.self, First: first, Last: last, Keep: l.retention}.split(records)
+	return LedgerPart{Ledger: l.self, FirstEpoch: first, LastEpoch: last, Retention: l.retention}.split(records)
 }
 
 func (s *shard) export(into []Record) []Record {
@@ -95,7 +95,7 @@
 	dropOldResponses(records)
 	var id [8]byte
 	_, _ = rand.Read(id[:])
-	p.Export = binary.LittleEndian.Uint64(id[:])
+	p.ExportID = binary.LittleEndian.Uint64(id[:])
 	var list []LedgerPart
 	for len(records) > 0 || len(list) == 0 {
 		n := nextPartLength(records)
@@ -103,7 +103,7 @@
 		list = append(list, p)
 	}
 	for i := range list {
-		list[i].Part, list[i].Parts = i, len(list)
+		list[i].Index, list[i].Count = i, len(list)
 	}
 	return list
 }
@@ -172,7 +172,7 @@
 	il.mu.Lock()
 	defer il.mu.Unlock()
 	l := il.ledgers[p.Ledger]
-	if l != nil && l.exportID != p.Export && len(l.missingParts) > 0 {
+	if l != nil && l.exportID != p.ExportID && len(l.missingParts) > 0 {
 		il.removeLocked(p.Ledger)
 		l = nil
 	}
@@ -180,13 +180,13 @@
 		l = newImportedLedger(p, now)
 		il.ledgers[p.Ledger] = l
 	}
-	if l.exportID != p.Export || !l.missingParts[p.Part] {
+	if l.exportID != p.ExportID || !l.missingParts[p.Index] {
 		return nil
 	}
 	if il.records+int64(len(p.Records)) > il.maxRecords {
 		return fault.New(fault.QueueFull, "no room for %d records of %q", len(p.Records), p.Ledger)
 	}
-	delete(l.missingParts, p.Part)
+	delete(l.missingParts, p.Index)
 	for _, r := range p.Records {
 		il.addRecord(l, r)
 	}
@@ -194,8 +194,8 @@
 }
 
 func newImportedLedger(p LedgerPart, now time.Time) *importedLedger {
-	l := &importedLedger{exportID: p.Export, firstEpoch: p.First, lastEpoch: p.Last, expiresAt: now.Add(p.Keep), missingParts: map[int]bool{}, records: map[recordKey]record{}}
-	for i := range p.Parts {
+	l := &importedLedger{exportID: p.ExportID, firstEpoch: p.FirstEpoch, lastEpoch: p.LastEpoch, expiresAt: now.Add(p.Retention), missingParts: map[int]bool{}, records: map[recordKey]record{}}
+	for i := range p.Count {
 		l.missingParts[i] = true
 	}
 	return l
@@ -217,23 +217,23 @@
 // answer replies to a query about a ledger that was handed over. A key without a
 // record is known to be not run only if all parts have arrived and its epoch is
 // one of those that the ledger covers.
-func (il *importedLedgers) answer(q OrderAsk) OrderReply {
+func (il *importedLedgers) answer(q KeyQuery) KeyReply {
 	il.mu.Lock()
 	defer il.mu.Unlock()
 	l := il.ledgers[q.Ledger]
 	if l == nil {
-		return OrderReply{State: StateNotHeld}
+		return KeyReply{State: StateNotHeld}
 	}
 	if r, ok := l.records[recordKey{q.Epoch, q.Key}]; ok {
 		return r.forDigest(q.Digest).reply(q.Digest)
 	}
 	switch {
 	case len(l.missingParts) > 0:
-		return OrderReply{State: StateNotHeld}
+		return KeyReply{State: StateNotHeld}
 	case q.Epoch < l.firstEpoch || q.Epoch > l.lastEpoch:
-		return OrderReply{State: StateUnknown}
+		return KeyReply{State: StateUnknown}
 	default:
-		return OrderReply{State: StateNotRun}
+		return KeyReply{State: StateNotRun}
 	}
 }
 
@@ -270,7 +270,7 @@
 		for k, r := range l.records {
 			records = append(records, Record{Epoch: k.epoch, Key: k.key, Digest: r.digest, State: r.state, Response: r.response, Grant: r.grant})
 		}
-		all = append(all, LedgerPart{Ledger: inc, First: l.firstEpoch, Last: l.lastEpoch, Keep: l.expiresAt.Sub(now)}.split(records)...)
+		all = append(all, LedgerPart{Ledger: inc, FirstEpoch: l.firstEpoch, LastEpoch: l.lastEpoch, Retention: l.expiresAt.Sub(now)}.split(records)...)
 	}
 	return all
 }
--- a/core/order/ledger.go
+++ b/core/order/ledger.go
@@ -309,13 +309,13 @@
 }
 
 // answer replies to a query about this ledger.
-func (l *Ledger) answer(q OrderAsk) OrderReply {
+func (l *Ledger) answer(q KeyQuery) KeyReply {
 	s := l.shard(q.Key)
 	for {
 		full := l.full()
 		s.mu.Lock()
 		r, ok := s.find(q.Epoch, q.Key, q.Digest)
-		if ok || !full || q.Want == WantLook {
+		if ok || !full || q.OnUnseen == UnseenKeep {
 			r = s.applyQuery(l, ok, r, q)
 			s.mu.Unlock()
 			return r.reply(q.Digest)
--- a/core/order/ledger_test.go
+++ b/core/order/ledger_test.go
@@ -27,7 +27,7 @@
 		m := newTestFleet().addManager("home")
 		m.Start(ctx)
 		ran, unseen := request(tokenKey(m, "1"), "a"), request(tokenKey(m, "2"), "a")
-		m.Begin(ctx, ran).Ticket.Finish(fault.Run, response("booked"))
+		m.Begin(ctx, ran).Permit.Finish(fault.Run, response("booked"))
 		time.Sleep(defaultEpochDuration + time.Minute)
 		g.Expect(m.Begin(ctx, unseen)).To(verdict(VerdictNotRun))
 		g.Expect(m.Begin(ctx, ran)).To(replay("booked"))
@@ -55,7 +55,7 @@
 		}
 		g.Expect(m.Begin(ctx, suffixed(10))).To(verdict(VerdictNotRun))
 		g.Expect(m.Begin(ctx, request("own", "a"))).To(verdict(VerdictNotRun))
-		_, err := m.Token("reservas", ModeHome)
+		_, err := m.IssueToken("reservas", ModeLedger)
 		g.Expect(fault.Is(err, fault.QueueFull)).To(BeTrue())
 		time.Sleep(defaultMinRetention)
 		g.Expect(m.Begin(ctx, request(tokenKey(m, "1"), "a"))).To(verdict(VerdictRun))
@@ -76,11 +76,11 @@
 	for range 300 {
 		r := request(tokenKey(m, "1"), "a")
 		all = append(all, r)
-		m.Begin(ctx, r).Ticket.Finish(fault.Run, response(strings.Repeat("x", 200)))
+		m.Begin(ctx, r).Permit.Finish(fault.Run, response(strings.Repeat("x", 200)))
 		g.Expect(m.Dump().KeptBytes).To(BeNumerically("<=", bound))
 	}
 	big := request(tokenKey(m, "1"), "a")
-	m.Begin(ctx, big).Ticket.Finish(fault.Run, response(strings.Repeat("x", 600)))
+	m.Begin(ctx, big).Permit.Finish(fault.Run, response(strings.Repeat("x", 600)))
 	for _, r := range append(all, big) {
 		g.Expect(m.Begin(ctx, r)).To(verdict(VerdictReplay))
 	}
@@ -95,10 +95,10 @@
 	RegisterTestingT(t)
 	m := newTestFleet().addManager("home")
 	for range 100 {
-		m.Begin(context.Background(), request(tokenKey(m, "1"), "a")).Ticket.Finish(fault.Run, response(strings.Repeat("x", 60<<10)))
+		m.Begin(context.Background(), request(tokenKey(m, "1"), "a")).Permit.Finish(fault.Run, response(strings.Repeat("x", 60<<10)))
 	}
 	size, records, replays := 0, 0, 0
-	for _, p := range m.Export() {
+	for _, p := range m.ExportLedgers() {
 		g.Expect(p.Validate()).To(Succeed())
 		records += len(p.Records)
 		for _, r := range p.Records {
@@ -127,7 +127,7 @@
 		owner.Start(ctx)
 		d := owner.Begin(ctx, request("own", "a"))
 		f.platform.Misbehave(stand.PlatformFaults{TableDown: true})
-		d.Ticket.Finish(fault.Run, response("booked"))
+		d.Permit.Finish(fault.Run, response("booked"))
 		time.Sleep(time.Hour)
 		g.Expect(owner.Dump().OutcomesWaiting).To(Equal(1))
 		f.platform.Misbehave(stand.PlatformFaults{})
@@ -145,7 +145,7 @@
 	g := NewWithT(t)
 	next := []byte("fedcba9876543210")
 	issuer, _ := NewSigner(testSecret)
-	key, err := issuer.Issue(Token{Service: "reservas", Issuer: "vm.0123456789abcdef", Epoch: 1 << 30, Mode: ModeHome})
+	key, err := issuer.Issue(Token{Service: "reservas", Issuer: "vm.0123456789abcdef", Epoch: 1 << 30, Mode: ModeLedger})
 	g.Expect(err).NotTo(HaveOccurred())
 	other, _ := NewSigner(next, testSecret)
 	k, err := other.ParseKey(key + ".1")
@@ -157,7 +157,7 @@
 	g.Expect(other.Rotate([]byte("short"))).NotTo(Succeed())
 	// Ids of 72 bytes together are the longest for a token of 150 characters.
 	id := strings.Repeat("x", 36)
-	text, err := issuer.Issue(Token{Service: fleet.ServiceID(id), Issuer: fleet.Incarnation(id + ".0123456789abcdef"), Epoch: 1, Mode: ModeHome})
+	text, err := issuer.Issue(Token{Service: fleet.ServiceID(id), Issuer: fleet.Incarnation(id + ".0123456789abcdef"), Epoch: 1, Mode: ModeLedger})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(len(text)).To(BeNumerically("<=", 150))
 }
--- a/core/order/manager.go
+++ b/core/order/manager.go
@@ -33,16 +33,16 @@
 // order. A round trip between regions and two more attempts fit into it.
 const defaultQueryTimeout = 2 * time.Second
 
-// WithAskHome sets the function that queries other daemons. Without it, every
+// WithQueryFunc sets the function that queries other daemons. Without it, every
 // other daemon counts as unreachable.
-func WithAskHome(queryPeer QueryFunc) Option {
+func WithQueryFunc(queryPeer QueryFunc) Option {
 	return func(m *Manager) { m.queryPeer = queryPeer }
 }
 
-// WithHolders sets the function that returns the incarnations that may have
+// WithImporters sets the function that returns the incarnations that may have
 // imported the ledger of an incarnation that left, the most likely first. It may
 // include others: an incarnation without the ledger replies with StateNotHeld.
-func WithHolders(importers func(owner fleet.Incarnation) []fleet.Incarnation) Option {
+func WithImporters(importers func(owner fleet.Incarnation) []fleet.Incarnation) Option {
 	return func(m *Manager) { m.importers = importers }
 }
 
@@ -94,8 +94,8 @@
 	return m
 }
 
-func peerUnreachable(_ context.Context, to fleet.Incarnation, _ OrderAsk) (OrderReply, error) {
-	return OrderReply{}, fault.New(fault.PeerUnreachable, "%s", to)
+func peerUnreachable(_ context.Context, to fleet.Incarnation, _ KeyQuery) (KeyReply, error) {
+	return KeyReply{}, fault.New(fault.PeerUnreachable, "%s", to)
 }
 
 func tableUnavailable() store.Table {
@@ -129,9 +129,9 @@
 	}
 }
 
-// Token issues a token for the service. It returns NotReady once the daemon is
+// IssueToken issues a token for the service. It returns NotReady once the daemon is
 // leaving and QueueFull while its ledger is full.
-func (m *Manager) Token(service fleet.ServiceID, mode TokenMode) (string, error) {
+func (m *Manager) IssueToken(service fleet.ServiceID, mode TokenMode) (string, error) {
 	epoch, err := m.ledger.epochForToken()
 	if err != nil {
 		return "", err
@@ -142,13 +142,13 @@
 // Begin decides on one copy of an order. After VerdictRun the caller sends the
 // request to a target and then calls the ticket's Finish.
 func (m *Manager) Begin(ctx context.Context, r Request) Decision {
-	if r.Key == "" && r.Mode == fleet.KeyOptional {
-		if !r.Carried {
+	if r.Key == "" && r.KeyMode == fleet.KeyOptional {
+		if !r.MayRun {
 			return refusedDecision(VerdictNotRun, fault.NotCarried, "the service isn't carried here")
 		}
 		return Decision{Verdict: VerdictRun}
 	}
-	if r.Carried && r.Digest.IsZero() {
+	if r.MayRun && r.Digest.IsZero() {
 		return invalidDecision(fault.New(fault.Internal, "order without the digest of its request"))
 	}
 	key, err := m.signer.ParseKey(r.Key)
@@ -171,17 +171,17 @@
 	}
 }
 
-// Close decides on a copy that must not run here, for example because it was
+// CloseKey decides on a copy that must not run here, for example because it was
 // rejected early. The verdict is VerdictNotRun only if no copy ran or will run.
-func (m *Manager) Close(ctx context.Context, r Request) Decision {
-	r.Carried = false
+func (m *Manager) CloseKey(ctx context.Context, r Request) Decision {
+	r.MayRun = false
 	return m.Begin(ctx, r)
 }
 
-// Answer replies to the query of another daemon.
-func (m *Manager) Answer(q OrderAsk) OrderReply {
+// AnswerQuery replies to the query of another daemon.
+func (m *Manager) AnswerQuery(q KeyQuery) KeyReply {
 	if q.Validate() != nil {
-		return OrderReply{State: StateNotHeld}
+		return KeyReply{State: StateNotHeld}
 	}
 	if q.Ledger == m.self {
 		return m.ledger.answer(q)
@@ -189,16 +189,16 @@
 	return m.imported.answer(q)
 }
 
-// Export seals the ledger, after which no epoch is open, and returns it in parts,
+// ExportLedgers seals the ledger, after which no epoch is open, and returns it in parts,
 // together with the ledgers that were imported from others.
-func (m *Manager) Export() []LedgerPart {
+func (m *Manager) ExportLedgers() []LedgerPart {
 	return append(m.ledger.export(), m.imported.export(time.Now())...)
 }
 
-// Import stores one part of the ledger of a daemon that leaves. It returns
+// ImportLedgerPart stores one part of the ledger of a daemon that leaves. It returns
 // QueueFull if there is no room for its records. The ledger then stays incomplete,
 // and keys without a record in it get the outcome unknown.
-func (m *Manager) Import(p LedgerPart) error {
+func (m *Manager) ImportLedgerPart(p LedgerPart) error {
 	if err := p.Validate(); err != nil {
 		return err
 	}
@@ -208,8 +208,8 @@
 	return m.imported.add(p, time.Now())
 }
 
-// Flush writes the queued outcomes of claims to the store; it is called before
+// FlushOutcomes writes the queued outcomes of claims to the store; it is called before
 // the process exits.
-func (m *Manager) Flush(ctx context.Context) error {
+func (m *Manager) FlushOutcomes(ctx context.Context) error {
 	return m.claims.flush(ctx)
 }
--- a/core/order/message.go
+++ b/core/order/message.go
@@ -60,20 +60,20 @@
 	return stateNames[s]
 }
 
-// Want says what a query does if the ledger has no record of the key.
-type Want uint8
+// UnseenAction says what a query does if the ledger has no record of the key.
+type UnseenAction uint8
 
 // The values of Want. WantLook changes nothing, WantRelease grants the querier
 // the permission to run, and WantClose closes the key as not run.
 const (
-	WantLook Want = iota
-	WantRelease
-	WantClose
+	UnseenKeep UnseenAction = iota
+	UnseenRelease
+	UnseenClose
 	wantCount
 )
 
-// Field is one header field of a Response.
-type Field struct {
+// HeaderField is one header field of a Response.
+type HeaderField struct {
 	Name  string `cbor:"1,keyasint"`
 	Value string `cbor:"2,keyasint"`
 }
@@ -81,9 +81,9 @@
 // Response is the complete response of a target, kept to be replayed to repeats.
 // It must not be changed after it was passed to Ticket.Finish.
 type Response struct {
-	Status int     `cbor:"1,keyasint"`
-	Header []Field `cbor:"2,keyasint,omitempty"`
-	Body   []byte  `cbor:"3,keyasint,omitempty"`
+	Status int           `cbor:"1,keyasint"`
+	Header []HeaderField `cbor:"2,keyasint,omitempty"`
+	Body   []byte        `cbor:"3,keyasint,omitempty"`
 }
 
 const (
@@ -113,53 +113,53 @@
 
 // Grant is the permission to run an order, given to one epoch of one incarnation.
 type Grant struct {
-	Holder fleet.Incarnation `cbor:"1,keyasint"`
-	Epoch  uint32            `cbor:"2,keyasint"`
+	Grantee fleet.Incarnation `cbor:"1,keyasint"`
+	Epoch   uint32            `cbor:"2,keyasint"`
 }
 
 // Validate returns a MessageInvalid error if the grant is invalid.
 func (g *Grant) Validate() error {
-	if g.Holder.VM() == "" || g.Epoch == 0 {
-		return fault.New(fault.MessageInvalid, "grant to incarnation %q, epoch %d", g.Holder, g.Epoch)
+	if g.Grantee.VM() == "" || g.Epoch == 0 {
+		return fault.New(fault.MessageInvalid, "grant to incarnation %q, epoch %d", g.Grantee, g.Epoch)
 	}
 	return nil
 }
 
-// OrderAsk is a query about a key in the ledger of one incarnation.
-type OrderAsk struct {
+// KeyQuery is a query about a key in the ledger of one incarnation.
+type KeyQuery struct {
 	// Ledger is the incarnation that owns the ledger, Epoch the epoch of the key in it.
 	Ledger fleet.Incarnation `cbor:"1,keyasint"`
 	Epoch  uint32            `cbor:"2,keyasint"`
 	Key    Hash              `cbor:"3,keyasint"`
 	// Digest is the digest of the request. Without it the reply has no response.
-	Digest Hash `cbor:"4,keyasint"`
-	Want   Want `cbor:"5,keyasint"`
-	// Asker is the grant that WantRelease records for the querier.
-	Asker *Grant `cbor:"6,keyasint,omitempty"`
+	Digest   Hash         `cbor:"4,keyasint"`
+	OnUnseen UnseenAction `cbor:"5,keyasint"`
+	// Grant is the grant that WantRelease records for the querier.
+	Grant *Grant `cbor:"6,keyasint,omitempty"`
 }
 
 // Validate returns a MessageInvalid error if the query is invalid.
-func (q *OrderAsk) Validate() error {
-	if q.Ledger.VM() == "" || q.Epoch == 0 || q.Key.IsZero() || q.Want >= wantCount {
-		return fault.New(fault.MessageInvalid, "ask for ledger %q, epoch %d, want %d", q.Ledger, q.Epoch, q.Want)
+func (q *KeyQuery) Validate() error {
+	if q.Ledger.VM() == "" || q.Epoch == 0 || q.Key.IsZero() || q.OnUnseen >= wantCount {
+		return fault.New(fault.MessageInvalid, "ask for ledger %q, epoch %d, want %d", q.Ledger, q.Epoch, q.OnUnseen)
 	}
-	if q.Want != WantRelease {
+	if q.OnUnseen != UnseenRelease {
 		return nil
 	}
-	if q.Asker == nil || q.Digest.IsZero() {
+	if q.Grant == nil || q.Digest.IsZero() {
 		return fault.New(fault.MessageInvalid, "ask for a release without asker or digest")
 	}
-	return q.Asker.Validate()
+	return q.Grant.Validate()
 }
 
 // UnmarshalCBOR decodes and validates a query.
-func (q *OrderAsk) UnmarshalCBOR(data []byte) error {
-	type plain OrderAsk
+func (q *KeyQuery) UnmarshalCBOR(data []byte) error {
+	type plain KeyQuery
 	return decode(data, (*plain)(q), q.Validate)
 }
 
-// OrderReply is the reply to an OrderAsk.
-type OrderReply struct {
+// KeyReply is the reply to an OrderAsk.
+type KeyReply struct {
 	State State `cbor:"1,keyasint"`
 	// Response is set with StateRun only, Grant with StateReleased only.
 	Response *Response `cbor:"2,keyasint,omitempty"`
@@ -167,7 +167,7 @@
 }
 
 // Validate returns a MessageInvalid error if the reply is invalid.
-func (r *OrderReply) Validate() error {
+func (r *KeyReply) Validate() error {
 	if r.State >= stateCount || r.State == StateAsking {
 		return fault.New(fault.MessageInvalid, "reply with state %d", r.State)
 	}
@@ -175,8 +175,8 @@
 }
 
 // UnmarshalCBOR decodes and validates a reply.
-func (r *OrderReply) UnmarshalCBOR(data []byte) error {
-	type plain OrderReply
+func (r *KeyReply) UnmarshalCBOR(data []byte) error {
+	type plain KeyReply
 	return decode(data, (*plain)(r), r.Validate)
 }
 
@@ -222,18 +222,18 @@
 // LedgerPart is one part of the exported ledger of an incarnation that leaves.
 type LedgerPart struct {
 	Ledger fleet.Incarnation `cbor:"1,keyasint"`
-	// Part is the index of the part, from 0 to Parts-1.
-	Part  int `cbor:"2,keyasint"`
-	Parts int `cbor:"3,keyasint"`
-	// First and Last are the oldest and the newest epoch in the ledger. Epochs
-	// before First were discarded.
-	First uint32 `cbor:"4,keyasint"`
-	Last  uint32 `cbor:"5,keyasint"`
-	// Keep is the time for which the importer retains the records.
-	Keep    time.Duration `cbor:"6,keyasint"`
-	Records []Record      `cbor:"7,keyasint"`
-	// Export identifies the export; it is the same in all of its parts.
-	Export uint64 `cbor:"8,keyasint"`
+	// Index is the index of the part, from 0 to Parts-1.
+	Index int `cbor:"2,keyasint"`
+	Count int `cbor:"3,keyasint"`
+	// FirstEpoch and Last are the oldest and the newest epoch in the ledger. Epochs
+	// before FirstEpoch were discarded.
+	FirstEpoch uint32 `cbor:"4,keyasint"`
+	LastEpoch  uint32 `cbor:"5,keyasint"`
+	// Retention is the time for which the importer retains the records.
+	Retention time.Duration `cbor:"6,keyasint"`
+	Records   []Record      `cbor:"7,keyasint"`
+	// ExportID identifies the export; it is the same in all of its parts.
+	ExportID uint64 `cbor:"8,keyasint"`
 }
 
 // maxParts limits the number of parts of one ledger.
@@ -241,19 +241,19 @@
 
 // Validate returns a MessageInvalid error if the part or one of its records is invalid.
 func (p *LedgerPart) Validate() error {
-	if p.Ledger.VM() == "" || p.Part < 0 || p.Part >= p.Parts || p.Parts > maxParts {
-		return fault.New(fault.MessageInvalid, "part %d of %d of ledger %q", p.Part, p.Parts, p.Ledger)
+	if p.Ledger.VM() == "" || p.Index < 0 || p.Index >= p.Count || p.Count > maxParts {
+		return fault.New(fault.MessageInvalid, "part %d of %d of ledger %q", p.Index, p.Count, p.Ledger)
 	}
-	if p.First == 0 || p.Last < p.First || p.Keep < 0 {
-		return fault.New(fault.MessageInvalid, "ledger part with epochs %d to %d, keep %s", p.First, p.Last, p.Keep)
+	if p.FirstEpoch == 0 || p.LastEpoch < p.FirstEpoch || p.Retention < 0 {
+		return fault.New(fault.MessageInvalid, "ledger part with epochs %d to %d, keep %s", p.FirstEpoch, p.LastEpoch, p.Retention)
 	}
 	for i := range p.Records {
 		r := &p.Records[i]
 		if err := r.Validate(); err != nil {
 			return err
 		}
-		if r.Epoch < p.First || r.Epoch > p.Last {
-			return fault.New(fault.MessageInvalid, "record of epoch %d outside %d to %d", r.Epoch, p.First, p.Last)
+		if r.Epoch < p.FirstEpoch || r.Epoch > p.LastEpoch {
+			return fault.New(fault.MessageInvalid, "record of epoch %d outside %d to %d", r.Epoch, p.FirstEpoch, p.LastEpoch)
 		}
 	}
 	return nil
--- a/core/order/order_bench_test.go
+++ b/core/order/order_bench_test.go
@@ -23,7 +23,7 @@
 	m := newBenchmarkManager(b)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := m.Token("reservas", ModeHome); err != nil {
+		if _, err := m.IssueToken("reservas", ModeLedger); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -31,24 +31,24 @@
 
 // runOrder runs order number n under a token and keeps a response of 200 B.
 func runOrder(b *testing.B, m *Manager, token string, n int) {
-	r := Request{Key: fmt.Sprintf(`"%s.%d"`, token, n), Service: "reservas", Workspace: "w", Digest: Hash{1}, Carried: true}
+	r := Request{Key: fmt.Sprintf(`"%s.%d"`, token, n), Service: "reservas", Workspace: "w", Digest: Hash{1}, MayRun: true}
 	decision := m.Begin(context.Background(), r)
 	if decision.Verdict != VerdictRun {
 		b.Fatal(decision.Verdict)
 	}
-	decision.Ticket.Finish(fault.Run, &Response{Status: 200, Body: make([]byte, 200)})
+	decision.Permit.Finish(fault.Run, &Response{Status: 200, Body: make([]byte, 200)})
 }
 
 // BenchmarkOrderLife measures Begin and Finish of a new order.
 func BenchmarkOrderLife(b *testing.B) {
 	m := newBenchmarkManager(b)
-	token, _ := m.Token("reservas", ModeHome)
+	token, _ := m.IssueToken("reservas", ModeLedger)
 	b.ReportAllocs()
 	n := 0
 	for b.Loop() {
 		if n++; n%100_000 == 0 {
 			m = newBenchmarkManager(b)
-			token, _ = m.Token("reservas", ModeHome)
+			token, _ = m.IssueToken("reservas", ModeLedger)
 		}
 		runOrder(b, m, token, n)
 	}
@@ -62,7 +62,7 @@
 			held := 0.0
 			for b.Loop() {
 				m := newBenchmarkManager(b)
-				token, _ := m.Token("reservas", ModeHome)
+				token, _ := m.IssueToken("reservas", ModeLedger)
 				before := heapSize()
 				for n := range orders {
 					runOrder(b, m, token, n)
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -36,19 +36,19 @@
 	return &testFleet{platform: stand.NewPlatform(), managers: map[fleet.Incarnation]*Manager{}, unreachable: map[fleet.Incarnation]bool{}}
 }
 
-func (f *testFleet) query(_ context.Context, to fleet.Incarnation, query OrderAsk) (OrderReply, error) {
+func (f *testFleet) query(_ context.Context, to fleet.Incarnation, query KeyQuery) (KeyReply, error) {
 	m := f.managers[to]
 	if m == nil || f.unreachable[to] {
-		return OrderReply{}, fault.New(fault.PeerUnreachable, "%s", to)
+		return KeyReply{}, fault.New(fault.PeerUnreachable, "%s", to)
 	}
-	var in OrderAsk
+	var in KeyQuery
 	reencode(query, &in)
-	reply := m.Answer(in)
+	reply := m.AnswerQuery(in)
 	if f.lostReplies > 0 {
 		f.lostReplies--
-		return OrderReply{}, fault.New(fault.PeerUnreachable, "reply of %s lost", to)
+		return KeyReply{}, fault.New(fault.PeerUnreachable, "reply of %s lost", to)
 	}
-	var out OrderReply
+	var out KeyReply
 	reencode(reply, &out)
 	return out, nil
 }
@@ -79,7 +79,7 @@
 	}
 	inc := fleet.NewIncarnation(vm)
 	m := NewManager(inc, s, WithLedger(NewLedger(inc, opts...)), WithTable(f.platform.Table()),
-		WithAskHome(f.query), WithHolders(f.allIncarnations), WithQueryTimeout(time.Second))
+		WithQueryFunc(f.query), WithImporters(f.allIncarnations), WithQueryTimeout(time.Second))
 	f.managers[inc] = m
 	return m
 }
@@ -95,17 +95,17 @@
 }
 
 func request(key, body string) Request {
-	return Request{Key: key, Service: "reservas", Workspace: "w", Digest: digest(body), Carried: true}
+	return Request{Key: key, Service: "reservas", Workspace: "w", Digest: digest(body), MayRun: true}
 }
 
 func tokenKey(m *Manager, suffix string) string {
-	t, err := m.Token("reservas", ModeHome)
+	t, err := m.IssueToken("reservas", ModeLedger)
 	Expect(err).NotTo(HaveOccurred())
 	return `"` + t + "." + suffix + `"`
 }
 
 func response(body string) *Response {
-	return &Response{Status: 200, Header: []Field{{"Content-Type", "text/plain"}}, Body: []byte(body)}
+	return &Response{Status: 200, Header: []HeaderField{{"Content-Type", "text/plain"}}, Body: []byte(body)}
 }
 
 func verdict(v Verdict) OmegaMatcher {
@@ -131,7 +131,7 @@
 		"token key":         func() string { return tokenKey(issuer, "1") },
 		"caller-chosen key": func() string { return "own-key" },
 		"token in mode claim": func() string {
-			t, err := issuer.Token("reservas", ModeClaim)
+			t, err := issuer.IssueToken("reservas", ModeClaim)
 			Expect(err).NotTo(HaveOccurred())
 			return t + ".1"
 		},
@@ -145,31 +145,31 @@
 				Expect(d).To(verdict(VerdictRun))
 				Expect(issuer.Begin(ctx, r)).To(verdict(VerdictInProgress))
 				Expect(other.Begin(ctx, r)).To(verdict(VerdictInProgress))
-				d.Ticket.Finish(fault.Run, response("booked"))
-				Expect(issuer.Flush(ctx)).To(Succeed())
+				d.Permit.Finish(fault.Run, response("booked"))
+				Expect(issuer.FlushOutcomes(ctx)).To(Succeed())
 				Expect(issuer.Begin(ctx, r)).To(replay("booked"))
 				Expect(other.Begin(ctx, r)).To(replay("booked"))
-				Expect(other.Close(ctx, r)).To(replay("booked"))
+				Expect(other.CloseKey(ctx, r)).To(replay("booked"))
 				Expect(other.Begin(ctx, request(r.Key, "b"))).To(verdict(VerdictMismatch))
 			})
 
 			It("gives no response to a copy without a digest", func() {
-				issuer.Begin(ctx, r).Ticket.Finish(fault.Run, response("booked"))
+				issuer.Begin(ctx, r).Permit.Finish(fault.Run, response("booked"))
 				r.Digest = Hash{}
 				for _, m := range []*Manager{issuer, other} {
-					Expect(m.Close(ctx, r)).To(And(verdict(VerdictReplay), HaveField("Response", BeNil())))
+					Expect(m.CloseKey(ctx, r)).To(And(verdict(VerdictReplay), HaveField("Response", BeNil())))
 				}
 			})
 
 			It("keeps not-run final", func() {
-				issuer.Begin(ctx, r).Ticket.Finish(fault.NotRun, nil)
+				issuer.Begin(ctx, r).Permit.Finish(fault.NotRun, nil)
 				for _, m := range []*Manager{issuer, other} {
 					Expect(m.Begin(ctx, r)).To(And(verdict(VerdictNotRun), HaveField("Fault.Kind", fault.OrderClosed)))
 				}
 			})
 
 			It("keeps unknown final", func() {
-				issuer.Begin(ctx, r).Ticket.Finish(fault.Unknown, nil)
+				issuer.Begin(ctx, r).Permit.Finish(fault.Unknown, nil)
 				for _, m := range []*Manager{issuer, other} {
 					Expect(m.Begin(ctx, r)).To(verdict(VerdictUnknown))
 				}
@@ -180,13 +180,13 @@
 				Expect(d).To(verdict(VerdictRun))
 				Expect(issuer.Begin(ctx, r)).To(verdict(VerdictInProgress))
 				Expect(third.Begin(ctx, r)).To(verdict(VerdictInProgress))
-				d.Ticket.Finish(fault.Run, response("booked"))
+				d.Permit.Finish(fault.Run, response("booked"))
 				Expect(third.Begin(ctx, r)).To(replay("booked"))
 				Expect(issuer.Begin(ctx, r)).To(replay("booked"))
 			})
 
 			It("closes the key at a daemon that may not run it", func() {
-				Expect(other.Close(ctx, r)).To(verdict(VerdictNotRun))
+				Expect(other.CloseKey(ctx, r)).To(verdict(VerdictNotRun))
 				Expect(issuer.Begin(ctx, r)).To(verdict(VerdictNotRun))
 				Expect(third.Begin(ctx, r)).To(verdict(VerdictNotRun))
 			})
@@ -195,16 +195,16 @@
 				f.unreachable[issuer.self] = true
 				f.platform.Misbehave(stand.PlatformFaults{TableDown: true})
 				Expect(other.Begin(ctx, r)).To(And(verdict(VerdictUnknown), HaveField("Fault.Outcome", fault.Unknown)))
-				Expect(other.Close(ctx, r)).To(verdict(VerdictUnknown))
+				Expect(other.CloseKey(ctx, r)).To(verdict(VerdictUnknown))
 			})
 
 			It("is decided by the imported ledger once the issuer has left", func() {
 				d := issuer.Begin(ctx, r)
-				d.Ticket.Finish(fault.Run, response("booked"))
-				for _, p := range issuer.Export() {
+				d.Permit.Finish(fault.Run, response("booked"))
+				for _, p := range issuer.ExportLedgers() {
 					var in LedgerPart
 					reencode(p, &in)
-					Expect(other.Import(in)).To(Succeed())
+					Expect(other.ImportLedgerPart(in)).To(Succeed())
 				}
 				f.removeManager(issuer)
 				Expect(other.Begin(ctx, r)).To(replay("booked"))
@@ -237,20 +237,20 @@
 
 	It("closes keys without a record in a ledger that was handed over, and issues no more tokens", func() {
 		r := request(tokenKey(issuer, "1"), "a")
-		for _, p := range issuer.Export() {
-			Expect(other.Import(p)).To(Succeed())
+		for _, p := range issuer.ExportLedgers() {
+			Expect(other.ImportLedgerPart(p)).To(Succeed())
 		}
 		Expect(issuer.Begin(ctx, r)).To(verdict(VerdictNotRun))
 		Expect(third.Begin(ctx, r)).To(verdict(VerdictNotRun))
-		_, err := issuer.Token("reservas", ModeHome)
+		_, err := issuer.IssueToken("reservas", ModeLedger)
 		Expect(fault.Is(err, fault.NotReady)).To(BeTrue())
 	})
 
 	It("returns unknown for keys without a record until all parts have arrived", func() {
 		r := request(tokenKey(issuer, "1"), "a")
-		parts := issuer.Export()
-		parts[0].Parts = 2
-		Expect(other.Import(parts[0])).To(Succeed())
+		parts := issuer.ExportLedgers()
+		parts[0].Count = 2
+		Expect(other.ImportLedgerPart(parts[0])).To(Succeed())
 		f.removeManager(issuer)
 		Expect(third.Begin(ctx, r)).To(verdict(VerdictUnknown))
 	})
@@ -258,10 +258,10 @@
 	It("handles orders without a key according to the route", func() {
 		Expect(issuer.Begin(ctx, request("", "a"))).To(HaveField("Fault.Kind", fault.OrderKeyMissing))
 		r := request("", "a")
-		r.Mode = fleet.KeyOptional
+		r.KeyMode = fleet.KeyOptional
 		d := issuer.Begin(ctx, r)
 		Expect(d).To(verdict(VerdictRun))
-		d.Ticket.Finish(fault.Run, nil)
+		d.Permit.Finish(fault.Run, nil)
 	})
 
 	It("rejects the token of another service", func() {
--- a/core/order/parallel_test.go
+++ b/core/order/parallel_test.go
@@ -37,7 +37,7 @@
 		r.barriers[i].Wait()
 		if d := r.manager.Begin(context.Background(), request(k, "a")); d.Verdict == VerdictRun {
 			r.runs[i].Add(1)
-			d.Ticket.Finish(fault.Run, response("booked"))
+			d.Permit.Finish(fault.Run, response("booked"))
 		}
 	}
 }
--- a/core/order/shard.go
+++ b/core/order/shard.go
@@ -21,16 +21,16 @@
 
 // reply returns the reply to a query. It contains the response only if the
 // digest shows that the querier has the same request.
-func (r record) reply(digest Hash) OrderReply {
+func (r record) reply(digest Hash) KeyReply {
 	switch r.state {
 	case StateAsking:
-		return OrderReply{State: StateRunning}
+		return KeyReply{State: StateRunning}
 	case StateRun:
 		if digest.IsZero() || digest != r.digest {
-			return OrderReply{State: StateRunDropped}
+			return KeyReply{State: StateRunDropped}
 		}
 	}
-	return OrderReply{State: r.state, Response: r.response, Grant: r.grant}
+	return KeyReply{State: r.state, Response: r.response, Grant: r.grant}
 }
 
 // epochRecords holds the records of one epoch in one shard.
@@ -150,14 +150,14 @@
 // applyQuery does what the query wants for a key without a record: it grants the
 // permission to run to the querier, closes the key, or changes nothing. A known
 // key keeps its record.
-func (s *shard) applyQuery(l *Ledger, known bool, r record, q OrderAsk) record {
+func (s *shard) applyQuery(l *Ledger, known bool, r record, q KeyQuery) record {
 	if known {
 		return r
 	}
-	switch q.Want {
-	case WantRelease:
-		r = record{state: StateReleased, digest: q.Digest, grant: q.Asker}
-	case WantClose:
+	switch q.OnUnseen {
+	case UnseenRelease:
+		r = record{state: StateReleased, digest: q.Digest, grant: q.Grant}
+	case UnseenClose:
 		r = record{state: StateNotRun, digest: q.Digest}
 	default:
 		return record{state: StateUnseen}
--- a/core/order/sim_test.go
+++ b/core/order/sim_test.go
@@ -150,10 +150,10 @@
 	p := &process{}
 	ledger := NewLedger(self, WithMaxRecords(400), WithMaxKeptBytes(24<<10, 2<<10), WithEpochDurations(2*time.Second, 12*time.Second, 2*time.Second))
 	p.manager = NewManager(self, signer, WithLedger(ledger), WithTable(s.table(p)), WithQueryTimeout(simQueryTimeout), WithMaxRowResponse(140),
-		WithAskHome(func(ctx context.Context, to fleet.Incarnation, q OrderAsk) (OrderReply, error) {
+		WithQueryFunc(func(ctx context.Context, to fleet.Incarnation, q KeyQuery) (KeyReply, error) {
 			return s.query(ctx, p, to, q)
 		}),
-		WithHolders(func(fleet.Incarnation) []fleet.Incarnation { return s.currentIncarnations() }))
+		WithImporters(func(fleet.Incarnation) []fleet.Incarnation { return s.currentIncarnations() }))
 	p.manager.claims.random = s.random
 	ctx, stop := context.WithCancel(withSleeperID(simCallers + 2*id))
 	p.stop = stop
@@ -221,7 +221,7 @@
 
 // query sends a query through a network that delays and loses messages. A query
 // may take effect after its sender has given up.
-func (s *sim) query(ctx context.Context, from *process, to fleet.Incarnation, q OrderAsk) (OrderReply, error) {
+func (s *sim) query(ctx context.Context, from *process, to fleet.Incarnation, q KeyQuery) (KeyReply, error) {
 	from.waitWhilePaused(ctx)
 	defer from.waitWhilePaused(ctx)
 	lost := fault.New(fault.PeerUnreachable, "%s", to)
@@ -236,12 +236,12 @@
 	if deadline, _ := ctx.Deadline(); time.Until(deadline) < delay {
 		time.AfterFunc(delay, func() { s.deliver(from.manager.self, to, q) })
 		sleep(ctx, time.Until(deadline))
-		return OrderReply{}, lost
+		return KeyReply{}, lost
 	}
 	sleep(ctx, delay)
 	reply := s.deliver(from.manager.self, to, q)
 	if reply.State == StateNotHeld || s.isLinkBroken(to, from.manager.self) || s.chance(s.currentLoss()) {
-		return OrderReply{}, lost
+		return KeyReply{}, lost
 	}
 	sleep(ctx, s.randomDuration(20*time.Millisecond))
 	return reply, nil
@@ -259,12 +259,12 @@
 	return s.brokenLinks[[2]fleet.Incarnation{from, to}]
 }
 
-func (s *sim) deliver(from, to fleet.Incarnation, q OrderAsk) (out OrderReply) {
+func (s *sim) deliver(from, to fleet.Incarnation, q KeyQuery) (out KeyReply) {
 	p := s.find(to)
 	if p == nil || p.dead.Load() || s.isLinkBroken(from, to) {
-		return OrderReply{State: StateNotHeld}
+		return KeyReply{State: StateNotHeld}
 	}
-	reencode(p.manager.Answer(q), &out)
+	reencode(p.manager.AnswerQuery(q), &out)
 	return out
 }
 
@@ -314,7 +314,7 @@
 		body = "b"
 	}
 	r := request(o.key, body)
-	r.Carried = !s.chance(0.06)
+	r.MayRun = !s.chance(0.06)
 	d := p.manager.Begin(c.ctx, r)
 	p.waitWhilePaused(c.ctx)
 	if p.dead.Load() {
@@ -342,11 +342,11 @@
 	}
 	o := &simOrder{key: fmt.Sprintf("own-%d", n)}
 	if s.chance(0.7) {
-		mode := ModeHome
+		mode := ModeLedger
 		if s.chance(0.2) {
 			mode = ModeClaim
 		}
-		token, err := p.manager.Token("reservas", mode)
+		token, err := p.manager.IssueToken("reservas", mode)
 		if err != nil {
 			return nil
 		}
@@ -374,7 +374,7 @@
 		return
 	}
 	if s.chance(0.1) {
-		d.Ticket.Finish(fault.NotRun, nil)
+		d.Permit.Finish(fault.NotRun, nil)
 		s.checkDecision(p, o, Decision{Verdict: VerdictNotRun}, body)
 		return
 	}
@@ -388,12 +388,12 @@
 	switch {
 	case p.dead.Load():
 	case s.chance(0.1):
-		d.Ticket.Finish(fault.Unknown, nil)
+		d.Permit.Finish(fault.Unknown, nil)
 	default:
 		s.mu.Lock()
 		o.responded = true
 		s.mu.Unlock()
-		d.Ticket.Finish(fault.Run, response(o.key+body+string(make([]byte, s.intN(100)))))
+		d.Permit.Finish(fault.Run, response(o.key+body+string(make([]byte, s.intN(100)))))
 	}
 }
 
--- a/core/order/token.go
+++ b/core/order/token.go
@@ -22,8 +22,8 @@
 
 // The modes of tokens.
 const (
-	// ModeHome records keys in the ledger of the incarnation that issued the token.
-	ModeHome TokenMode = 1
+	// ModeLedger records keys in the ledger of the incarnation that issued the token.
+	ModeLedger TokenMode = 1
 	// ModeClaim records keys as claims in the table service, like caller-chosen keys.
 	ModeClaim TokenMode = 2
 )
@@ -179,7 +179,7 @@
 func decodeToken(b []byte) (Token, error) {
 	malformed := fault.New(fault.OrderKeyInvalid, "malformed token")
 	t := Token{Mode: TokenMode(b[0])}
-	if t.Mode != ModeHome && t.Mode != ModeClaim {
+	if t.Mode != ModeLedger && t.Mode != ModeClaim {
 		return t, malformed
 	}
 	epoch, n := binary.Uvarint(b[1:])
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -30,7 +30,7 @@
 		}
 		vms[i] = fleet.VM{
 			ID: fleet.VMID(fmt.Sprintf("vm-%03d", i)), Region: region,
-			DataCentre: fleet.DataCentre(fmt.Sprintf("dc-%d", dc)), Caller: fmt.Sprintf("10.0.0.%d:80", i),
+			DataCentre: fleet.DataCentre(fmt.Sprintf("dc-%d", dc)), CallerAddress: fmt.Sprintf("10.0.0.%d:80", i),
 		}
 	}
 	return vms
@@ -165,7 +165,7 @@
 		gomega.Expect(table.CarriedBy("vm-007")).To(gomega.HaveLen(carried))
 		gomega.Expect(table.Carriers("no-such")).To(gomega.BeNil())
 		gomega.Expect(table.Equal(place.NewPlan(demands).Place(m))).To(gomega.BeTrue())
-		vms[7].Caller = "10.9.9.9:80"
+		vms[7].CallerAddress = "10.9.9.9:80"
 		gomega.Expect(table.Equal(place.NewPlan(demands).Place(place.NewMap(vms)))).To(gomega.BeFalse())
 	})
 })
--- a/core/proxy/order.go
+++ b/core/proxy/order.go
@@ -70,7 +70,7 @@
 		defer cancel()
 	}
 	a := (&exchange{carrier: carrier, in: c.in}).run(ctx)
-	c.finishOrder(a, decision.Ticket)
+	c.finishOrder(a, decision.Permit)
 }
 
 func (c *call) orderRequest(carried bool) order.Request {
@@ -81,8 +81,8 @@
 		Service:   c.serviceID,
 		Workspace: c.in.workspace,
 		Digest:    digest.Sum(),
-		Mode:      c.in.route.OrderKey,
-		Carried:   carried,
+		KeyMode:   c.in.route.OrderKey,
+		MayRun:    carried,
 	}
 }
 
@@ -109,7 +109,7 @@
 
 // finishOrder records the outcome before the caller sees it, so that a repeat
 // can never learn less than the first copy did.
-func (c *call) finishOrder(a *answer, t order.Ticket) {
+func (c *call) finishOrder(a *answer, t order.Permit) {
 	switch {
 	case a.err != nil:
 		t.Finish(a.err.Outcome, nil)
@@ -143,7 +143,7 @@
 	delete(header, "Date")
 	for name, values := range header {
 		for _, value := range values {
-			res.Header = append(res.Header, order.Field{Name: name, Value: value})
+			res.Header = append(res.Header, order.HeaderField{Name: name, Value: value})
 		}
 	}
 	return res
@@ -173,12 +173,12 @@
 	c.in = in
 	ctx, cancel := context.WithDeadline(c.request.Context(), in.deadline)
 	defer cancel()
-	return c.settled(c.relay.manager.Close(ctx, c.orderRequest(false)))
+	return c.settled(c.relay.manager.CloseKey(ctx, c.orderRequest(false)))
 }
 
 // offerToken sends the caller a token for its next order.
 func (c *call) offerToken() {
-	token, err := c.relay.manager.Token(c.serviceID, order.ModeHome)
+	token, err := c.relay.manager.IssueToken(c.serviceID, order.ModeLedger)
 	if err == nil {
 		c.writer.Header().Set(HeaderOrderToken, token)
 	}
@@ -203,7 +203,7 @@
 		p.write(w)
 		return
 	}
-	token, err := rl.manager.Token(service, order.ModeHome)
+	token, err := rl.manager.IssueToken(service, order.ModeLedger)
 	if err != nil {
 		newProblem(fault.From(err), id).write(w)
 		return
--- a/core/relay/error.go
+++ b/core/relay/error.go
@@ -22,7 +22,7 @@
 // errorResponse returns the response for a failure that the relay itself reports,
 // as opposed to a failure response of a target. A 503 has a Retry-After header.
 func errorResponse(kind fault.Kind) *caller.Answer {
-	info := kind.Answer()
+	info := kind.Response()
 	status := info.Status
 	if http.StatusText(status) == "" {
 		status = http.StatusBadGateway
--- a/core/relay/result.go
+++ b/core/relay/result.go
@@ -67,7 +67,7 @@
 		return x.relayResponse(x.best.response)
 	case !x.mayHaveRun:
 		kind := x.best.kind
-		if kind.Answer().Status != http.StatusServiceUnavailable {
+		if kind.Response().Status != http.StatusServiceUnavailable {
 			kind = fault.NoTarget
 		}
 		return x.fail(kind, x.best.err.Error())
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -62,7 +62,7 @@
 		for _, e := range retry.Endings() {
 			Expect(e.String()).NotTo(BeEmpty())
 			if e != retry.OK {
-				Expect(e.Row().Outcome).To(Equal(e.Row().Kind.Answer().Outcome), e.String())
+				Expect(e.Row().Outcome).To(Equal(e.Row().Kind.Response().Outcome), e.String())
 			}
 		}
 	})
--- a/core/stand/platform_http.go
+++ b/core/stand/platform_http.go
@@ -57,7 +57,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	if err != nil {
 		e := fault.From(err)
-		w.WriteHeader(e.Kind.Answer().Status)
+		w.WriteHeader(e.Kind.Response().Status)
 		result = Problem{Kind: e.Kind.String(), Detail: e.Detail}
 	}
 	_ = json.NewEncoder(w).Encode(result)
--- a/core/tree/compile.go
+++ b/core/tree/compile.go
@@ -141,7 +141,7 @@
 		Name:        name,
 		Methods:     get[[]string](v, keyMethods),
 		PathPrefix:  get[string](v, keyPathPrefix),
-		Kind:        get[fleet.Kind](v, keyKind),
+		Kind:        get[fleet.RequestKind](v, keyKind),
 		Idempotent:  get[bool](v, keyIdempotent),
 		Deadline:    get[time.Duration](v, keyDeadline),
 		Attempts:    get[int](v, keyAttempts),
--- a/core/tree/key.go
+++ b/core/tree/key.go
@@ -88,7 +88,7 @@
 	switch v := val.(type) {
 	case time.Duration:
 		val = v.String()
-	case fleet.Kind:
+	case fleet.RequestKind:
 		val = v.String()
 	case fleet.OrderKeyMode:
 		val = orderKeyNames[v]
--- a/core/tree/keys.go
+++ b/core/tree/keys.go
@@ -160,7 +160,7 @@
 	return RuleOne
 }
 
-func defaultIdempotent(v view) any { return get[fleet.Kind](v, keyKind) != fleet.Order }
+func defaultIdempotent(v view) any { return get[fleet.RequestKind](v, keyKind) != fleet.Order }
 
 func defaultAttempts(v view) any {
 	if get[bool](v, keyIdempotent) {
--- a/core/tree/parse.go
+++ b/core/tree/parse.go
@@ -240,7 +240,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, k := range []fleet.Kind{fleet.Lookup, fleet.Order, fleet.Batch} {
+	for _, k := range []fleet.RequestKind{fleet.Lookup, fleet.Order, fleet.Batch} {
 		if text == k.String() {
 			return k, nil
 		}
--- a/standin/demo/bench_test.go
+++ b/standin/demo/bench_test.go
@@ -58,7 +58,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		f.listeners[vm.Inner] = wireListener{f.listeners[vm.Inner], w}
+		f.listeners[vm.PeerAddress] = wireListener{f.listeners[vm.PeerAddress], w}
 		if err := f.Platform.PutVM(ctx, vm); err != nil {
 			b.Fatal(err)
 		}
--- a/standin/demo/caller.go
+++ b/standin/demo/caller.go
@@ -116,7 +116,7 @@
 	var r reply
 	for i := range min(len(c.addresses), maxTried) {
 		r = c.send(c.addresses[i], id, "")
-		if r.err == nil && r.problem.Retry != fault.RetryOther {
+		if r.err == nil && r.problem.Retry != fault.RetryOtherAddress {
 			break
 		}
 		c.until = time.Time{}
--- a/standin/demo/control.go
+++ b/standin/demo/control.go
@@ -47,7 +47,7 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	fmt.Fprintf(w, "daemon %s admin http://%s callers http://%s\n", id, n.VM.Admin, n.VM.Caller)
+	fmt.Fprintf(w, "daemon %s admin http://%s callers http://%s\n", id, n.VM.AdminAddress, n.VM.CallerAddress)
 }
 
 func (c *control) node(id fleet.VMID) *Node {
--- a/standin/demo/control_test.go
+++ b/standin/demo/control_test.go
@@ -58,7 +58,7 @@
 })
 
 func rollout(g Gomega, n *Node, owner string) admin.RolloutReply {
-	req, err := http.NewRequest(http.MethodGet, "http://"+n.VM.Admin+"/v1/rollout", nil)
+	req, err := http.NewRequest(http.MethodGet, "http://"+n.VM.AdminAddress+"/v1/rollout", nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	req.Header.Set("Authorization", "Bearer "+OperatorToken(owner))
 	resp, err := http.DefaultClient.Do(req)
--- a/standin/demo/demo.go
+++ b/standin/demo/demo.go
@@ -108,7 +108,7 @@
 func (d *Demo) bootAddresses() []string {
 	var out []string
 	for _, n := range d.fleet.Nodes() {
-		out = append(out, n.VM.Caller)
+		out = append(out, n.VM.CallerAddress)
 	}
 	return out
 }
--- a/standin/demo/fleet.go
+++ b/standin/demo/fleet.go
@@ -218,7 +218,7 @@
 // reserveVM opens the ports of a VM, so that its addresses are known before it starts.
 func (f *Fleet) reserveVM(id fleet.VMID, dc fleet.DataCentre) (fleet.VM, error) {
 	vm := fleet.VM{ID: id, Region: f.Region, DataCentre: dc}
-	for _, address := range []*string{&vm.Caller, &vm.Inner, &vm.Admin} {
+	for _, address := range []*string{&vm.CallerAddress, &vm.PeerAddress, &vm.AdminAddress} {
 		l, err := net.Listen("tcp", loopback)
 		if err != nil {
 			return vm, err
@@ -244,13 +244,13 @@
 	}
 	s := config.Defaults()
 	s.VM, s.Region, s.DataCentre = n.VM.ID, n.VM.Region, n.VM.DataCentre
-	s.CallerAddress, s.InnerAddress, s.AdminAddress = n.VM.Caller, n.VM.Inner, n.VM.Admin
+	s.CallerAddress, s.InnerAddress, s.AdminAddress = n.VM.CallerAddress, n.VM.PeerAddress, n.VM.AdminAddress
 	s.PlatformURL = "http://" + f.platform
 	s.FleetSecrets = []config.Secret{config.Secret("demo-secret-0123456789")}
 	s.Operators = f.operators()
 	for _, other := range f.Nodes() {
 		if other.VM.ID != n.VM.ID && len(s.Seeds) < maxSeeds {
-			s.Seeds = append(s.Seeds, other.VM.Inner)
+			s.Seeds = append(s.Seeds, other.VM.PeerAddress)
 		}
 	}
 	n.Daemon, err = daemon.New(s, daemon.WithIdentity(id), daemon.WithListen(f.listen), daemon.WithLogger(f.logger))
--- a/standin/demo/hold.go
+++ b/standin/demo/hold.go
@@ -40,7 +40,7 @@
 	d.say("platform  http://%s", d.fleet.platform)
 	d.say("control   http://%s", control)
 	for _, n := range d.fleet.Nodes() {
-		d.say("daemon    %-14s admin http://%s  callers http://%s", n.VM.ID, n.VM.Admin, n.VM.Caller)
+		d.say("daemon    %-14s admin http://%s  callers http://%s", n.VM.ID, n.VM.AdminAddress, n.VM.CallerAddress)
 	}
 	for _, owner := range d.fleet.Doc.Owners() {
 		d.say("owner     %-14s token %s", owner, OperatorToken(owner))
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -79,12 +79,12 @@
 		return fleet.VM{}, fault.New(fault.ConfigInvalid, "VM %q must have the form id,region,data-centre,caller,inner,admin", text)
 	}
 	return fleet.VM{
-		ID:         fleet.VMID(f[0]),
-		Region:     fleet.Region(f[1]),
-		DataCentre: fleet.DataCentre(f[2]),
-		Caller:     f[3],
-		Inner:      f[4],
-		Admin:      f[5],
+		ID:            fleet.VMID(f[0]),
+		Region:        fleet.Region(f[1]),
+		DataCentre:    fleet.DataCentre(f[2]),
+		CallerAddress: f[3],
+		PeerAddress:   f[4],
+		AdminAddress:  f[5],
 	}, nil
 }
 
