--- a/core/member/table.go
+++ b/core/member/table.go
@@ -42,7 +42,7 @@
 	removedAt  map[fleet.VMID]time.Time
 	peerStates map[fleet.VMID]*peerState
 	// plan and addressTTL are computed from the services of SetServices.
-	plan       *place.Plan
+	plan       *place.ServiceSet
 	addressTTL map[fleet.ServiceID]time.Duration
 	// windDownUntil holds the end of the wind-down of each service that is wound down.
 	windDownUntil map[fleet.ServiceID]time.Time
@@ -65,7 +65,7 @@
 		listed:         make(map[fleet.VMID]fleet.VM),
 		removedAt:      make(map[fleet.VMID]time.Time),
 		peerStates:     make(map[fleet.VMID]*peerState),
-		plan:           place.NewPlan(nil),
+		plan:           place.NewServiceSet(nil),
 		addressTTL:     make(map[fleet.ServiceID]time.Duration),
 		windDownUntil:  make(map[fleet.ServiceID]time.Time),
 		urgentServices: make(map[fleet.ServiceID]bool),
@@ -73,7 +73,7 @@
 	for _, o := range opts {
 		o(t)
 	}
-	t.view.Store(&View{Self: self, Incarnation: incarnation, placement: t.plan.Place(place.NewMap(nil)), isReady: hooks.IsReady})
+	t.view.Store(&View{Self: self, Incarnation: incarnation, placement: t.plan.Place(place.NewTopology(nil)), isReady: hooks.IsReady})
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rebuild(time.Now())
@@ -103,13 +103,13 @@
 // SetServices replaces the services that are placed on the VMs. A service that is
 // removed by this is dropped at once, without a wind-down.
 func (t *Table) SetServices(services []*fleet.Service) {
-	demands := make([]place.Demand, len(services))
+	demands := make([]place.ServiceSpec, len(services))
 	ttl := make(map[fleet.ServiceID]time.Duration, len(services))
 	for i, s := range services {
-		demands[i] = place.Demand{Service: s.ID, Region: s.Region, Carriers: s.Policy.Carriers}
+		demands[i] = place.ServiceSpec{Service: s.ID, Region: s.Region, CarrierCount: s.Policy.Carriers}
 		ttl[s.ID] = s.Policy.AddressTTL
 	}
-	plan := place.NewPlan(demands)
+	plan := place.NewServiceSet(demands)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.plan, t.addressTTL = plan, ttl
@@ -211,9 +211,9 @@
 // only the co-carriers of a VM know whether it is heard. Therefore VMs that were
 // removed from the list are left out even if they are still heard, and VMs that are
 // unheard remain until they are removed from the list.
-func (t *Table) placeServices(now time.Time, live []fleet.VM) *place.Table {
+func (t *Table) placeServices(now time.Time, live []fleet.VM) *place.Placement {
 	if !t.vmsKnown {
-		return t.plan.Place(place.NewMap(nil))
+		return t.plan.Place(place.NewTopology(nil))
 	}
 	placeable := make([]fleet.VM, 0, len(live))
 	for _, vm := range live {
@@ -221,7 +221,7 @@
 			placeable = append(placeable, vm)
 		}
 	}
-	return t.plan.Place(place.NewMap(placeable))
+	return t.plan.Place(place.NewTopology(placeable))
 }
 
 // updateWindDown starts the wind-down of services that this daemon no longer
--- a/core/member/view.go
+++ b/core/member/view.go
@@ -36,7 +36,7 @@
 
 	// windDownUntil holds the end of the wind-down of each service that is wound down.
 	windDownUntil map[fleet.ServiceID]time.Time
-	placement     *place.Table
+	placement     *place.Placement
 	isReady       func() bool
 }
 
@@ -119,5 +119,5 @@
 // Addresses returns the address candidates of the service in the order in which the
 // caller tries them.
 func (v *View) Addresses(service fleet.ServiceID, caller place.Caller, now time.Time) []*fleet.VM {
-	return place.Addresses(service, caller, v.AddressCandidates(service, now))
+	return place.SortCandidates(service, caller, v.AddressCandidates(service, now))
 }
--- a/core/place/address.go
+++ b/core/place/address.go
@@ -24,11 +24,11 @@
 	LoadLevel int
 }
 
-// Addresses returns the VMs of the candidates in the order in which the caller
+// SortCandidates returns the VMs of the candidates in the order in which the caller
 // should try them: VMs in its own data centre first, then by ascending load level.
 // Candidates that are equal in both are sorted by id and rotated by a hash of caller
 // and service, so that callers start at different VMs. Leaving VMs are omitted.
-func Addresses(service fleet.ServiceID, caller Caller, candidates []Candidate) []*fleet.VM {
+func SortCandidates(service fleet.ServiceID, caller Caller, candidates []Candidate) []*fleet.VM {
 	sorted := make([]Candidate, 0, len(candidates))
 	for _, c := range candidates {
 		if !c.VM.Leaving {
--- a/core/place/carriers.go
+++ b/core/place/carriers.go
@@ -14,11 +14,11 @@
 // reports to each other, and a higher number would make that a full mesh.
 const MaxCarrierCount = 64
 
-// Demand states the region in which a service is placed and its number of carriers.
-type Demand struct {
-	Service  fleet.ServiceID
-	Region   fleet.Region
-	Carriers int
+// ServiceSpec states the region in which a service is placed and its number of carriers.
+type ServiceSpec struct {
+	Service      fleet.ServiceID
+	Region       fleet.Region
+	CarrierCount int
 }
 
 // hashedDemand is a Demand with the service hashed, and with its number of carriers
@@ -29,8 +29,8 @@
 	carrierCount int
 }
 
-func newHashedDemand(d Demand) hashedDemand {
-	n := d.Carriers
+func newHashedDemand(d ServiceSpec) hashedDemand {
+	n := d.CarrierCount
 	if n <= 0 {
 		n = DefaultCarrierCount
 	}
@@ -41,7 +41,7 @@
 // centres in round-robin order: the numbers of carriers of two data centres differ
 // by at most one unless a data centre has too few VMs. VMs of other regions are used
 // only if the service's region has none.
-func (m *Map) Carriers(d Demand) []*fleet.VM {
+func (m *Topology) Carriers(d ServiceSpec) []*fleet.VM {
 	var a allocator
 	return a.appendCarriers(nil, m, newHashedDemand(d))
 }
@@ -69,7 +69,7 @@
 
 // appendCarriers appends the carriers of the service to dst, one VM of each data
 // centre per round.
-func (a *allocator) appendCarriers(dst []*fleet.VM, m *Map, d hashedDemand) []*fleet.VM {
+func (a *allocator) appendCarriers(dst []*fleet.VM, m *Topology, d hashedDemand) []*fleet.VM {
 	a.sortByScore(m.dataCentresFor(d.region), d.hash)
 	a.assignQuotas(d.carrierCount)
 	rounds := 0
--- a/core/place/map.go
+++ b/core/place/map.go
@@ -7,9 +7,9 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Map is an immutable set of VMs that may carry services, sorted and grouped by
+// Topology is an immutable set of VMs that may carry services, sorted and grouped by
 // region and data centre.
-type Map struct {
+type Topology struct {
 	vms         []fleet.VM
 	vmHashes    []uint64
 	dataCentres []dataCentreVMs
@@ -33,10 +33,10 @@
 	return r.end - r.start
 }
 
-// NewMap returns a map of the VMs that are not leaving. If an id occurs twice in a
+// NewTopology returns a map of the VMs that are not leaving. If an id occurs twice in a
 // data centre, the first entry is used.
-func NewMap(vms []fleet.VM) *Map {
-	m := &Map{vms: make([]fleet.VM, 0, len(vms)), regions: make(map[fleet.Region]indexRange)}
+func NewTopology(vms []fleet.VM) *Topology {
+	m := &Topology{vms: make([]fleet.VM, 0, len(vms)), regions: make(map[fleet.Region]indexRange)}
 	for i := range vms {
 		if !vms[i].Leaving {
 			m.vms = append(m.vms, vms[i])
@@ -68,7 +68,7 @@
 
 // addToDataCentre appends the VM at index i to the last data centre, or to a new one
 // if the VM is the first of its data centre.
-func (m *Map) addToDataCentre(i int) {
+func (m *Topology) addToDataCentre(i int) {
 	vm := &m.vms[i]
 	if i > 0 && m.vms[i-1].Region == vm.Region && m.vms[i-1].DataCentre == vm.DataCentre {
 		m.dataCentres[len(m.dataCentres)-1].end = i + 1
@@ -82,7 +82,7 @@
 }
 
 // indexRegions sets the range of data centres of each region.
-func (m *Map) indexRegions() {
+func (m *Topology) indexRegions() {
 	for i, dc := range m.dataCentres {
 		r, ok := m.regions[dc.region]
 		if !ok {
@@ -94,13 +94,13 @@
 }
 
 // Len returns the number of VMs.
-func (m *Map) Len() int {
+func (m *Topology) Len() int {
 	return len(m.vms)
 }
 
 // dataCentresFor returns the data centres that may carry a service of the region:
 // those of the region, or all data centres if the region has no VM.
-func (m *Map) dataCentresFor(r fleet.Region) []dataCentreVMs {
+func (m *Topology) dataCentresFor(r fleet.Region) []dataCentreVMs {
 	if s, ok := m.regions[r]; ok {
 		return m.dataCentres[s.start:s.end]
 	}
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -36,14 +36,14 @@
 	return vms
 }
 
-func makeDemands(n int) []place.Demand {
-	demands := make([]place.Demand, n)
+func makeDemands(n int) []place.ServiceSpec {
+	demands := make([]place.ServiceSpec, n)
 	for i := range demands {
 		region := fleet.Region("north")
 		if i%2 == 1 {
 			region = "south"
 		}
-		demands[i] = place.Demand{Service: fleet.ServiceID(fmt.Sprintf("service-%03d", i)), Region: region, Carriers: 2 + i%6}
+		demands[i] = place.ServiceSpec{Service: fleet.ServiceID(fmt.Sprintf("service-%03d", i)), Region: region, CarrierCount: 2 + i%6}
 	}
 	return demands
 }
@@ -69,11 +69,11 @@
 var _ = ginkgo.Describe("carriers", func() {
 	// Guards against a service that loses more than its share of carriers with one data centre.
 	ginkgo.It("spreads each service over the data centres of its region", func() {
-		m := place.NewMap(makeVMs(60))
+		m := place.NewTopology(makeVMs(60))
 		for _, d := range makeDemands(200) {
 			carriersPerDataCentre := map[fleet.DataCentre]int{}
 			carriers := m.Carriers(d)
-			gomega.Expect(carriers).To(gomega.HaveLen(d.Carriers))
+			gomega.Expect(carriers).To(gomega.HaveLen(d.CarrierCount))
 			dataCentres := 3
 			if d.Region == "south" {
 				dataCentres = 2
@@ -83,9 +83,9 @@
 				carriersPerDataCentre[vm.DataCentre]++
 			}
 			for _, n := range carriersPerDataCentre {
-				gomega.Expect(n).To(gomega.BeNumerically("<=", (d.Carriers+dataCentres-1)/dataCentres), "%v", d)
+				gomega.Expect(n).To(gomega.BeNumerically("<=", (d.CarrierCount+dataCentres-1)/dataCentres), "%v", d)
 			}
-			gomega.Expect(carriersPerDataCentre).To(gomega.HaveLen(min(dataCentres, d.Carriers)))
+			gomega.Expect(carriersPerDataCentre).To(gomega.HaveLen(min(dataCentres, d.CarrierCount)))
 		}
 	})
 
@@ -93,11 +93,11 @@
 	// The number of services per VM is binomially distributed; with 60 VMs, none is
 	// expected to deviate by more than 6 standard deviations.
 	ginkgo.It("spreads services over the VMs of a data centre", func() {
-		m := place.NewMap(makeVMs(60))
+		m := place.NewTopology(makeVMs(60))
 		countPerVM := map[fleet.VMID]int{}
 		const services = 4000
 		for i := range services {
-			d := place.Demand{Service: fleet.ServiceID(fmt.Sprint("s", i)), Region: "north", Carriers: 6}
+			d := place.ServiceSpec{Service: fleet.ServiceID(fmt.Sprint("s", i)), Region: "north", CarrierCount: 6}
 			for _, id := range vmIDs(m.Carriers(d)) {
 				countPerVM[id]++
 			}
@@ -114,13 +114,13 @@
 	// Guards against the removal of one VM moving services that this VM does not carry.
 	ginkgo.It("moves only the services of a VM that is added or removed", func() {
 		rng := rand.New(rand.NewPCG(11, 7))
-		plan := place.NewPlan(makeDemands(120))
+		plan := place.NewServiceSet(makeDemands(120))
 		for round := range 60 {
 			vms := makeVMs(5 + rng.IntN(60))
 			removed := rng.IntN(len(vms))
 			remaining := slices.Delete(slices.Clone(vms), removed, removed+1)
 			rng.Shuffle(len(remaining), func(i, j int) { remaining[i], remaining[j] = remaining[j], remaining[i] })
-			fullTable, reducedTable := plan.Place(place.NewMap(vms)), plan.Place(place.NewMap(remaining))
+			fullTable, reducedTable := plan.Place(place.NewTopology(vms)), plan.Place(place.NewTopology(remaining))
 			regionEmpty := !slices.ContainsFunc(remaining, func(v fleet.VM) bool { return v.Region == vms[removed].Region })
 			for _, d := range makeDemands(120) {
 				before, after := vmIDs(fullTable.Carriers(d.Service)), vmIDs(reducedTable.Carriers(d.Service))
@@ -139,20 +139,20 @@
 
 	ginkgo.It("uses other regions only when the region has no VM", func() {
 		vms := makeVMs(10)
-		d := place.Demand{Service: "s", Region: "south", Carriers: 3}
+		d := place.ServiceSpec{Service: "s", Region: "south", CarrierCount: 3}
 		south := slices.DeleteFunc(slices.Clone(vms), func(v fleet.VM) bool { return v.Region == "south" && v.ID != "vm-003" })
-		gomega.Expect(vmIDs(place.NewMap(south).Carriers(d))).To(gomega.Equal([]fleet.VMID{"vm-003"}))
+		gomega.Expect(vmIDs(place.NewTopology(south).Carriers(d))).To(gomega.Equal([]fleet.VMID{"vm-003"}))
 		north := slices.DeleteFunc(slices.Clone(vms), func(v fleet.VM) bool { return v.Region == "south" })
-		gomega.Expect(place.NewMap(north).Carriers(d)).To(gomega.HaveLen(3))
-		gomega.Expect(place.NewMap(nil).Carriers(d)).To(gomega.BeEmpty())
+		gomega.Expect(place.NewTopology(north).Carriers(d)).To(gomega.HaveLen(3))
+		gomega.Expect(place.NewTopology(nil).Carriers(d)).To(gomega.BeEmpty())
 	})
 
 	ginkgo.It("leaves out leaving VMs and agrees with the table", func() {
 		vms := makeVMs(30)
 		vms[4].Leaving = true
-		m := place.NewMap(vms)
+		m := place.NewTopology(vms)
 		demands := makeDemands(50)
-		table := place.NewPlan(append(demands, demands[0])).Place(m)
+		table := place.NewServiceSet(append(demands, demands[0])).Place(m)
 		carried := 0
 		for _, d := range demands {
 			carriers := table.Carriers(d.Service)
@@ -164,9 +164,9 @@
 		}
 		gomega.Expect(table.CarriedBy("vm-007")).To(gomega.HaveLen(carried))
 		gomega.Expect(table.Carriers("no-such")).To(gomega.BeNil())
-		gomega.Expect(table.Equal(place.NewPlan(demands).Place(m))).To(gomega.BeTrue())
+		gomega.Expect(table.Equal(place.NewServiceSet(demands).Place(m))).To(gomega.BeTrue())
 		vms[7].CallerAddress = "10.9.9.9:80"
-		gomega.Expect(table.Equal(place.NewPlan(demands).Place(place.NewMap(vms)))).To(gomega.BeFalse())
+		gomega.Expect(table.Equal(place.NewServiceSet(demands).Place(place.NewTopology(vms)))).To(gomega.BeFalse())
 	})
 })
 
@@ -206,7 +206,7 @@
 		first := map[fleet.VMID]int{}
 		for i := range 300 {
 			caller := place.Caller{DataCentre: "dc-1", Key: fmt.Sprint("10.1.0.", i)}
-			order := place.Addresses("s", caller, candidates)
+			order := place.SortCandidates("s", caller, candidates)
 			gomega.Expect(order).To(gomega.HaveLen(14))
 			gomega.Expect(order[:3]).To(gomega.HaveEach(gomega.HaveField("DataCentre", fleet.DataCentre("dc-1"))))
 			gomega.Expect(order[13].ID).To(gomega.Equal(fleet.VMID("vm-005")))
@@ -223,13 +223,13 @@
 // 690 VMs and 360 services.
 func BenchmarkPlace(b *testing.B) {
 	vms := makeVMs(690)
-	plan := place.NewPlan(makeDemands(360))
+	plan := place.NewServiceSet(makeDemands(360))
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
 		i++
 		vms[i%len(vms)].Leaving = !vms[i%len(vms)].Leaving
-		plan.Place(place.NewMap(vms))
+		plan.Place(place.NewTopology(vms))
 	}
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N), "us/change")
 }
--- a/core/place/table.go
+++ b/core/place/table.go
@@ -6,21 +6,21 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Plan is the immutable set of services to place. It is built once per settings
+// ServiceSet is the immutable set of services to place. It is built once per settings
 // revision and reused at each change of the VMs.
 //
 // services and demands are parallel; indexByService holds the index into both.
-type Plan struct {
+type ServiceSet struct {
 	services       []fleet.ServiceID
 	demands        []hashedDemand
 	indexByService map[fleet.ServiceID]int
 	totalCarriers  int
 }
 
-// NewPlan returns a plan for the demands. If a service occurs twice, the first
+// NewServiceSet returns a plan for the demands. If a service occurs twice, the first
 // demand is used.
-func NewPlan(demands []Demand) *Plan {
-	p := &Plan{indexByService: make(map[fleet.ServiceID]int, len(demands))}
+func NewServiceSet(demands []ServiceSpec) *ServiceSet {
+	p := &ServiceSet{indexByService: make(map[fleet.ServiceID]int, len(demands))}
 	for _, d := range demands {
 		if _, ok := p.indexByService[d.Service]; ok {
 			continue
@@ -34,9 +34,9 @@
 	return p
 }
 
-// Table holds the carriers of all services of a plan. It is immutable.
-type Table struct {
-	plan *Plan
+// Placement holds the carriers of all services of a plan. It is immutable.
+type Placement struct {
+	plan *ServiceSet
 	// carriers holds the carriers of all services, concatenated in the order of the
 	// plan; setEnds holds the end index of each service's set.
 	carriers []*fleet.VM
@@ -46,8 +46,8 @@
 // Place computes the carriers of all services. The whole table is recomputed at each
 // change of the VMs, which takes about 1 ms for 690 VMs and 360 services (see
 // BenchmarkPlace).
-func (p *Plan) Place(m *Map) *Table {
-	t := &Table{
+func (p *ServiceSet) Place(m *Topology) *Placement {
+	t := &Placement{
 		plan:     p,
 		carriers: make([]*fleet.VM, 0, p.totalCarriers),
 		setEnds:  make([]int, len(p.demands)),
@@ -62,7 +62,7 @@
 
 // Carriers returns the carriers of the service, or nil if the service is not in the
 // plan. The caller must not modify the slice.
-func (t *Table) Carriers(id fleet.ServiceID) []*fleet.VM {
+func (t *Placement) Carriers(id fleet.ServiceID) []*fleet.VM {
 	i, ok := t.plan.indexByService[id]
 	if !ok {
 		return nil
@@ -71,7 +71,7 @@
 }
 
 // carriersAt returns the carriers of the service at index i of the plan.
-func (t *Table) carriersAt(i int) []*fleet.VM {
+func (t *Placement) carriersAt(i int) []*fleet.VM {
 	start := 0
 	if i > 0 {
 		start = t.setEnds[i-1]
@@ -80,7 +80,7 @@
 }
 
 // CarriedBy returns the services that the VM carries, in the order of the plan.
-func (t *Table) CarriedBy(vm fleet.VMID) []fleet.ServiceID {
+func (t *Placement) CarriedBy(vm fleet.VMID) []fleet.ServiceID {
 	var carried []fleet.ServiceID
 	for i, id := range t.plan.services {
 		if slices.ContainsFunc(t.carriersAt(i), func(c *fleet.VM) bool { return c.ID == vm }) {
@@ -92,7 +92,7 @@
 
 // Equal reports whether both tables have the same services on the same VMs, with all
 // fields of the VMs equal.
-func (t *Table) Equal(o *Table) bool {
+func (t *Placement) Equal(o *Placement) bool {
 	if !slices.Equal(t.plan.services, o.plan.services) || !slices.Equal(t.setEnds, o.setEnds) {
 		return false
 	}
--- a/wisteriad/relay.go
+++ b/wisteriad/relay.go
@@ -64,7 +64,7 @@
 	out := logs.NewWriter(os.Stdout, settings.LogLinesPerSecond)
 	defer out.Close(logFlushTimeout)
 	logger := log.With(log.NewLogfmtLogger(out), "time", log.DefaultTimestampUTC)
-	n, err := node.New(settings, wire.New(settings.StoreAddress), node.WithLogger(logger), node.WithDroppedLines(out.Dropped))
+	n, err := node.New(settings, wire.NewPlatform(settings.StoreAddress), node.WithLogger(logger), node.WithDroppedLines(out.Dropped))
 	if err != nil {
 		return err
 	}
