--- a/core/daemon/admin.go
+++ b/core/daemon/admin.go
@@ -36,7 +36,7 @@
 		Return:    e.giveBack,
 		State:     dump.Read,
 		Ask: func(ctx context.Context, vm fleet.VM, part string) (*inner.StateReplyMsg, error) {
-			return c.StateAsk(ctx, inner.Peer{VM: vm.ID, Address: vm.PeerAddress}, &inner.StateAskMsg{What: part})
+			return c.State(ctx, inner.Peer{VM: vm.ID, Address: vm.PeerAddress}, &inner.StateRequestMsg{Part: part})
 		},
 		Logger: l,
 	})
--- a/core/daemon/engine.go
+++ b/core/daemon/engine.go
@@ -89,10 +89,10 @@
 	view := e.members.View()
 	e.shared.daemons.Store(int64(len(view.Live)))
 	winding := view.WindingDown(now)
-	if applied == e.applied && view.Generation == e.generation && slices.Equal(winding, e.winding) {
+	if applied == e.applied && view.PlacementGeneration == e.generation && slices.Equal(winding, e.winding) {
 		return
 	}
-	e.applied, e.generation, e.winding = applied, view.Generation, winding
+	e.applied, e.generation, e.winding = applied, view.PlacementGeneration, winding
 	e.replace(ctx, applied, view, slices.Concat(view.Carried, winding))
 }
 
@@ -157,7 +157,7 @@
 // whose VM id belongs to a newer incarnation is no longer handed out.
 func (e *engine) isReady() bool {
 	view := e.members.View()
-	return e.follower.Current() != nil && view.Known && !view.Superseded && !e.leaving.Load()
+	return e.follower.Current() != nil && view.VMsKnown && !view.Superseded && !e.leaving.Load()
 }
 
 // hear takes the settings revision that a peer states.
--- a/core/daemon/failures_test.go
+++ b/core/daemon/failures_test.go
@@ -141,7 +141,7 @@
 		s.net.cut(host(0), host(1))
 		// One report in the open direction still arrives after the cut, up to an
 		// interval and its jitter later; its reply is lost.
-		time.Sleep(member.UnheardAfter + 2*member.Interval)
+		time.Sleep(member.HeartbeatTimeout + 2*member.ReportInterval)
 		s.g.Expect(s.addresses(1)).NotTo(ContainElement(fleet.VMID("mdp-1")))
 		s.g.Expect(s.addresses(0)).NotTo(ContainElement(fleet.VMID("pinamar-1")))
 		s.g.Expect(s.addresses(2)).To(HaveLen(3))
--- a/core/daemon/handlers.go
+++ b/core/daemon/handlers.go
@@ -20,14 +20,14 @@
 func newHandlers(m *member.Table, manager *order.Manager, f *settle.Follower, e *engine, dump *stats.Dump) inner.Handlers {
 	h := &handlers{manager: manager, follower: f, engine: e, dump: dump}
 	return inner.Handlers{
-		Report:      m.Receive,
-		OrderAsk:    h.orderAsk,
-		Ledger:      h.ledger,
-		RevisionAsk: h.revisionAsk,
-		VMsAsk: func(context.Context, fleet.VMID, *inner.VMsAskMsg) (*inner.VMsReplyMsg, error) {
+		Report:   m.Receive,
+		Order:    h.orderAsk,
+		Ledger:   h.ledger,
+		Revision: h.revisionAsk,
+		VMs: func(context.Context, fleet.VMID, *inner.VMsRequestMsg) (*inner.VMsReplyMsg, error) {
 			return &inner.VMsReplyMsg{VMs: m.View().Live}, nil
 		},
-		StateAsk: h.stateAsk,
+		State: h.stateAsk,
 	}
 }
 
@@ -38,7 +38,7 @@
 	dump     *stats.Dump
 }
 
-func (h *handlers) orderAsk(_ context.Context, _ fleet.VMID, m *inner.OrderAskMsg) (*inner.OrderReplyMsg, error) {
+func (h *handlers) orderAsk(_ context.Context, _ fleet.VMID, m *inner.OrderRequestMsg) (*inner.OrderReplyMsg, error) {
 	reply := h.manager.AnswerQuery(*m)
 	return &reply, nil
 }
@@ -50,15 +50,15 @@
 	return &inner.LedgerReplyMsg{Kept: uint32(len(m.Records))}, nil
 }
 
-func (h *handlers) revisionAsk(_ context.Context, _ fleet.VMID, m *inner.RevisionAskMsg) (*inner.RevisionReplyMsg, error) {
+func (h *handlers) revisionAsk(_ context.Context, _ fleet.VMID, m *inner.RevisionRequestMsg) (*inner.RevisionReplyMsg, error) {
 	reply := h.follower.Answer(*m)
 	return &reply, nil
 }
 
-func (h *handlers) stateAsk(_ context.Context, _ fleet.VMID, m *inner.StateAskMsg) (*inner.StateReplyMsg, error) {
-	data, err := json.Marshal(h.dump.Read(m.What))
+func (h *handlers) stateAsk(_ context.Context, _ fleet.VMID, m *inner.StateRequestMsg) (*inner.StateReplyMsg, error) {
+	data, err := json.Marshal(h.dump.Read(m.Part))
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Internal, "state %q cannot be encoded", m.What)
+		return nil, fault.Wrap(err, fault.Internal, "state %q cannot be encoded", m.Part)
 	}
 	return &inner.StateReplyMsg{Revision: h.engine.revision(), Dump: data}, nil
 }
--- a/core/daemon/parts.go
+++ b/core/daemon/parts.go
@@ -135,14 +135,14 @@
 
 func newMembers(s *config.Settings, inc fleet.Incarnation, c *inner.Client, p Platform, ps *peers, e *engine, l log.Logger) *member.Table {
 	return member.New(s.Self(), inc, member.Hooks{
-		Send:         c.Report,
-		List:         ps.listVMs(p.VMs),
-		Collect:      e.collect,
-		Deliver:      e.deliver,
-		IsSuspect:    e.isSuspect,
-		IsReady:      e.isReady,
-		Revision:     e.revision,
-		SeenRevision: e.hear,
+		Send:           c.Report,
+		List:           ps.listVMs(p.VMs),
+		Collect:        e.collect,
+		Deliver:        e.deliver,
+		IsSuspect:      e.isSuspect,
+		IsReady:        e.isReady,
+		Revision:       e.revision,
+		OnPeerRevision: e.hear,
 	}, member.WithLog(l))
 }
 
--- a/core/daemon/peers.go
+++ b/core/daemon/peers.go
@@ -44,7 +44,7 @@
 	if !ok {
 		return order.KeyReply{}, fault.New(fault.PeerUnreachable, "VM %s is not known", to.VM())
 	}
-	reply, err := p.client.OrderAsk(ctx, inner.Peer{VM: vm.ID, Address: vm.PeerAddress}, &ask)
+	reply, err := p.client.Order(ctx, inner.Peer{VM: vm.ID, Address: vm.PeerAddress}, &ask)
 	if err != nil {
 		return order.KeyReply{}, err
 	}
@@ -137,7 +137,7 @@
 }
 
 func (c *revisionCall) run(ctx context.Context) {
-	msg, err := c.peers.client.RevisionAsk(ctx, inner.Peer{VM: c.vm.ID, Address: c.vm.PeerAddress}, &settle.RevisionAskMsg{Have: c.have})
+	msg, err := c.peers.client.Revision(ctx, inner.Peer{VM: c.vm.ID, Address: c.vm.PeerAddress}, &settle.RevisionRequestMsg{Have: c.have})
 	if err != nil {
 		_ = level.Debug(c.peers.logger).Log("msg", "peer did not answer about settings", "address", c.vm.PeerAddress, "detail", err)
 		c.replies <- nil
@@ -170,7 +170,7 @@
 			continue
 		}
 		callCtx, cancel := context.WithTimeout(ctx, seedTimeout)
-		reply, err := p.client.VMsAsk(callCtx, inner.Peer{Address: p.seeds[i]}, &inner.VMsAskMsg{})
+		reply, err := p.client.VMs(callCtx, inner.Peer{Address: p.seeds[i]}, &inner.VMsRequestMsg{})
 		cancel()
 		if err == nil && len(reply.VMs) > 0 {
 			return reply.VMs
--- a/core/daemon/watch.go
+++ b/core/daemon/watch.go
@@ -317,7 +317,7 @@
 		EjectionVersion: listing.Version,
 	}
 	for _, l := range w.carrier.Gate().InFlight() {
-		if load, ok := inner.LoadOf(l.Target, l.InFlight); ok {
+		if load, ok := inner.NewTargetLoad(l.Target, l.InFlight); ok {
 			report.InFlight = append(report.InFlight, load)
 		}
 	}
@@ -362,7 +362,7 @@
 	}
 	var out []limit.Load
 	for _, t := range service.Targets {
-		if n, ok := work[inner.TargetKey(t.ID)]; ok {
+		if n, ok := work[inner.TargetHash(t.ID)]; ok {
 			out = append(out, limit.Load{Target: t.ID, InFlight: n})
 		}
 	}
--- a/core/daemon/watch_test.go
+++ b/core/daemon/watch_test.go
@@ -16,10 +16,10 @@
 func TestReportsCarryPartsOfRequests(t *testing.T) {
 	g := NewWithT(t)
 	service := &fleet.Service{Targets: []fleet.Target{{ID: "a"}, {ID: "b"}}}
-	load, ok := inner.LoadOf("a", 0.75)
+	load, ok := inner.NewTargetLoad("a", 0.75)
 	g.Expect(ok).To(BeTrue())
 	g.Expect(loads(service, []inner.TargetLoad{load})).To(Equal([]limit.Load{{Target: "a", InFlight: 0.75}}))
-	_, ok = inner.LoadOf("b", 0.1)
+	_, ok = inner.NewTargetLoad("b", 0.1)
 	g.Expect(ok).To(BeFalse(), "a row that says nothing is sent")
 }
 
--- a/core/inner/client.go
+++ b/core/inner/client.go
@@ -109,10 +109,10 @@
 	return call[ReportMsg, ReportReplyMsg](ctx, c, to, rpcReport, m)
 }
 
-// OrderAsk asks the daemon that holds the ledger of an order key for the state of
+// Order asks the daemon that holds the ledger of an order key for the state of
 // the order, or for the right to run it.
-func (c *Client) OrderAsk(ctx context.Context, to Peer, m *OrderAskMsg) (*OrderReplyMsg, error) {
-	return call[OrderAskMsg, OrderReplyMsg](ctx, c, to, rpcOrder, m)
+func (c *Client) Order(ctx context.Context, to Peer, m *OrderRequestMsg) (*OrderReplyMsg, error) {
+	return call[OrderRequestMsg, OrderReplyMsg](ctx, c, to, rpcOrder, m)
 }
 
 // Ledger sends a part of an order ledger.
@@ -120,19 +120,19 @@
 	return call[LedgerMsg, LedgerReplyMsg](ctx, c, to, rpcLedger, m)
 }
 
-// RevisionAsk asks for the peer's revision of the settings.
-func (c *Client) RevisionAsk(ctx context.Context, to Peer, m *RevisionAskMsg) (*RevisionReplyMsg, error) {
-	return call[RevisionAskMsg, RevisionReplyMsg](ctx, c, to, rpcRevision, m)
+// Revision asks for the peer's revision of the settings.
+func (c *Client) Revision(ctx context.Context, to Peer, m *RevisionRequestMsg) (*RevisionReplyMsg, error) {
+	return call[RevisionRequestMsg, RevisionReplyMsg](ctx, c, to, rpcRevision, m)
 }
 
-// VMsAsk asks for the VMs that the peer knows.
-func (c *Client) VMsAsk(ctx context.Context, to Peer, m *VMsAskMsg) (*VMsReplyMsg, error) {
-	return call[VMsAskMsg, VMsReplyMsg](ctx, c, to, rpcVMs, m)
+// VMs asks for the VMs that the peer knows.
+func (c *Client) VMs(ctx context.Context, to Peer, m *VMsRequestMsg) (*VMsReplyMsg, error) {
+	return call[VMsRequestMsg, VMsReplyMsg](ctx, c, to, rpcVMs, m)
 }
 
-// StateAsk asks for the peer's state dump.
-func (c *Client) StateAsk(ctx context.Context, to Peer, m *StateAskMsg) (*StateReplyMsg, error) {
-	return call[StateAskMsg, StateReplyMsg](ctx, c, to, rpcState, m)
+// State asks for the peer's state dump.
+func (c *Client) State(ctx context.Context, to Peer, m *StateRequestMsg) (*StateReplyMsg, error) {
+	return call[StateRequestMsg, StateReplyMsg](ctx, c, to, rpcState, m)
 }
 
 // call sends a request and waits for the reply. It fails with
--- a/core/inner/client_test.go
+++ b/core/inner/client_test.go
@@ -87,13 +87,13 @@
 				from = vm
 				return &ReportReplyMsg{Run: 2, Revision: m.Revision + 1}, nil
 			},
-			OrderAsk: func(context.Context, fleet.VMID, *OrderAskMsg) (*OrderReplyMsg, error) {
+			Order: func(context.Context, fleet.VMID, *OrderRequestMsg) (*OrderReplyMsg, error) {
 				return nil, fault.New(fault.OrderClosed, "closed: for good")
 			},
 			Ledger: func(_ context.Context, _ fleet.VMID, m *LedgerMsg) (*LedgerReplyMsg, error) {
 				return &LedgerReplyMsg{Kept: uint32(len(m.Records))}, nil
 			},
-			RevisionAsk: func(context.Context, fleet.VMID, *RevisionAskMsg) (*RevisionReplyMsg, error) {
+			Revision: func(context.Context, fleet.VMID, *RevisionRequestMsg) (*RevisionReplyMsg, error) {
 				return &RevisionReplyMsg{Revision: 1, Snapshot: make([]byte, MaxSnapshotBytes)}, nil
 			},
 		})
@@ -101,16 +101,16 @@
 		reply := f.mustReport()
 		f.g.Expect(reply.Revision).To(gomega.Equal(uint64(4_001)))
 		f.g.Expect(from).To(gomega.Equal(fleet.VMID("a")))
-		_, err := f.client.OrderAsk(ctx, f.peer, &OrderAskMsg{Ledger: fleet.IncarnationFromRunID("b", 1), Epoch: 1, Key: order.Hash{1}})
+		_, err := f.client.Order(ctx, f.peer, &OrderRequestMsg{Ledger: fleet.IncarnationFromRunID("b", 1), Epoch: 1, Key: order.Hash{1}})
 		f.expectFault(err, fault.OrderClosed)
 		f.g.Expect(fault.From(err).Detail).To(gomega.Equal("closed: for good"))
 		kept, err := f.client.Ledger(ctx, f.peer, ledgerPart(1))
 		f.g.Expect(err).NotTo(gomega.HaveOccurred())
 		f.g.Expect(kept.Kept).To(gomega.Equal(uint32(1)))
-		revision, err := f.client.RevisionAsk(ctx, f.peer, &RevisionAskMsg{})
+		revision, err := f.client.Revision(ctx, f.peer, &RevisionRequestMsg{})
 		f.g.Expect(err).NotTo(gomega.HaveOccurred())
 		f.g.Expect(revision.Snapshot).To(gomega.HaveLen(MaxSnapshotBytes))
-		_, err = f.client.StateAsk(ctx, f.peer, &StateAskMsg{})
+		_, err = f.client.State(ctx, f.peer, &StateRequestMsg{})
 		f.expectFault(err, fault.NotReady)
 		f.g.Expect(f.net.dials.Load()).To(gomega.BeEquivalentTo(1), "all calls share one connection, also failed ones")
 	})
--- a/core/inner/codec.go
+++ b/core/inner/codec.go
@@ -87,7 +87,7 @@
 		return m.Validate()
 	case *ReportReplyMsg:
 		return m.Validate()
-	case *OrderAskMsg:
+	case *OrderRequestMsg:
 		return m.Validate()
 	case *OrderReplyMsg:
 		return m.Validate()
@@ -95,15 +95,15 @@
 		return m.Validate()
 	case *LedgerReplyMsg:
 		return m.Validate()
-	case *RevisionAskMsg:
+	case *RevisionRequestMsg:
 		return nil
 	case *RevisionReplyMsg:
-		return m.Check()
-	case *VMsAskMsg:
+		return m.Validate()
+	case *VMsRequestMsg:
 		return m.Validate()
 	case *VMsReplyMsg:
 		return m.Validate()
-	case *StateAskMsg:
+	case *StateRequestMsg:
 		return m.Validate()
 	case *StateReplyMsg:
 		return m.Validate()
--- a/core/inner/fuzz_test.go
+++ b/core/inner/fuzz_test.go
@@ -36,14 +36,14 @@
 
 func FuzzReport(f *testing.F)        { fuzzDecode(f, new(ReportMsg)) }
 func FuzzReportReply(f *testing.F)   { fuzzDecode(f, new(ReportReplyMsg)) }
-func FuzzOrderAsk(f *testing.F)      { fuzzDecode(f, new(OrderAskMsg)) }
+func FuzzOrderAsk(f *testing.F)      { fuzzDecode(f, new(OrderRequestMsg)) }
 func FuzzOrderReply(f *testing.F)    { fuzzDecode(f, new(OrderReplyMsg)) }
 func FuzzLedger(f *testing.F)        { fuzzDecode(f, new(LedgerMsg)) }
 func FuzzLedgerReply(f *testing.F)   { fuzzDecode(f, new(LedgerReplyMsg)) }
-func FuzzRevisionAsk(f *testing.F)   { fuzzDecode(f, new(RevisionAskMsg)) }
+func FuzzRevisionAsk(f *testing.F)   { fuzzDecode(f, new(RevisionRequestMsg)) }
 func FuzzRevisionReply(f *testing.F) { fuzzDecode(f, new(RevisionReplyMsg)) }
 func FuzzVMsReply(f *testing.F)      { fuzzDecode(f, new(VMsReplyMsg)) }
-func FuzzStateAsk(f *testing.F)      { fuzzDecode(f, new(StateAskMsg)) }
+func FuzzStateAsk(f *testing.F)      { fuzzDecode(f, new(StateRequestMsg)) }
 func FuzzStateReply(f *testing.F)    { fuzzDecode(f, new(StateReplyMsg)) }
 
 // BenchmarkReport measures the size and the encoding cost of a report with requests
--- a/core/inner/handlers.go
+++ b/core/inner/handlers.go
@@ -14,12 +14,12 @@
 // fault.NotReady. Errors of package fault reach the calling peer with their kind
 // and detail.
 type Handlers struct {
-	Report      func(ctx context.Context, from fleet.VMID, m *ReportMsg) (*ReportReplyMsg, error)
-	OrderAsk    func(ctx context.Context, from fleet.VMID, m *OrderAskMsg) (*OrderReplyMsg, error)
-	Ledger      func(ctx context.Context, from fleet.VMID, m *LedgerMsg) (*LedgerReplyMsg, error)
-	RevisionAsk func(ctx context.Context, from fleet.VMID, m *RevisionAskMsg) (*RevisionReplyMsg, error)
-	VMsAsk      func(ctx context.Context, from fleet.VMID, m *VMsAskMsg) (*VMsReplyMsg, error)
-	StateAsk    func(ctx context.Context, from fleet.VMID, m *StateAskMsg) (*StateReplyMsg, error)
+	Report   func(ctx context.Context, from fleet.VMID, m *ReportMsg) (*ReportReplyMsg, error)
+	Order    func(ctx context.Context, from fleet.VMID, m *OrderRequestMsg) (*OrderReplyMsg, error)
+	Ledger   func(ctx context.Context, from fleet.VMID, m *LedgerMsg) (*LedgerReplyMsg, error)
+	Revision func(ctx context.Context, from fleet.VMID, m *RevisionRequestMsg) (*RevisionReplyMsg, error)
+	VMs      func(ctx context.Context, from fleet.VMID, m *VMsRequestMsg) (*VMsReplyMsg, error)
+	State    func(ctx context.Context, from fleet.VMID, m *StateRequestMsg) (*StateReplyMsg, error)
 }
 
 // Names of the RPCs on the wire. They are short, because each call transmits one.
@@ -73,24 +73,24 @@
 	return callHandler(ctx, rpcReport, h.Report, m)
 }
 
-func (h *Handlers) handleOrder(ctx context.Context, m *OrderAskMsg) (*OrderReplyMsg, error) {
-	return callHandler(ctx, rpcOrder, h.OrderAsk, m)
+func (h *Handlers) handleOrder(ctx context.Context, m *OrderRequestMsg) (*OrderReplyMsg, error) {
+	return callHandler(ctx, rpcOrder, h.Order, m)
 }
 
 func (h *Handlers) handleLedger(ctx context.Context, m *LedgerMsg) (*LedgerReplyMsg, error) {
 	return callHandler(ctx, rpcLedger, h.Ledger, m)
 }
 
-func (h *Handlers) handleRevision(ctx context.Context, m *RevisionAskMsg) (*RevisionReplyMsg, error) {
-	return callHandler(ctx, rpcRevision, h.RevisionAsk, m)
+func (h *Handlers) handleRevision(ctx context.Context, m *RevisionRequestMsg) (*RevisionReplyMsg, error) {
+	return callHandler(ctx, rpcRevision, h.Revision, m)
 }
 
-func (h *Handlers) handleState(ctx context.Context, m *StateAskMsg) (*StateReplyMsg, error) {
-	return callHandler(ctx, rpcState, h.StateAsk, m)
+func (h *Handlers) handleState(ctx context.Context, m *StateRequestMsg) (*StateReplyMsg, error) {
+	return callHandler(ctx, rpcState, h.State, m)
 }
 
-func (h *Handlers) handleVMs(ctx context.Context, m *VMsAskMsg) (*VMsReplyMsg, error) {
-	return callHandler(ctx, rpcVMs, h.VMsAsk, m)
+func (h *Handlers) handleVMs(ctx context.Context, m *VMsRequestMsg) (*VMsReplyMsg, error) {
+	return callHandler(ctx, rpcVMs, h.VMs, m)
 }
 
 type handlerFunc[In, Out any] func(context.Context, fleet.VMID, *In) (*Out, error)
--- a/core/inner/inner_test.go
+++ b/core/inner/inner_test.go
@@ -124,15 +124,15 @@
 	return []drpc.Message{
 		report,
 		&ReportReplyMsg{Run: 7, Revision: 9, Status: ReportFromUnknownVM},
-		&OrderAskMsg{Ledger: home, Epoch: 2, Key: order.Hash{1}, Digest: order.Hash{2}, OnUnseen: order.UnseenRelease, Grant: &order.Grant{Grantee: home, Epoch: 1}},
+		&OrderRequestMsg{Ledger: home, Epoch: 2, Key: order.Hash{1}, Digest: order.Hash{2}, OnUnseen: order.UnseenRelease, Grant: &order.Grant{Grantee: home, Epoch: 1}},
 		&OrderReplyMsg{State: order.StateRun, Response: &order.Response{Status: 200, Body: []byte("answer")}},
 		ledgerPart(2),
 		&LedgerReplyMsg{Kept: 2},
-		&RevisionAskMsg{Have: 8},
+		&RevisionRequestMsg{Have: 8},
 		&RevisionReplyMsg{Revision: 9, HeadRead: true, HeadAge: 1500, Snapshot: []byte("s")},
-		&VMsAskMsg{},
+		&VMsRequestMsg{},
 		&VMsReplyMsg{VMs: []fleet.VM{{ID: "vm-1", PeerAddress: "1.2.3.4:81"}}},
-		&StateAskMsg{What: "peers"},
+		&StateRequestMsg{Part: "peers"},
 		&StateReplyMsg{Revision: 3, Dump: []byte("{}")},
 	}
 }
@@ -177,8 +177,8 @@
 		ginkgo.Entry("ejections", &ReportMsg{Run: 1, Started: 1, Sequence: 1, Services: []ServiceReport{{Service: "a", Ejections: make([]byte, MaxEjectionsBytes+1)}}}),
 		ginkgo.Entry("leaving target", &ReportMsg{Run: 1, Started: 1, Sequence: 1, Services: []ServiceReport{{Service: "a", Leaving: []fleet.TargetID{""}}}}),
 		ginkgo.Entry("reply", &ReportReplyMsg{Run: 1, Status: reportStatusCount}),
-		ginkgo.Entry("order home", &OrderAskMsg{Epoch: 1, Key: order.Hash{1}}),
-		ginkgo.Entry("order release without asker", &OrderAskMsg{Ledger: fleet.IncarnationFromRunID("v", 1), Epoch: 1, Key: order.Hash{1}, OnUnseen: order.UnseenRelease}),
+		ginkgo.Entry("order home", &OrderRequestMsg{Epoch: 1, Key: order.Hash{1}}),
+		ginkgo.Entry("order release without asker", &OrderRequestMsg{Ledger: fleet.IncarnationFromRunID("v", 1), Epoch: 1, Key: order.Hash{1}, OnUnseen: order.UnseenRelease}),
 		ginkgo.Entry("order response missing", &OrderReplyMsg{State: order.StateReleased}),
 		ginkgo.Entry("ledger part", &LedgerMsg{Ledger: fleet.IncarnationFromRunID("v", 1), Index: 2, Count: 2}),
 		ginkgo.Entry("ledger size", ledgerPart(MaxRequestBytes/32)),
@@ -187,7 +187,7 @@
 		ginkgo.Entry("snapshot", &RevisionReplyMsg{Revision: 1, Snapshot: make([]byte, MaxReplyBytes+1)}),
 		ginkgo.Entry("VMs", &VMsReplyMsg{VMs: make([]fleet.VM, MaxVMs+1)}),
 		ginkgo.Entry("VM without id", &VMsReplyMsg{VMs: make([]fleet.VM, 1)}),
-		ginkgo.Entry("state ask", &StateAskMsg{What: string(make([]byte, MaxIDLen+1))}),
+		ginkgo.Entry("state ask", &StateRequestMsg{Part: string(make([]byte, MaxIDLen+1))}),
 		ginkgo.Entry("state reply", &StateReplyMsg{Dump: make([]byte, MaxDumpBytes+1)}),
 	)
 
--- a/core/inner/order.go
+++ b/core/inner/order.go
@@ -5,9 +5,9 @@
 // The messages about orders are types of package order, which validates them and
 // limits their size.
 type (
-	// OrderAskMsg asks the daemon that holds a ledger for the state of an order, or
+	// OrderRequestMsg asks the daemon that holds a ledger for the state of an order, or
 	// for the right to run it.
-	OrderAskMsg = order.KeyQuery
+	OrderRequestMsg = order.KeyQuery
 	// OrderReplyMsg returns the state of an order.
 	OrderReplyMsg = order.KeyReply
 	// LedgerMsg transfers a part of a ledger to another carrier.
--- a/core/inner/report.go
+++ b/core/inner/report.go
@@ -65,11 +65,11 @@
 // quartersPerRequest converts between requests and TargetLoad.Quarters.
 const quartersPerRequest = 4
 
-// LoadOf returns the TargetLoad for a mean number of requests in flight. ok is false
+// NewTargetLoad returns the TargetLoad for a mean number of requests in flight. ok is false
 // if the mean rounds to 0; reports omit such a target.
-func LoadOf(target fleet.TargetID, inFlight float64) (l TargetLoad, ok bool) {
+func NewTargetLoad(target fleet.TargetID, inFlight float64) (l TargetLoad, ok bool) {
 	q := math.Round(min(max(inFlight, 0)*quartersPerRequest, math.MaxUint32))
-	return TargetLoad{Target: TargetKey(target), Quarters: uint32(q)}, q > 0
+	return TargetLoad{Target: TargetHash(target), Quarters: uint32(q)}, q > 0
 }
 
 // InFlight returns the mean number of requests in flight.
@@ -77,10 +77,10 @@
 	return float64(l.Quarters) / quartersPerRequest
 }
 
-// TargetKey returns the hash that stands for a target id in reports. Two targets of
+// TargetHash returns the hash that stands for a target id in reports. Two targets of
 // a service with 40 targets collide with a probability of 2 in 10 million. The
 // only effect is that both appear to have the same requests in flight.
-func TargetKey(id fleet.TargetID) uint32 {
+func TargetHash(id fleet.TargetID) uint32 {
 	return uint32(xxhash.Sum64String(string(id)))
 }
 
--- a/core/inner/revision.go
+++ b/core/inner/revision.go
@@ -5,8 +5,8 @@
 // The messages about revisions are types of package settle, which validates them.
 // MaxReplyBytes limits their size.
 type (
-	// RevisionAskMsg asks a peer for the changes of the settings after a revision.
-	RevisionAskMsg = settle.RevisionAskMsg
+	// RevisionRequestMsg asks a peer for the changes of the settings after a revision.
+	RevisionRequestMsg = settle.RevisionRequestMsg
 	// RevisionReplyMsg returns these changes, or a snapshot of the settings.
 	RevisionReplyMsg = settle.RevisionReplyMsg
 )
--- a/core/inner/state.go
+++ b/core/inner/state.go
@@ -1,15 +1,15 @@
 package inner
 
-// StateAskMsg asks a daemon for its state dump.
-type StateAskMsg struct {
-	// What names the part of the state to dump; empty means all of it.
-	What string `cbor:"1,keyasint,omitempty"`
+// StateRequestMsg asks a daemon for its state dump.
+type StateRequestMsg struct {
+	// Part names the part of the state to dump; empty means all of it.
+	Part string `cbor:"1,keyasint,omitempty"`
 }
 
 // Validate returns fault.MessageInvalid if the message exceeds a size limit.
-func (m *StateAskMsg) Validate() error {
+func (m *StateRequestMsg) Validate() error {
 	v := validator{message: "state ask"}
-	v.atMost("what", len(m.What), MaxIDLen)
+	v.atMost("what", len(m.Part), MaxIDLen)
 	return v.err
 }
 
--- a/core/inner/vms.go
+++ b/core/inner/vms.go
@@ -2,12 +2,12 @@
 
 import "wisteriarelay.example/core/fleet"
 
-// VMsAskMsg asks a peer for the VMs that it knows. A daemon sends it if it starts
+// VMsRequestMsg asks a peer for the VMs that it knows. A daemon sends it if it starts
 // while the platform's VM list is unavailable.
-type VMsAskMsg struct{}
+type VMsRequestMsg struct{}
 
 // Validate returns nil, because the message is empty.
-func (m *VMsAskMsg) Validate() error {
+func (m *VMsRequestMsg) Validate() error {
 	return nil
 }
 
--- a/core/member/dump.go
+++ b/core/member/dump.go
@@ -10,18 +10,18 @@
 type Dump struct {
 	Self        fleet.VM          `json:"self"`
 	Incarnation fleet.Incarnation `json:"incarnation"`
-	Known       bool              `json:"known"`
+	VMsKnown    bool              `json:"known"`
 	Superseded  bool              `json:"superseded,omitempty"`
 	ListVersion uint64            `json:"list-version"`
 	// ListAge is the time since the VM list was last read, such as "3.2s", or empty
 	// if it has never been read.
-	ListAge     string            `json:"list-age,omitempty"`
-	Generation  uint64            `json:"generation"`
-	LiveVMs     int               `json:"live-vms"`
-	Carried     []fleet.ServiceID `json:"carried"`
-	WindingDown []fleet.ServiceID `json:"winding-down,omitempty"`
-	Peers       []PeerDump        `json:"peers"`
-	Reports     Counters          `json:"reports"`
+	ListAge             string            `json:"list-age,omitempty"`
+	PlacementGeneration uint64            `json:"generation"`
+	LiveVMs             int               `json:"live-vms"`
+	Carried             []fleet.ServiceID `json:"carried"`
+	WindingDown         []fleet.ServiceID `json:"winding-down,omitempty"`
+	Peers               []PeerDump        `json:"peers"`
+	Reports             Counters          `json:"reports"`
 }
 
 // PeerDump is one peer in a state dump, with the results of the methods of Peer at
@@ -46,18 +46,18 @@
 func (t *Table) Dump(now time.Time) Dump {
 	v := t.View()
 	d := Dump{
-		Self:        v.Self,
-		Incarnation: v.Incarnation,
-		Known:       v.Known,
-		Superseded:  v.Superseded,
-		ListVersion: v.ListVersion,
-		ListAge:     age(v.ListReadAt, now),
-		Generation:  v.Generation,
-		LiveVMs:     len(v.Live),
-		Carried:     v.Carried,
-		WindingDown: v.WindingDown(now),
-		Peers:       make([]PeerDump, len(v.Peers)),
-		Reports:     t.Counters(),
+		Self:                v.Self,
+		Incarnation:         v.Incarnation,
+		VMsKnown:            v.VMsKnown,
+		Superseded:          v.Superseded,
+		ListVersion:         v.ListVersion,
+		ListAge:             age(v.ListReadAt, now),
+		PlacementGeneration: v.PlacementGeneration,
+		LiveVMs:             len(v.Live),
+		Carried:             v.Carried,
+		WindingDown:         v.WindingDown(now),
+		Peers:               make([]PeerDump, len(v.Peers)),
+		Reports:             t.Counters(),
 	}
 	for i := range v.Peers {
 		d.Peers[i] = v.Peers[i].dump(now)
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -36,12 +36,12 @@
 		// Each peer gets one report per report interval, or one per second while the service is suspect.
 		start := time.Now()
 		time.Sleep(40 * time.Second)
-		cl.g.Expect(cl.countSent("a1", "b1", start)).To(gomega.BeNumerically("~", 40*time.Second/Interval, 2))
+		cl.g.Expect(cl.countSent("a1", "b1", start)).To(gomega.BeNumerically("~", 40*time.Second/ReportInterval, 2))
 		cl.withLock(func() { a.suspect = true })
 		start = time.Now()
 		time.Sleep(40 * time.Second)
 		cl.g.Expect(cl.countSent("a1", "b1", start)).To(gomega.BeNumerically("~", 40, 4))
-		cl.g.Expect(cl.countSent("b1", "a1", start)).To(gomega.BeNumerically("~", 40*time.Second/Interval, 2))
+		cl.g.Expect(cl.countSent("b1", "a1", start)).To(gomega.BeNumerically("~", 40*time.Second/ReportInterval, 2))
 		sends := cl.sentReports()
 		last := sends[len(sends)-1].m
 		cl.g.Expect(last.Self).To(gomega.BeNil(), "a peer that confirmed to hear this VM no longer gets its description")
@@ -60,7 +60,7 @@
 			cl.setLinkDown(silenced, receiver, true)
 			// After 3 report intervals the receiver counts the silenced VM as unheard; its next
 			// report, within one more interval, tells the silenced VM.
-			time.Sleep(UnheardAfter + Interval + Interval/4)
+			time.Sleep(HeartbeatTimeout + ReportInterval + ReportInterval/4)
 			cl.g.Expect(cl.usability(receiver, silenced)).To(gomega.Equal(unusable))
 			cl.g.Expect(cl.usability(silenced, receiver)).To(gomega.Equal(evidenceOnly))
 			cl.g.Expect(cl.usability("c1", silenced)).To(gomega.Equal(usableForAll))
@@ -68,7 +68,7 @@
 			cl.g.Expect(cl.addresses(receiver)).NotTo(gomega.ContainElement(silenced))
 			cl.g.Expect(cl.nodes[receiver].View().Carriers("s")).To(gomega.HaveLen(3), "the placement must not depend on which peers are heard")
 			cl.setLinkDown(silenced, receiver, false)
-			time.Sleep(3 * Interval)
+			time.Sleep(3 * ReportInterval)
 			cl.g.Expect(cl.usability(receiver, silenced)).To(gomega.Equal(usableForAll))
 			cl.g.Expect(cl.usability(silenced, receiver)).To(gomega.Equal(usableForAll))
 		})
@@ -84,11 +84,11 @@
 	table.SetServices([]*fleet.Service{makeService("s")})
 	table.handleReply("b1", &inner.ReportReplyMsg{Run: 5}, time.Now())
 	p, _ := table.View().Peer("b1")
-	later := time.Now().Add(UnheardAfter / 2)
+	later := time.Now().Add(HeartbeatTimeout / 2)
 	g.Expect(p.HearsUs(later)).To(gomega.BeTrue())
 	g.Expect(p.IsUsableAsProber(later)).To(gomega.BeFalse())
 	g.Expect(p.IsUsableForAddresses(later)).To(gomega.BeTrue(), "the peer is new")
-	g.Expect(p.IsUsableForAddresses(later.Add(UnheardAfter))).To(gomega.BeFalse())
+	g.Expect(p.IsUsableForAddresses(later.Add(HeartbeatTimeout))).To(gomega.BeFalse())
 }
 
 // Guards against counting the requests in flight of a dead peer forever, and against
@@ -99,14 +99,14 @@
 		time.Sleep(10 * time.Second)
 		cl.kill("b1")
 		p := cl.peer("a1", "b1")
-		cl.g.Expect(p.IsHeard(p.HeardAt.Add(UnheardAfter - 1))).To(gomega.BeTrue())
-		cl.g.Expect(p.IsHeard(p.HeardAt.Add(UnheardAfter))).To(gomega.BeFalse())
-		for silence, share := range map[time.Duration]float64{0: 1, UnheardAfter: 1, UnheardAfter * 3 / 2: 0.5, UnheardAfter * 2: 0, time.Hour: 0} {
+		cl.g.Expect(p.IsHeard(p.HeardAt.Add(HeartbeatTimeout - 1))).To(gomega.BeTrue())
+		cl.g.Expect(p.IsHeard(p.HeardAt.Add(HeartbeatTimeout))).To(gomega.BeFalse())
+		for silence, share := range map[time.Duration]float64{0: 1, HeartbeatTimeout: 1, HeartbeatTimeout * 3 / 2: 0.5, HeartbeatTimeout * 2: 0, time.Hour: 0} {
 			cl.g.Expect(p.InFlightWeight(p.HeardAt.Add(silence))).To(gomega.BeNumerically("~", share, 1e-9))
 		}
-		time.Sleep(UnheardAfter)
+		time.Sleep(HeartbeatTimeout)
 		cl.g.Expect(cl.addresses("a1")).To(gomega.Equal(vmIDs("a1", "c1")))
-		cl.g.Expect(cl.nodes["a1"].Dump(p.HeardAt.Add(UnheardAfter * 3 / 2)).Peers[0]).To(gomega.Equal(PeerDump{
+		cl.g.Expect(cl.nodes["a1"].Dump(p.HeardAt.Add(HeartbeatTimeout * 3 / 2)).Peers[0]).To(gomega.Equal(PeerDump{
 			ID: "b1", Incarnation: p.Incarnation, Listed: true, Ready: true, Silence: "13.5s", Revision: 7, InFlightWeight: 0.5,
 		}))
 		cl.removeListed("b1")
@@ -147,9 +147,9 @@
 		cl.withLock(func() { a.collectDelay = 10 * time.Second })
 		time.Sleep(5 * time.Second)
 		cl.withLock(func() { a.collectDelay = 0 })
-		time.Sleep(5*time.Second + Interval + 2*SuspectReportInterval)
+		time.Sleep(5*time.Second + ReportInterval + 2*SuspectReportInterval)
 		cl.g.Expect(cl.usability("a1", "b1")).To(gomega.Equal([3]bool{false, false, true}))
-		time.Sleep(UnheardAfter)
+		time.Sleep(HeartbeatTimeout)
 		cl.g.Expect(cl.usability("a1", "b1")).To(gomega.Equal(unusable))
 	})
 }
@@ -196,7 +196,7 @@
 		time.Sleep(10 * time.Second)
 		old := cl.nodes["b1"]
 		cl.kill("b1")
-		time.Sleep(UnheardAfter)
+		time.Sleep(HeartbeatTimeout)
 		slow := &inner.ReportMsg{Run: 5, Started: old.started - 60_000, Sequence: 1, Ready: true}
 		reply, err := cl.nodes["a1"].Receive(cl.ctx, "b1", slow)
 		cl.g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -220,10 +220,10 @@
 		cl.g.Expect(cl.nodes["a1"].View().Live).To(gomega.HaveLen(3))
 		// It is not live while it is unheard.
 		cl.isolate("c1", true)
-		time.Sleep(UnheardAfter + 2*SuspectReportInterval)
+		time.Sleep(HeartbeatTimeout + 2*SuspectReportInterval)
 		cl.g.Expect(cl.nodes["a1"].View().Live).To(gomega.HaveLen(2))
 		cl.isolate("c1", false)
-		time.Sleep(2 * Interval)
+		time.Sleep(2 * ReportInterval)
 		cl.g.Expect(cl.addresses("a1")).To(gomega.Equal(vmIDs("a1", "b1", "c1")))
 		cl.setListed(makeVM("c1"))
 		time.Sleep(2 * pollInterval)
@@ -237,17 +237,17 @@
 		cl.g.Expect(cl.addresses("a1")).To(gomega.Equal(vmIDs("a1", "c1")))
 		cl.g.Expect(cl.nodes["a1"].View().Live).To(gomega.HaveLen(3))
 		cl.kill("b1")
-		time.Sleep(UnheardAfter + 2*SuspectReportInterval)
+		time.Sleep(HeartbeatTimeout + 2*SuspectReportInterval)
 		cl.g.Expect(cl.nodes["a1"].View().Live).To(gomega.HaveLen(2))
 		// A new VM with the id of a removed one becomes a carrier before it is listed.
 		cl.start(makeVM("b1"))
 		time.Sleep(5 * time.Second)
 		cl.g.Expect(cl.addresses("a1")).To(gomega.Equal(vmIDs("a1", "b1", "c1")))
 		cl.kill("b1")
-		time.Sleep(UnheardAfter + 2*SuspectReportInterval)
+		time.Sleep(HeartbeatTimeout + 2*SuspectReportInterval)
 		// A listed VM that was never heard is a carrier, but no address after its grace period.
 		cl.setListed(makeVM("d1"))
-		time.Sleep(2*pollInterval + UnheardAfter)
+		time.Sleep(2*pollInterval + HeartbeatTimeout)
 		cl.g.Expect(cl.nodes["a1"].View().Carriers("s")).To(gomega.HaveLen(3))
 		cl.g.Expect(cl.addresses("a1")).To(gomega.Equal(vmIDs("a1", "c1")))
 		cl.g.Expect(cl.usability("a1", "d1")).To(gomega.Equal(unusable))
@@ -266,7 +266,7 @@
 		time.Sleep(10 * time.Second)
 		cl.g.Expect(cl.usability("a1", "b1")).To(gomega.Equal(usableForAll))
 		c := cl.nodes["c1"]
-		cl.g.Expect(c.View().Known).To(gomega.BeFalse())
+		cl.g.Expect(c.View().VMsKnown).To(gomega.BeFalse())
 		cl.g.Expect(c.View().Carried).To(gomega.BeEmpty(), "a daemon that knows no others must not carry everything")
 		c.applyListChanges(store.VMChanges{Version: 9, Live: []fleet.VM{makeVM("a1"), makeVM("c1")}}, time.Now())
 		for _, ignored := range []store.VMChanges{{Version: 10, Full: true}, {Version: 8, Removed: vmIDs("a1")}} {
@@ -302,9 +302,9 @@
 		cl.g.Expect(cl.usability("a1", "b1")[0]).To(gomega.BeTrue(), "evidence counts until the end")
 		time.Sleep(time.Nanosecond)
 		cl.g.Expect(b.View().IsWindingDown("s", time.Now())).To(gomega.BeFalse())
-		time.Sleep(2 * Interval)
+		time.Sleep(2 * ReportInterval)
 		start = time.Now()
-		time.Sleep(2 * Interval)
+		time.Sleep(2 * ReportInterval)
 		cl.g.Expect(cl.countSent("b1", "a1", start)).To(gomega.BeZero())
 	})
 }
@@ -320,11 +320,11 @@
 		time.Sleep(2 * pollInterval)
 		cl.g.Expect(cl.addresses("a1")).To(gomega.Equal(vmIDs("a1")))
 		cl.g.Expect(cl.nodes["b1"].View().Carried).To(gomega.BeEmpty())
-		generation := cl.nodes["b1"].View().Generation
+		generation := cl.nodes["b1"].View().PlacementGeneration
 		cl.setListed(makeVM("b1"))
 		time.Sleep(2 * pollInterval)
 		cl.g.Expect(cl.nodes["b1"].View().Carries("s")).To(gomega.BeTrue())
-		cl.g.Expect(cl.nodes["b1"].View().Generation).To(gomega.BeNumerically(">", generation))
+		cl.g.Expect(cl.nodes["b1"].View().PlacementGeneration).To(gomega.BeNumerically(">", generation))
 		cl.g.Expect(cl.nodes["b1"].View().WindingDown(time.Now())).To(gomega.BeEmpty())
 	})
 }
@@ -371,7 +371,7 @@
 		a, sends := cl.nodes["a1"], len(cl.sentReports())
 		outgoing := a.composeReports([]fleet.ServiceID{"s"}, false, time.Now())
 		cl.g.Expect(outgoing).To(gomega.HaveLen(1))
-		outgoing[0].composedAt = time.Now().Add(-Interval - 1)
+		outgoing[0].composedAt = time.Now().Add(-ReportInterval - 1)
 		cl.running.Add(1)
 		newReporter(a.Table, &cl.running).run(cl.ctx, outgoing[0])
 		cl.g.Expect(cl.sentReports()).To(gomega.HaveLen(sends))
--- a/core/member/option.go
+++ b/core/member/option.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// Interval is the time between two reports to a peer. With 2 s, the control
+	// ReportInterval is the time between two reports to a peer. With 2 s, the control
 	// traffic of a daemon would exceed 5 KB/s at the planned scale.
-	Interval = roundsPerInterval * SuspectReportInterval
+	ReportInterval = roundsPerInterval * SuspectReportInterval
 	// SuspectReportInterval is the time between two reports about a service that has
 	// a suspect target.
 	SuspectReportInterval = time.Second
 	// roundsPerInterval is the number of rounds in a report interval. The first
 	// round covers all services, the others only those with a suspect target.
 	roundsPerInterval = 3
-	// UnheardAfter is the time without a report after which a peer counts as unheard.
+	// HeartbeatTimeout is the time without a report after which a peer counts as unheard.
 	// It tolerates the loss of two reports.
-	UnheardAfter = 3 * Interval
+	HeartbeatTimeout = 3 * ReportInterval
 	// WindDownMargin is added to the address lifetime of a service. For the sum, a
 	// daemon that is no longer a carrier of the service continues to serve it,
 	// because callers still hold its address.
@@ -75,9 +75,9 @@
 	IsReady func() bool
 	// Revision returns the settings revision of this daemon.
 	Revision func() uint64
-	// SeenRevision receives the settings revision that a peer states in a report or
+	// OnPeerRevision receives the settings revision that a peer states in a report or
 	// in a reply.
-	SeenRevision func(from fleet.VMID, revision uint64)
+	OnPeerRevision func(from fleet.VMID, revision uint64)
 }
 
 // Option configures a table.
--- a/core/member/outgoing.go
+++ b/core/member/outgoing.go
@@ -170,7 +170,7 @@
 	changed := false
 	for id, r := range t.peerStates {
 		if paused {
-			r.graceUntil = now.Add(UnheardAfter)
+			r.graceUntil = now.Add(HeartbeatTimeout)
 		}
 		changed = changed || r.liveWhileHeard && !isRecent(r.heardAt, now)
 		if !r.coCarrier && r.pendingReports == 0 && now.Sub(r.heardAt) > peerStateTTL {
--- a/core/member/peer.go
+++ b/core/member/peer.go
@@ -32,7 +32,7 @@
 
 // isRecent reports whether at is set and less than 3 report intervals ago.
 func isRecent(at, now time.Time) bool {
-	return !at.IsZero() && now.Sub(at) < UnheardAfter
+	return !at.IsZero() && now.Sub(at) < HeartbeatTimeout
 }
 
 // IsHeard reports whether a report of the peer was accepted in the last 3 report intervals.
@@ -74,6 +74,6 @@
 	if p.HeardAt.IsZero() {
 		return 0
 	}
-	silent := now.Sub(p.HeardAt) - UnheardAfter
-	return min(1, max(0, 1-float64(silent)/float64(UnheardAfter)))
+	silent := now.Sub(p.HeardAt) - HeartbeatTimeout
+	return min(1, max(0, 1-float64(silent)/float64(HeartbeatTimeout)))
 }
--- a/core/member/receive.go
+++ b/core/member/receive.go
@@ -94,8 +94,8 @@
 
 // deliver passes a new report to the hooks.
 func (t *Table) deliver(from Sender, m *inner.ReportMsg) {
-	if t.hooks.SeenRevision != nil {
-		t.hooks.SeenRevision(from.Incarnation.VM(), m.Revision)
+	if t.hooks.OnPeerRevision != nil {
+		t.hooks.OnPeerRevision(from.Incarnation.VM(), m.Revision)
 	}
 	if t.hooks.Deliver == nil {
 		return
@@ -110,8 +110,8 @@
 
 // handleReply handles the reply to a report.
 func (t *Table) handleReply(from fleet.VMID, reply *inner.ReportReplyMsg, now time.Time) {
-	if t.hooks.SeenRevision != nil {
-		t.hooks.SeenRevision(from, reply.Revision)
+	if t.hooks.OnPeerRevision != nil {
+		t.hooks.OnPeerRevision(from, reply.Revision)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/member/reporter.go
+++ b/core/member/reporter.go
@@ -59,7 +59,7 @@
 // tick expires state and sends the reports of a regular round. This daemon was paused
 // if the last tick is longer ago than a report interval.
 func (r *reporter) tick(ctx context.Context, now time.Time) {
-	paused := now.Sub(r.lastTick) > Interval
+	paused := now.Sub(r.lastTick) > ReportInterval
 	r.lastTick = now
 	r.table.expire(now, paused)
 	services, urgent := r.table.currentServices(), r.table.takeUrgentServices()
@@ -128,7 +128,7 @@
 	defer r.table.finishReport(o.to.VM)
 	for _, m := range o.parts {
 		// The content is out of date if this daemon was paused since.
-		if r.table.hooks.Send == nil || time.Since(o.composedAt) > Interval {
+		if r.table.hooks.Send == nil || time.Since(o.composedAt) > ReportInterval {
 			r.table.counters.skipped.Add(1)
 			return
 		}
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -155,7 +155,7 @@
 	v.Live = t.liveVMs(now)
 	v.placement = t.placeServices(now, v.Live)
 	if !v.placement.Equal(old.placement) {
-		v.Generation++
+		v.PlacementGeneration++
 	}
 	v.Carried = v.placement.CarriedBy(t.self.ID)
 	slices.Sort(v.Carried)
@@ -241,7 +241,7 @@
 
 // publish fills in the peers and stores the view. The caller holds mu.
 func (t *Table) publish(v *View, now time.Time) {
-	v.Known, v.Superseded = t.vmsKnown, t.superseded
+	v.VMsKnown, v.Superseded = t.vmsKnown, t.superseded
 	v.ListVersion, v.ListReadAt = t.listVersion, t.listReadAt
 	t.updateCoCarriers(v, now)
 	v.Peers = make([]Peer, 0, len(t.peerStates))
@@ -289,7 +289,7 @@
 	for id := range coCarriers {
 		r := t.peerState(id)
 		if !r.coCarrier {
-			r.coCarrier, r.graceUntil = true, now.Add(UnheardAfter)
+			r.coCarrier, r.graceUntil = true, now.Add(HeartbeatTimeout)
 		}
 	}
 }
--- a/core/member/view.go
+++ b/core/member/view.go
@@ -15,9 +15,9 @@
 	// is listed as leaving.
 	Self        fleet.VM
 	Incarnation fleet.Incarnation
-	// Known says that VMs are known from the VM list or the seeds. Before that, this
+	// VMsKnown says that VMs are known from the VM list or the seeds. Before that, this
 	// daemon carries no service.
-	Known bool
+	VMsKnown bool
 	// ListVersion is the version of the VM list in use, and ListReadAt the time when
 	// it was read, which is zero before the first read.
 	ListVersion uint64
@@ -25,8 +25,8 @@
 	// Superseded says that a peer knows a newer incarnation with the VM id of this
 	// daemon.
 	Superseded bool
-	// Generation increases when the carriers of any service change.
-	Generation uint64
+	// PlacementGeneration increases when the carriers of any service change.
+	PlacementGeneration uint64
 	// Live holds the VMs that are listed or heard, including Self, sorted by id.
 	Live []fleet.VM
 	// Peers holds the peers, sorted by id.
--- a/core/settle/bench_test.go
+++ b/core/settle/bench_test.go
@@ -94,7 +94,7 @@
 			op := tree.Set(servicePath(int(r)), "queue-length", int(r))
 			f.applyDeltas([]*Delta{{Revision: r, Change: "c", Author: "ana", Ops: []tree.Op{op}}})
 		}
-		f.Answer(RevisionAskMsg{})
+		f.Answer(RevisionRequestMsg{})
 		heap = heapBytes() - before
 		runtime.KeepAlive(f)
 	}
--- a/core/settle/follower_test.go
+++ b/core/settle/follower_test.go
@@ -51,7 +51,7 @@
 	return func(_ context.Context, have Revision) []PeerReply {
 		var out []PeerReply
 		for i, p := range peers {
-			raw, err := cbor.Marshal(p.Answer(RevisionAskMsg{Have: have}))
+			raw, err := cbor.Marshal(p.Answer(RevisionRequestMsg{Have: have}))
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			var m RevisionReplyMsg
 			g.Expect(cbor.Unmarshal(raw, &m)).To(gomega.Succeed())
@@ -311,10 +311,10 @@
 		commitQueueLengths(g, changelog, 200)
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		reply := peer.Answer(RevisionAskMsg{Have: r})
+		reply := peer.Answer(RevisionRequestMsg{Have: r})
 		g.Expect(reply.Deltas).To(gomega.BeEmpty())
 		g.Expect(reply.Snapshot).NotTo(gomega.BeEmpty())
-		g.Expect(peer.Answer(RevisionAskMsg{Have: reply.Revision - maxRecentDeltas}).Deltas).To(gomega.HaveLen(maxRecentDeltas))
+		g.Expect(peer.Answer(RevisionRequestMsg{Have: reply.Revision - maxRecentDeltas}).Deltas).To(gomega.HaveLen(maxRecentDeltas))
 		f.ObservePeerRevision(reply.Revision)
 		synctest.Wait()
 		g.Expect(f.Current().Revision).To(gomega.Equal(reply.Revision))
--- a/core/settle/message.go
+++ b/core/settle/message.go
@@ -9,8 +9,8 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// RevisionAskMsg requests the revisions above Have from a peer.
-type RevisionAskMsg struct {
+// RevisionRequestMsg requests the revisions above Have from a peer.
+type RevisionRequestMsg struct {
 	// Have is the newest revision that the sender holds; 0 stands for none.
 	Have Revision `json:"have" cbor:"1,keyasint"`
 }
@@ -44,12 +44,12 @@
 		return fault.Wrap(err, fault.MessageInvalid, "revision reply")
 	}
 	*m = RevisionReplyMsg(p)
-	return m.Check()
+	return m.Validate()
 }
 
-// Check returns an error unless the deltas are consecutive and end at Revision, and
+// Validate returns an error unless the deltas are consecutive and end at Revision, and
 // the other fields are consistent and within their limits.
-func (m *RevisionReplyMsg) Check() error {
+func (m *RevisionReplyMsg) Validate() error {
 	if m.HeadAge < 0 {
 		return fault.New(fault.MessageInvalid, "revision reply with head age %s", m.HeadAge)
 	}
--- a/core/settle/peers.go
+++ b/core/settle/peers.go
@@ -72,7 +72,7 @@
 	seen := make(map[fleet.VMID]bool, len(replies))
 	var out []PeerReply
 	for _, r := range replies {
-		if seen[r.From] || r.Msg.Check() != nil {
+		if seen[r.From] || r.Msg.Validate() != nil {
 			continue
 		}
 		seen[r.From] = true
@@ -129,7 +129,7 @@
 
 // Answer returns the reply to a request of a peer: the revisions that the peer
 // lacks. It needs no I/O.
-func (f *Follower) Answer(request RevisionAskMsg) RevisionReplyMsg {
+func (f *Follower) Answer(request RevisionRequestMsg) RevisionReplyMsg {
 	held := f.held.Load()
 	reply := RevisionReplyMsg{Revision: held.Revision, Ready: f.current.Load() != nil}
 	if !held.HeadReadAt.IsZero() {
