--- a/core/tree/apply.go
+++ b/core/tree/apply.go
@@ -9,215 +9,223 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// draft is a document while ops are applied to it. It shares every part that
-// the ops leave alone with the document that it started from.
-type draft struct {
-	doc          Doc
-	ownsServices bool
-	ownsSpaces   bool
-	ownsShard    [shardCount]bool
-	touched      map[Path]spot
-	problems     []Problem
+// docBuilder applies ops to a copy of a document. The copy is copy-on-write: it
+// shares every part that the ops do not change with the original document.
+type docBuilder struct {
+	doc              Doc
+	copiedServices   bool
+	copiedWorkspaces bool
+	copiedShards     [shardCount]bool
+	changed          map[Path]location
+	problems         []Problem
 }
 
-func newDraft(d *Doc) *draft {
-	return &draft{doc: *d, touched: map[Path]spot{}}
+func newDocBuilder(d *Doc) *docBuilder {
+	return &docBuilder{doc: *d, changed: map[Path]location{}}
 }
 
-// Apply returns the document after the ops. The result is validated as a
-// whole: an error of kind SettingsInvalid lists every problem of it.
+// Apply returns a new document with the ops applied in order. The result is
+// validated as a whole: an error of kind SettingsInvalid lists all its problems.
 func (d *Doc) Apply(ops []Op) (*Doc, error) {
-	t := newDraft(d)
+	b := newDocBuilder(d)
 	for _, o := range ops {
-		t.apply(o)
+		b.applyOp(o)
 	}
-	return t.finish(d.catalog)
+	return b.build(d.catalog)
 }
 
-// finish validates the draft and compiles it with reuse of prev.
-func (t *draft) finish(prev *Catalog) (*Doc, error) {
-	for p, s := range t.touched {
-		t.collect(p, t.doc.node(s))
+// build validates and compiles the document. It reuses the services of the
+// previous catalog that did not change.
+func (b *docBuilder) build(previous *Catalog) (*Doc, error) {
+	for p, loc := range b.changed {
+		b.addInvalidValues(p, b.doc.node(loc))
 	}
-	doc := t.doc
-	catalog, problems := doc.compile(prev)
-	t.problems = append(t.problems, problems...)
-	if err := invalid(t.problems); err != nil {
+	doc := b.doc
+	catalog, problems := doc.compile(previous)
+	b.problems = append(b.problems, problems...)
+	if err := invalidError(b.problems); err != nil {
 		return nil, err
 	}
 	doc.catalog = catalog
 	return &doc, nil
 }
 
-func (t *draft) collect(p Path, n *node) {
+// addInvalidValues adds the problems of the node's values that did not parse.
+// Only the state after the last op counts, so a later op may correct a value.
+func (b *docBuilder) addInvalidValues(p Path, n *node) {
 	if n == nil {
 		return
 	}
 	for _, e := range n.entries {
-		if e.bad != nil {
-			t.problems = append(t.problems, *e.bad)
+		if e.problem != nil {
+			b.problems = append(b.problems, *e.problem)
 		}
 	}
 }
 
-func (t *draft) apply(o Op) {
-	if p, bad := o.problem(); bad {
-		t.problems = append(t.problems, p)
+func (b *docBuilder) applyOp(o Op) {
+	if p, isInvalid := o.findProblem(); isInvalid {
+		b.problems = append(b.problems, p)
 		return
 	}
-	s, _ := o.Path.parse()
-	t.touched[o.Path] = s
+	loc, _ := o.Path.parse()
+	b.changed[o.Path] = loc
 	switch {
 	case o.Key != "" && o.Unset:
-		t.unset(o, s)
+		b.unsetKey(o, loc)
 	case o.Key != "":
-		t.set(o, s)
+		b.setKey(o, loc)
 	case o.Unset:
-		t.remove(o, s)
+		b.removePath(o, loc)
 	default:
-		t.declare(o, s)
+		b.declarePath(o, loc)
 	}
 }
 
-func (t *draft) refuse(o Op, allowed string) {
-	t.problems = append(t.problems, o.refuse(allowed))
+func (b *docBuilder) addProblem(o Op, allowed string) {
+	b.problems = append(b.problems, o.newProblem(allowed))
 }
 
-func (t *draft) set(o Op, s spot) {
-	n := t.doc.node(s)
-	if n == nil && s.level < LevelService {
-		t.refuse(o, fmt.Sprintf("a declared %s; an op without a key declares it", s.level))
+func (b *docBuilder) setKey(o Op, loc location) {
+	n := b.doc.node(loc)
+	if n == nil && loc.level < LevelService {
+		b.addProblem(o, fmt.Sprintf("a declared %s; an op without a key declares it", loc.level))
 		return
 	}
 	if n == nil {
 		n = emptyNode
 	}
-	t.put(s, n.with(newEntry(o, s.level)))
+	b.putNode(loc, n.withEntry(newEntry(o, loc.level)))
 }
 
-func newEntry(o Op, at Level) entry {
-	// Marshal compacts and escapes like the encoders of rows and snapshots, so
-	// that a value has the same bytes wherever it comes from.
+// newEntry parses the value of an op. An entry whose key is unknown or whose
+// value does not parse carries the problem.
+func newEntry(o Op, level Level) entry {
+	// Marshal compacts and escapes the value in the same way as the encoders of
+	// table rows and snapshots, so that equal values have equal bytes, whichever
+	// source they come from.
 	raw, err := json.Marshal(o.Value)
 	if err != nil {
 		raw = bytes.Clone(o.Value)
 	}
 	e := entry{raw: raw}
-	key, known := KeyFor(o.Key)
-	if !known {
+	key, found := KeyByName(o.Key)
+	if !found {
 		e.key = &Key{Name: o.Key}
-		e.bad = &Problem{Path: o.Path, Key: o.Key, Value: string(raw), Allowed: "a key of the registry"}
+		e.problem = &Problem{Path: o.Path, Key: o.Key, Value: string(raw), Allowed: "a key of the registry"}
 		return e
 	}
 	e.key = key
-	val, err := key.Parse(e.raw, at)
+	parsed, err := key.Parse(e.raw, level)
 	if err != nil {
-		e.bad = &Problem{Path: o.Path, Key: o.Key, Value: string(raw), Allowed: err.Error()}
+		e.problem = &Problem{Path: o.Path, Key: o.Key, Value: string(raw), Allowed: err.Error()}
 		return e
 	}
-	e.val = val
+	e.parsed = parsed
 	return e
 }
 
-func (t *draft) unset(o Op, s spot) {
-	if n := t.doc.node(s); n != nil {
-		if next, found := n.without(o.Key); found {
-			t.put(s, next)
+func (b *docBuilder) unsetKey(o Op, loc location) {
+	if n := b.doc.node(loc); n != nil {
+		if next, found := n.withoutKey(o.Key); found {
+			b.putNode(loc, next)
 			return
 		}
 	}
-	t.refuse(o, "a key that is set at the path")
+	b.addProblem(o, "a key that is set at the path")
 }
 
-func (t *draft) declare(o Op, s spot) {
-	if t.doc.node(s) == nil {
-		t.put(s, emptyNode)
+func (b *docBuilder) declarePath(o Op, loc location) {
+	if b.doc.node(loc) == nil {
+		b.putNode(loc, emptyNode)
 	}
 }
 
-func (t *draft) remove(o Op, s spot) {
-	if t.doc.node(s) == nil {
-		t.refuse(o, "a path that exists")
+func (b *docBuilder) removePath(o Op, loc location) {
+	if b.doc.node(loc) == nil {
+		b.addProblem(o, "a path that exists")
 		return
 	}
-	if s.level == LevelWorkspace {
-		t.removeServices(fleet.WorkspaceID(s.name))
+	if loc.level == LevelWorkspace {
+		b.removeServices(fleet.WorkspaceID(loc.name))
 	}
-	t.put(s, nil)
+	b.putNode(loc, nil)
 }
 
-func (t *draft) removeServices(w fleet.WorkspaceID) {
-	t.copyServices()
-	maps.DeleteFunc(t.doc.services, func(k serviceKey, _ *service) bool { return k.workspace == w })
+func (b *docBuilder) removeServices(w fleet.WorkspaceID) {
+	b.copyServices()
+	maps.DeleteFunc(b.doc.services, func(k serviceKey, _ *serviceSubtree) bool { return k.workspace == w })
 }
 
-// put stores a node at the spot; nil removes it.
-func (t *draft) put(s spot, n *node) {
-	switch s.level {
+// putNode stores a node at the location; a nil node removes the path.
+func (b *docBuilder) putNode(loc location, n *node) {
+	switch loc.level {
 	case LevelDeployment:
-		t.doc.root = n
+		b.doc.root = n
 	case LevelRegion:
-		t.doc.regions = t.doc.regions.with(s.name, n)
+		b.doc.regions = b.doc.regions.withNode(loc.name, n)
 	case LevelDataCentre:
-		t.doc.centres = t.doc.centres.with(s.name, n)
+		b.doc.dataCentres = b.doc.dataCentres.withNode(loc.name, n)
 	case LevelWorkspace:
-		t.putWorkspace(fleet.WorkspaceID(s.name), n)
+		b.putWorkspace(fleet.WorkspaceID(loc.name), n)
 	case LevelService:
-		t.putService(s.serviceKey(), n)
+		b.putService(loc.serviceKey(), n)
 	default:
-		t.putRoute(s, n)
+		b.putRoute(loc, n)
 	}
 }
 
-func (t *draft) putWorkspace(w fleet.WorkspaceID, n *node) {
-	if !t.ownsSpaces {
-		copied := *t.doc.spaces
-		t.doc.spaces = &copied
-		t.ownsSpaces = true
+// putWorkspace copies the shard of the workspace before the first change in it.
+func (b *docBuilder) putWorkspace(w fleet.WorkspaceID, n *node) {
+	if !b.copiedWorkspaces {
+		copied := *b.doc.workspaces
+		b.doc.workspaces = &copied
+		b.copiedWorkspaces = true
 	}
 	i := shardOf(w)
-	shards := &t.doc.spaces.shards
-	if !t.ownsShard[i] {
+	shards := &b.doc.workspaces.shards
+	if !b.copiedShards[i] {
 		shards[i] = maps.Clone(shards[i])
-		t.ownsShard[i] = true
+		b.copiedShards[i] = true
 	}
 	if shards[i] == nil {
 		shards[i] = map[fleet.WorkspaceID]*node{}
 	}
-	t.doc.spaces.count -= len(shards[i])
+	b.doc.workspaces.count -= len(shards[i])
 	if n == nil {
 		delete(shards[i], w)
 	} else {
 		shards[i][w] = n
 	}
-	t.doc.spaces.count += len(shards[i])
+	b.doc.workspaces.count += len(shards[i])
 }
 
-func (t *draft) copyServices() {
-	if !t.ownsServices {
-		t.doc.services = maps.Clone(t.doc.services)
-		t.ownsServices = true
+// copyServices copies the map of services before the first change of it.
+func (b *docBuilder) copyServices() {
+	if !b.copiedServices {
+		b.doc.services = maps.Clone(b.doc.services)
+		b.copiedServices = true
 	}
 }
 
-func (t *draft) putService(key serviceKey, n *node) {
-	t.copyServices()
+func (b *docBuilder) putService(key serviceKey, n *node) {
+	b.copyServices()
 	if n == nil {
-		delete(t.doc.services, key)
+		delete(b.doc.services, key)
 		return
 	}
-	svc := t.doc.services[key]
+	svc := b.doc.services[key]
 	if svc == nil {
-		svc = &service{}
+		svc = &serviceSubtree{}
 	}
-	t.doc.services[key] = svc.withOwn(n)
+	b.doc.services[key] = svc.withNode(n)
 }
 
-func (t *draft) putRoute(s spot, n *node) {
-	t.copyServices()
-	svc := t.doc.services[s.serviceKey()]
+func (b *docBuilder) putRoute(loc location, n *node) {
+	b.copyServices()
+	svc := b.doc.services[loc.serviceKey()]
 	if svc == nil {
-		svc = &service{own: emptyNode}
+		svc = &serviceSubtree{node: emptyNode}
 	}
-	t.doc.services[s.serviceKey()] = svc.withRoute(s.route, n)
+	b.doc.services[loc.serviceKey()] = svc.withRoute(loc.route, n)
 }
--- a/core/tree/bench_test.go
+++ b/core/tree/bench_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-func bigDoc(b *testing.B) *Doc {
+func plannedFleetDoc(b *testing.B) *Doc {
 	b.Helper()
-	doc, err := New().Apply(bigOps())
+	doc, err := New().Apply(plannedFleetOps())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -24,26 +24,26 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkCompile compiles all services without reuse.
+// BenchmarkCompile measures the compilation of all services without reuse.
 func BenchmarkCompile(b *testing.B) {
-	doc := bigDoc(b)
+	doc := plannedFleetDoc(b)
 	empty := New().catalog
 	for b.Loop() {
 		if _, problems := doc.compile(empty); len(problems) > 0 {
 			b.Fatal(problems)
 		}
 	}
-	b.ReportMetric(bigServices, "services")
+	b.ReportMetric(plannedServices, "services")
 }
 
-// BenchmarkApplyService applies one change to one service; the document is
-// validated and compiled with reuse.
+// BenchmarkApplyService measures a change of one service. The document is
+// validated, and the unchanged compiled services are reused.
 func BenchmarkApplyService(b *testing.B) {
-	doc := bigDoc(b)
+	doc := plannedFleetDoc(b)
 	i := 0
 	for b.Loop() {
 		i++
-		next, err := doc.Apply([]Op{Set(bigServicePath(i%bigServices), "floor", fmt.Sprintf("%d%%", 40+i%20))})
+		next, err := doc.Apply([]Op{Set(plannedServicePath(i%plannedServices), "floor", fmt.Sprintf("%d%%", 40+i%20))})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -51,9 +51,10 @@
 	}
 }
 
-// BenchmarkApplyDeployment applies one change that every service inherits.
+// BenchmarkApplyDeployment measures a change that every service inherits, so that
+// all services are compiled again.
 func BenchmarkApplyDeployment(b *testing.B) {
-	doc := bigDoc(b)
+	doc := plannedFleetDoc(b)
 	i := 0
 	for b.Loop() {
 		i++
@@ -65,10 +66,10 @@
 	}
 }
 
-// BenchmarkDecode decodes, validates and compiles a whole document, as a cold
-// boot does with a snapshot.
+// BenchmarkDecode measures the decoding, validation and compilation of a whole
+// document, as a cold start does with a snapshot.
 func BenchmarkDecode(b *testing.B) {
-	raw, err := json.Marshal(bigDoc(b))
+	raw, err := json.Marshal(plannedFleetDoc(b))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -80,9 +81,9 @@
 	b.ReportMetric(float64(len(raw)), "document-bytes")
 }
 
-// BenchmarkHeap reports the heap held by one document with its catalog.
+// BenchmarkHeap reports the heap memory that a document and its catalog occupy.
 func BenchmarkHeap(b *testing.B) {
-	raw, err := json.Marshal(bigDoc(b))
+	raw, err := json.Marshal(plannedFleetDoc(b))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/core/tree/check.go
+++ b/core/tree/check.go
@@ -8,97 +8,101 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// checker collects the problems of one service that need more than one value.
-type checker struct {
+// serviceChecker collects the problems of one service that only show when
+// several values are compared.
+type serviceChecker struct {
 	doc      *Doc
 	path     Path
 	problems []Problem
 }
 
-func (k *checker) add(key, value, allowed string) {
-	k.problems = append(k.problems, Problem{Path: k.path, Key: key, Value: value, Allowed: allowed})
+func (c *serviceChecker) addProblem(key, value, allowed string) {
+	c.problems = append(c.problems, Problem{Path: c.path, Key: key, Value: value, Allowed: allowed})
 }
 
-// addValue reports the effective value of a key where it is set. A value that
-// a more general level sets is reported there, with the path that it breaks.
-func (k *checker) addValue(v view, key *Key, at Path, allowed string) {
-	value, origin := v.explain(key)
-	p := Problem{Path: at, Key: key.Name, Value: string(value.Raw), Allowed: allowed}
-	if !origin.Default && origin.Path != at {
+// addValueProblem reports that the effective value of a key is not valid at the
+// path. An inherited value is reported at the path that sets it, and the message
+// names the path at which it is not valid.
+func (c *serviceChecker) addValueProblem(chain inheritanceChain, key *Key, path Path, allowed string) {
+	value, origin := chain.effectiveWithOrigin(key)
+	p := Problem{Path: path, Key: key.Name, Value: string(value.Raw), Allowed: allowed}
+	if !origin.Default && origin.Path != path {
 		p.Path = origin.Path
-		p.Allowed = fmt.Sprintf("%s (for %s)", allowed, at)
+		p.Allowed = fmt.Sprintf("%s (for %s)", allowed, path)
 	}
-	k.problems = append(k.problems, p)
+	c.problems = append(c.problems, p)
 }
 
-func (k *checker) checkService(v view, svc *fleet.Service) {
-	if _, known := k.doc.regions.nodes[string(svc.Region)]; !known {
-		k.add(keyRegion.Name, quote(string(svc.Region)), "a region that is declared at /region/R")
+func (c *serviceChecker) checkService(chain inheritanceChain, svc *fleet.Service) {
+	if _, declared := c.doc.regions.nodes[string(svc.Region)]; !declared {
+		c.addProblem(keyRegion.Name, quote(string(svc.Region)), "a region that is declared at /region/R")
 	}
-	if _, _, found := v.find(keyTargets); !found {
-		k.add(keyTargets.Name, "", "a list of targets, which may be empty")
+	if _, _, found := chain.find(keyTargets); !found {
+		c.addProblem(keyTargets.Name, "", "a list of targets, which may be empty")
 	}
 	for _, t := range svc.Targets {
-		if k.doc.centres.nodes[string(t.DataCentre)] == nil {
-			k.add(keyTargets.Name, quote(string(t.DataCentre)), fmt.Sprintf("for target %s a data centre that is declared at /data-centre/D", t.ID))
+		if c.doc.dataCentres.nodes[string(t.DataCentre)] == nil {
+			c.addProblem(keyTargets.Name, quote(string(t.DataCentre)), fmt.Sprintf("for target %s a data centre that is declared at /data-centre/D", t.ID))
 		}
 	}
-	for _, id := range get[[]fleet.TargetID](v, keyDrained) {
+	for _, id := range effective[[]fleet.TargetID](chain, keyDrained) {
 		if !slices.ContainsFunc(svc.Targets, func(t fleet.Target) bool { return t.ID == id }) {
-			k.add(keyDrained.Name, quote(string(id)), "an id that stands in targets")
+			c.addProblem(keyDrained.Name, quote(string(id)), "an id that stands in targets")
 		}
 	}
 	if svc.Policy.Floor.Count > len(svc.Targets) {
-		k.addValue(v, keyFloor, k.path, fmt.Sprintf("at most the %d targets of the service", len(svc.Targets)))
+		c.addValueProblem(chain, keyFloor, c.path, fmt.Sprintf("at most the %d targets of the service", len(svc.Targets)))
 	}
-	k.checkTimes(v, svc)
+	c.checkDurations(chain, svc)
 }
 
-func (k *checker) checkTimes(v view, svc *fleet.Service) {
+func (c *serviceChecker) checkDurations(chain inheritanceChain, svc *fleet.Service) {
 	if svc.Policy.Ejection.Base > svc.Policy.Ejection.Max {
-		k.addValue(v, keyEjectionBase, k.path, "at most ejection-max, "+svc.Policy.Ejection.Max.String())
+		c.addValueProblem(chain, keyEjectionBase, c.path, "at most ejection-max, "+svc.Policy.Ejection.Max.String())
 	}
 	if svc.Policy.Probe.Timeout > svc.Policy.Probe.Interval {
-		k.addValue(v, keyProbeTimeout, k.path, "at most probe-interval, "+svc.Policy.Probe.Interval.String())
+		c.addValueProblem(chain, keyProbeTimeout, c.path, "at most probe-interval, "+svc.Policy.Probe.Interval.String())
 	}
 }
 
-func (k *checker) checkRoute(v view, r *fleet.Route) {
-	at := v.links[0].path
+func (c *serviceChecker) checkRoute(chain inheritanceChain, r *fleet.Route) {
+	path := chain.nodes[0].path
 	if len(r.Methods) == 0 {
-		k.problems = append(k.problems, Problem{Path: at, Key: keyMethods.Name, Allowed: methodsAllowed})
+		c.problems = append(c.problems, Problem{Path: path, Key: keyMethods.Name, Allowed: methodsAllowed})
 	}
 	if r.PathPrefix == "" {
-		k.problems = append(k.problems, Problem{Path: at, Key: keyPathPrefix.Name, Allowed: pathTextAllowed})
+		c.problems = append(c.problems, Problem{Path: path, Key: keyPathPrefix.Name, Allowed: httpPathAllowed})
 	}
 	if !r.Idempotent && r.Attempts > 1 {
-		k.addValue(v, keyAttempts, at, "1, because the route is not idempotent")
+		c.addValueProblem(chain, keyAttempts, path, "1, because the route is not idempotent")
 	}
 	if !r.Idempotent && r.HedgeAfter > 0 {
-		k.addValue(v, keyHedgeAfter, at, `"0s", because the route is not idempotent`)
+		c.addValueProblem(chain, keyHedgeAfter, path, `"0s", because the route is not idempotent`)
 	}
 	if r.HedgeAfter >= r.Deadline && r.HedgeAfter > time.Duration(0) {
-		k.addValue(v, keyHedgeAfter, at, "less than deadline, "+r.Deadline.String())
+		c.addValueProblem(chain, keyHedgeAfter, path, "less than deadline, "+r.Deadline.String())
 	}
 }
 
-// checkPrefixes finds routes between which a request could not choose.
-func (k *checker) checkPrefixes(svc *fleet.Service) {
+// checkAmbiguousRoutes reports routes of the same path prefix that have a method
+// in common, because a request would match both.
+func (c *serviceChecker) checkAmbiguousRoutes(svc *fleet.Service) {
 	byPrefix := make(map[string][]*fleet.Route, len(svc.Routes))
 	for i := range svc.Routes {
 		r := &svc.Routes[i]
 		for _, other := range byPrefix[r.PathPrefix] {
-			if both := common(r.Methods, other.Methods); both != "" && r.PathPrefix != "" {
-				at := RoutePath(svc.Workspace, svc.ID, r.Name)
+			if both := commonMethod(r.Methods, other.Methods); both != "" && r.PathPrefix != "" {
+				path := RoutePath(svc.Workspace, svc.ID, r.Name)
 				allowed := fmt.Sprintf("another prefix or other methods: route %s also takes %s", other.Name, both)
-				k.problems = append(k.problems, Problem{Path: at, Key: keyPathPrefix.Name, Value: quote(r.PathPrefix), Allowed: allowed})
+				c.problems = append(c.problems, Problem{Path: path, Key: keyPathPrefix.Name, Value: quote(r.PathPrefix), Allowed: allowed})
 			}
 		}
 		byPrefix[r.PathPrefix] = append(byPrefix[r.PathPrefix], r)
 	}
 }
 
-func common(a, b []string) string {
+// commonMethod returns a method that both lists contain, or "" if there is none.
+func commonMethod(a, b []string) string {
 	for _, m := range a {
 		if slices.Contains(b, m) {
 			return m
--- a/core/tree/compile.go
+++ b/core/tree/compile.go
@@ -8,21 +8,21 @@
 )
 
 // compile builds the catalog of the document and lists the problems of all
-// services. A service whose inputs are the ones of prev is taken from there.
-func (d *Doc) compile(prev *Catalog) (*Catalog, []Problem) {
+// services. It reuses a service of the previous catalog if its inputs did not change.
+func (d *Doc) compile(previous *Catalog) (*Catalog, []Problem) {
 	c := &Catalog{
-		byID:   make(map[fleet.ServiceID]compiled, len(d.services)),
-		sorted: make([]*fleet.Service, 0, len(d.services)),
-		spaces: d.spaces,
+		byID:       make(map[fleet.ServiceID]compiledService, len(d.services)),
+		sorted:     make([]*fleet.Service, 0, len(d.services)),
+		workspaces: d.workspaces,
 	}
 	var problems []Problem
 	for _, key := range d.serviceKeys() {
 		from := d.inputsOf(key)
 		if first, found := c.byID[key.id]; found {
-			problems = append(problems, Problem{Path: key.path(), Value: string(key.id), Allowed: "a service id that is unique in the deployment; it also stands at " + string(first.from.key.path())})
+			problems = append(problems, Problem{Path: key.path(), Value: string(key.id), Allowed: "a service id that is unique in the deployment; it also stands at " + string(first.inputs.key.path())})
 			continue
 		}
-		if old, found := prev.byID[key.id]; found && old.from == from {
+		if old, found := previous.byID[key.id]; found && old.inputs == from {
 			c.add(old)
 			continue
 		}
@@ -31,124 +31,125 @@
 		if svc == nil {
 			svc = &fleet.Service{ID: key.id}
 		}
-		c.add(compiled{svc: reuse(prev, svc), from: from})
+		c.add(compiledService{service: reuseIfEqual(previous, svc), inputs: from})
 	}
 	return c, problems
 }
 
-func (c *Catalog) add(s compiled) {
-	c.byID[s.svc.ID] = s
-	c.sorted = append(c.sorted, s.svc)
+func (c *Catalog) add(s compiledService) {
+	c.byID[s.service.ID] = s
+	c.sorted = append(c.sorted, s.service)
 }
 
-func (d *Doc) inputsOf(key serviceKey) inputs {
-	return inputs{
-		key:     key,
-		root:    d.root,
-		region:  d.regions.nodes[string(d.regionOf(key))],
-		space:   d.spaces.find(key.workspace),
-		centres: d.centres,
-		own:     d.services[key],
+func (d *Doc) inputsOf(key serviceKey) compileInputs {
+	return compileInputs{
+		key:         key,
+		root:        d.root,
+		region:      d.regions.nodes[string(d.regionOf(key))],
+		workspace:   d.workspaces.find(key.workspace),
+		dataCentres: d.dataCentres,
+		service:     d.services[key],
 	}
 }
 
-// compileService returns nil without problems if a value in the chain does not
-// parse: that problem is already known and its consequences would hide it.
-func (d *Doc) compileService(key serviceKey, from inputs) (*fleet.Service, []Problem) {
-	k := checker{doc: d, path: key.path()}
-	if from.space == nil {
-		k.add("", "", "a declared workspace; an op without a key declares it")
+// compileService returns no service if a value in the inheritance chain did not
+// parse. The problem of that value is reported by the docBuilder, and the errors
+// that follow from it would only hide it.
+func (d *Doc) compileService(key serviceKey, from compileInputs) (*fleet.Service, []Problem) {
+	check := serviceChecker{doc: d, path: key.path()}
+	if from.workspace == nil {
+		check.addProblem("", "", "a declared workspace; an op without a key declares it")
 	}
-	v := d.viewOf(spot{level: LevelService, name: string(key.workspace), service: key.id})
-	if v.faulty() {
-		return nil, k.problems
+	chain := d.chainOf(location{level: LevelService, name: string(key.workspace), service: key.id})
+	if chain.hasInvalidValue() {
+		return nil, check.problems
 	}
 	svc := &fleet.Service{
 		ID:        key.id,
 		Workspace: key.workspace,
 		Region:    d.regionOf(key),
-		Policy:    compilePolicy(v),
+		Policy:    compilePolicy(chain),
 	}
-	svc.Targets = d.compileTargets(v)
-	k.checkService(v, svc)
-	svc.Routes = make([]fleet.Route, 0, len(from.own.routes))
-	for _, r := range from.own.routes {
-		if r.own.faulty() {
+	svc.Targets = d.compileTargets(chain)
+	check.checkService(chain, svc)
+	svc.Routes = make([]fleet.Route, 0, len(from.service.routes))
+	for _, r := range from.service.routes {
+		if r.node.hasInvalidValue() {
 			continue
 		}
-		rv := v.below(LevelRoute, RoutePath(key.workspace, key.id, r.name), r.own)
-		route := compileRoute(rv, r.name)
-		k.checkRoute(rv, &route)
+		routeChain := chain.prepend(LevelRoute, RoutePath(key.workspace, key.id, r.name), r.node)
+		route := compileRoute(routeChain, r.name)
+		check.checkRoute(routeChain, &route)
 		svc.Routes = append(svc.Routes, route)
 	}
-	k.checkPrefixes(svc)
-	return svc, k.problems
+	check.checkAmbiguousRoutes(svc)
+	return svc, check.problems
 }
 
-func (d *Doc) compileTargets(v view) []fleet.Target {
-	entries := get[[]TargetEntry](v, keyTargets)
-	drained := get[[]fleet.TargetID](v, keyDrained)
+func (d *Doc) compileTargets(chain inheritanceChain) []fleet.Target {
+	entries := effective[[]TargetEntry](chain, keyTargets)
+	drained := effective[[]fleet.TargetID](chain, keyDrained)
 	targets := make([]fleet.Target, 0, len(entries))
 	for _, t := range entries {
-		centre := d.centres.nodes[string(t.DataCentre)]
-		tv := v.atTarget(t.DataCentre, centre)
+		dataCentreNode := d.dataCentres.nodes[string(t.DataCentre)]
+		targetChain := chain.withDataCentre(t.DataCentre, dataCentreNode)
 		targets = append(targets, fleet.Target{
 			ID:          t.ID,
 			Address:     t.Address,
 			DataCentre:  t.DataCentre,
-			Slots:       get[int](tv, keySlots),
-			Connections: get[int](tv, keyConnections),
-			Drained:     centreDrained(centre) || slices.Contains(drained, t.ID),
+			Slots:       effective[int](targetChain, keySlots),
+			Connections: effective[int](targetChain, keyConnections),
+			Drained:     dataCentreDrained(dataCentreNode) || slices.Contains(drained, t.ID),
 		})
 	}
 	return targets
 }
 
-func centreDrained(n *node) bool {
-	e, found := n.find(keyDrained)
-	return found && e.val == true
+func dataCentreDrained(dataCentreNode *node) bool {
+	e, found := dataCentreNode.findKey(keyDrained)
+	return found && e.parsed == true
 }
 
-func compilePolicy(v view) fleet.Policy {
+func compilePolicy(chain inheritanceChain) fleet.Policy {
 	return fleet.Policy{
-		Floor:    get[fleet.Floor](v, keyFloor),
-		Carriers: get[int](v, keyCarriers),
+		Floor:    effective[fleet.Floor](chain, keyFloor),
+		Carriers: effective[int](chain, keyCarriers),
 		Detection: fleet.Detection{
-			Window:       get[time.Duration](v, keyWindow),
-			MinRequests:  get[int](v, keyMinRequests),
-			FailureRatio: get[float64](v, keyFailureRatio),
-			SlowFactor:   get[float64](v, keySlowFactor),
-			MinObservers: get[int](v, keyMinObservers),
+			Window:       effective[time.Duration](chain, keyDetectionWindow),
+			MinRequests:  effective[int](chain, keyDetectionMinRequests),
+			FailureRatio: effective[float64](chain, keyDetectionFailureRatio),
+			SlowFactor:   effective[float64](chain, keyDetectionSlowFactor),
+			MinObservers: effective[int](chain, keyDetectionMinObservers),
 		},
 		Ejection: fleet.Ejection{
-			Base: get[time.Duration](v, keyEjectionBase),
-			Max:  get[time.Duration](v, keyEjectionMax),
+			Base: effective[time.Duration](chain, keyEjectionBase),
+			Max:  effective[time.Duration](chain, keyEjectionMax),
 		},
 		Probe: fleet.Probe{
-			Path:     get[string](v, keyProbePath),
-			Interval: get[time.Duration](v, keyProbeInterval),
-			Timeout:  get[time.Duration](v, keyProbeTimeout),
+			Path:     effective[string](chain, keyProbePath),
+			Interval: effective[time.Duration](chain, keyProbeInterval),
+			Timeout:  effective[time.Duration](chain, keyProbeTimeout),
 		},
-		RetryBudget: get[float64](v, keyRetryBudget),
-		QueueLength: get[int](v, keyQueueLength),
-		AddressTTL:  get[time.Duration](v, keyAddressTTL),
-		SlowStart:   get[time.Duration](v, keySlowStart),
+		RetryBudget: effective[float64](chain, keyRetryBudget),
+		QueueLength: effective[int](chain, keyQueueLength),
+		AddressTTL:  effective[time.Duration](chain, keyAddressTTL),
+		SlowStart:   effective[time.Duration](chain, keySlowStart),
 	}
 }
 
-func compileRoute(v view, name string) fleet.Route {
+func compileRoute(chain inheritanceChain, name string) fleet.Route {
 	return fleet.Route{
 		Name:        name,
-		Methods:     get[[]string](v, keyMethods),
-		PathPrefix:  get[string](v, keyPathPrefix),
-		Kind:        get[fleet.Kind](v, keyKind),
-		Idempotent:  get[bool](v, keyIdempotent),
-		Deadline:    get[time.Duration](v, keyDeadline),
-		Attempts:    get[int](v, keyAttempts),
-		HedgeAfter:  get[time.Duration](v, keyHedgeAfter),
-		OrderKey:    get[fleet.OrderKeyMode](v, keyOrderKey),
-		BodyFailure: get[*fleet.BodyFailure](v, keyBodyFailure),
-		Refusal:     get[*fleet.Refusal](v, keyRefusal),
-		MaxBody:     get[int64](v, keyMaxBody),
+		Methods:     effective[[]string](chain, keyMethods),
+		PathPrefix:  effective[string](chain, keyPathPrefix),
+		Kind:        effective[fleet.Kind](chain, keyKind),
+		Idempotent:  effective[bool](chain, keyIdempotent),
+		Deadline:    effective[time.Duration](chain, keyDeadline),
+		Attempts:    effective[int](chain, keyAttempts),
+		HedgeAfter:  effective[time.Duration](chain, keyHedgeAfter),
+		OrderKey:    effective[fleet.OrderKeyMode](chain, keyOrderKey),
+		BodyFailure: effective[*fleet.BodyFailure](chain, keyBodyFailure),
+		Refusal:     effective[*fleet.Refusal](chain, keyRefusal),
+		MaxBody:     effective[int64](chain, keyMaxBody),
 	}
 }
--- a/core/tree/diff.go
+++ b/core/tree/diff.go
@@ -12,13 +12,14 @@
 	Path Path `json:"path"`
 	// Key is empty if the path itself was declared or removed.
 	Key string `json:"key,omitempty"`
-	// Before is empty if the value did not exist, and {} for a removed path.
+	// Before is the old value. It is empty if there was none, and {} for a removed path.
 	Before json.RawMessage `json:"before,omitempty"`
-	// After is empty if the value does not exist any more, and {} for a declared path.
+	// After is the new value. It is empty if there is none, and {} for a declared path.
 	After json.RawMessage `json:"after,omitempty"`
 }
 
-// Changes returns the ops that turn document a into document b.
+// Changes returns the ops that turn document a into document b. A removed path
+// removes everything below it, so paths below it need no op of their own.
 func Changes(a, b *Doc) []Op {
 	var ops []Op
 	a.walk(func(p Path, _ *node) bool {
@@ -28,30 +29,31 @@
 		return true
 	})
 	b.walk(func(p Path, after *node) bool {
-		ops = append(ops, changesAt(p, a.at(p), after)...)
+		ops = append(ops, nodeOps(p, a.nodeAt(p), after)...)
 		return true
 	})
 	return ops
 }
 
-// hasParent reports whether the level above the path exists. The parent of a
-// service is its workspace, that of a route its service.
+// hasParent reports whether the parent of the path exists: for a service its
+// workspace, for a route its service. The other paths always have a parent.
 func (d *Doc) hasParent(p Path) bool {
-	s, err := p.parse()
+	loc, err := p.parse()
 	if err != nil {
 		return false
 	}
-	switch s.level {
+	switch loc.level {
 	case LevelService:
-		return d.spaces.find(fleet.WorkspaceID(s.name)) != nil
+		return d.workspaces.find(fleet.WorkspaceID(loc.name)) != nil
 	case LevelRoute:
-		return d.services[s.serviceKey()] != nil
+		return d.services[loc.serviceKey()] != nil
 	default:
 		return true
 	}
 }
 
-func changesAt(p Path, before, after *node) []Op {
+// nodeOps returns the ops that turn the node before into the node after.
+func nodeOps(p Path, before, after *node) []Op {
 	if before == after {
 		return nil
 	}
@@ -61,33 +63,34 @@
 		before = emptyNode
 	}
 	for _, e := range before.entries {
-		if _, found := after.find(e.key); !found {
+		if _, found := after.findKey(e.key); !found {
 			ops = append(ops, Unset(p, e.key.Name))
 		}
 	}
 	for _, e := range after.entries {
-		if old, found := before.find(e.key); !found || !bytes.Equal(old.raw, e.raw) {
+		if old, found := before.findKey(e.key); !found || !bytes.Equal(old.raw, e.raw) {
 			ops = append(ops, Op{Path: p, Key: e.key.Name, Value: e.raw})
 		}
 	}
 	return ops
 }
 
-func (d *Doc) at(p Path) *node {
-	s, err := p.parse()
+// nodeAt returns the node at the path, or nil.
+func (d *Doc) nodeAt(p Path) *node {
+	loc, err := p.parse()
 	if err != nil {
 		return nil
 	}
-	return d.node(s)
+	return d.node(loc)
 }
 
-// Differences returns what differs between documents a and b.
+// Differences returns the values and paths that differ between documents a and b.
 func Differences(a, b *Doc) []Difference {
 	var out []Difference
 	a.walk(func(p Path, before *node) bool {
-		after := b.at(p)
+		after := b.nodeAt(p)
 		if before != after {
-			out = append(out, gone(p, before, after)...)
+			out = append(out, removedValues(p, before, after)...)
 		}
 		return true
 	})
@@ -99,7 +102,7 @@
 		if o.Key == "" {
 			d.After = json.RawMessage("{}")
 		}
-		if e, found := a.at(o.Path).entry(o.Key); found {
+		if e, found := a.nodeAt(o.Path).findName(o.Key); found {
 			d.Before = e.raw
 		}
 		out = append(out, d)
@@ -107,25 +110,25 @@
 	return out
 }
 
-// gone lists the values of before that after does not hold, and the path if it
-// was removed.
-func gone(p Path, before, after *node) []Difference {
+// removedValues lists the values of the node before that the node after lacks,
+// and the path itself if after is nil.
+func removedValues(p Path, before, after *node) []Difference {
 	var out []Difference
 	if after == nil {
 		out = append(out, Difference{Path: p, Before: json.RawMessage("{}")})
 	}
 	for _, e := range before.entries {
-		if _, found := after.find(e.key); !found {
+		if _, found := after.findKey(e.key); !found {
 			out = append(out, Difference{Path: p, Key: e.key.Name, Before: e.raw})
 		}
 	}
 	return out
 }
 
-func (n *node) entry(name string) (entry, bool) {
-	k, known := KeyFor(name)
-	if !known {
+func (n *node) findName(name string) (entry, bool) {
+	k, found := KeyByName(name)
+	if !found {
 		return entry{}, false
 	}
-	return n.find(k)
+	return n.findKey(k)
 }
--- a/core/tree/document.go
+++ b/core/tree/document.go
@@ -8,57 +8,57 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Doc is an immutable settings document that was validated as a whole.
+// Doc is an immutable settings document that is valid as a whole.
 type Doc struct {
-	root     *node
-	regions  *index
-	centres  *index
-	spaces   *spaces
-	services map[serviceKey]*service
-	catalog  *Catalog
+	root        *node
+	regions     *nodeIndex
+	dataCentres *nodeIndex
+	workspaces  *workspaceIndex
+	services    map[serviceKey]*serviceSubtree
+	catalog     *Catalog
 }
 
 // New returns the empty document.
 func New() *Doc {
 	d := &Doc{
-		root:     emptyNode,
-		regions:  &index{nodes: map[string]*node{}},
-		centres:  &index{nodes: map[string]*node{}},
-		spaces:   &spaces{},
-		services: map[serviceKey]*service{},
+		root:        emptyNode,
+		regions:     &nodeIndex{nodes: map[string]*node{}},
+		dataCentres: &nodeIndex{nodes: map[string]*node{}},
+		workspaces:  &workspaceIndex{},
+		services:    map[serviceKey]*serviceSubtree{},
 	}
-	d.catalog = &Catalog{spaces: d.spaces, byID: map[fleet.ServiceID]compiled{}}
+	d.catalog = &Catalog{workspaces: d.workspaces, byID: map[fleet.ServiceID]compiledService{}}
 	return d
 }
 
-// node returns the node at the spot, or nil.
-func (d *Doc) node(s spot) *node {
-	switch s.level {
+// node returns the node at the location, or nil.
+func (d *Doc) node(loc location) *node {
+	switch loc.level {
 	case LevelDeployment:
 		return d.root
 	case LevelRegion:
-		return d.regions.nodes[s.name]
+		return d.regions.nodes[loc.name]
 	case LevelDataCentre:
-		return d.centres.nodes[s.name]
+		return d.dataCentres.nodes[loc.name]
 	case LevelWorkspace:
-		return d.spaces.find(fleet.WorkspaceID(s.name))
+		return d.workspaces.find(fleet.WorkspaceID(loc.name))
 	case LevelService:
-		if svc := d.services[s.serviceKey()]; svc != nil {
-			return svc.own
+		if svc := d.services[loc.serviceKey()]; svc != nil {
+			return svc.node
 		}
 		return nil
 	default:
-		return d.services[s.serviceKey()].route(s.route)
+		return d.services[loc.serviceKey()].routeNode(loc.route)
 	}
 }
 
 // Has reports whether the path exists.
 func (d *Doc) Has(p Path) bool {
-	s, err := p.parse()
-	return err == nil && d.node(s) != nil
+	loc, err := p.parse()
+	return err == nil && d.node(loc) != nil
 }
 
-// Paths returns every path of the document in a fixed order, parents first.
+// Paths returns all paths of the document in a fixed order, parents first.
 func (d *Doc) Paths() iter.Seq[Path] {
 	return func(yield func(Path) bool) {
 		d.walk(func(p Path, _ *node) bool { return yield(p) })
@@ -75,13 +75,13 @@
 			return
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(d.centres.nodes)) {
-		if !visit(DataCentrePath(fleet.DataCentre(name)), d.centres.nodes[name]) {
+	for _, name := range slices.Sorted(maps.Keys(d.dataCentres.nodes)) {
+		if !visit(DataCentrePath(fleet.DataCentre(name)), d.dataCentres.nodes[name]) {
 			return
 		}
 	}
-	for _, id := range d.spaces.sorted() {
-		if !visit(WorkspacePath(id), d.spaces.find(id)) {
+	for _, id := range d.workspaces.sortedIDs() {
+		if !visit(WorkspacePath(id), d.workspaces.find(id)) {
 			return
 		}
 	}
@@ -92,12 +92,12 @@
 	}
 }
 
-func (s *service) walk(key serviceKey, visit func(p Path, n *node) bool) bool {
-	if !visit(key.path(), s.own) {
+func (s *serviceSubtree) walk(key serviceKey, visit func(p Path, n *node) bool) bool {
+	if !visit(key.path(), s.node) {
 		return false
 	}
 	for _, r := range s.routes {
-		if !visit(RoutePath(key.workspace, key.id, r.name), r.own) {
+		if !visit(RoutePath(key.workspace, key.id, r.name), r.node) {
 			return false
 		}
 	}
@@ -108,17 +108,17 @@
 	return slices.SortedFunc(maps.Keys(d.services), compareServiceKeys)
 }
 
-// Owners returns the operators whose approval counts.
+// Owners returns the names of the operators who may approve changes.
 func (d *Doc) Owners() []string {
-	return slices.Clone(get[[]string](d.viewOf(spot{level: LevelDeployment}), keyOwners))
+	return slices.Clone(effective[[]string](d.chainOf(location{level: LevelDeployment}), keyOwners))
 }
 
-// Approval returns the rule for a change at the path. A path that does not
-// exist has the rule of the levels above it.
+// Approval returns the approval rule for a change at the path. A path that does
+// not exist inherits the rule of the levels above it.
 func (d *Doc) Approval(p Path) (Rule, error) {
-	s, err := p.parse()
+	loc, err := p.parse()
 	if err != nil {
-		return RuleBoth, invalid([]Problem{{Path: p, Allowed: pathAllowed}})
+		return RuleBoth, invalidError([]Problem{{Path: p, Allowed: pathAllowed}})
 	}
-	return get[Rule](d.viewOf(s), keyApproval), nil
+	return effective[Rule](d.chainOf(loc), keyApproval), nil
 }
--- a/core/tree/effective.go
+++ b/core/tree/effective.go
@@ -11,177 +11,181 @@
 	Path Path `json:"path,omitempty"`
 	// Level is the level of Path.
 	Level string `json:"level,omitempty"`
-	// Default says that no level sets the key.
+	// Default reports that no level sets the key.
 	Default bool `json:"default,omitempty"`
-	// Preset names the detection preset that gives the default.
+	// Preset names the detection preset that determines the default value.
 	Preset string `json:"preset,omitempty"`
 }
 
-// link is one level of an inheritance chain.
-type link struct {
+// chainNode is a node of an inheritance chain, with its path.
+type chainNode struct {
 	path Path
 	node *node
 }
 
-// view is the inheritance chain of one path, from special to general.
-type view struct {
+// inheritanceChain lists the nodes from which a path takes its values, from the
+// most specific level to the most general one. Its level is the one of the path.
+type inheritanceChain struct {
 	level Level
-	links []link
+	nodes []chainNode
 }
 
-func (v view) find(k *Key) (entry, Path, bool) {
-	for _, l := range v.links {
-		if e, found := l.node.find(k); found {
-			return e, l.path, true
+func (c inheritanceChain) find(k *Key) (entry, Path, bool) {
+	for _, n := range c.nodes {
+		if e, found := n.node.findKey(k); found {
+			return e, n.path, true
 		}
 	}
 	return entry{}, "", false
 }
 
-func (v view) faulty() bool {
-	for _, l := range v.links {
-		if l.node.faulty() {
+func (c inheritanceChain) hasInvalidValue() bool {
+	for _, n := range c.nodes {
+		if n.node.hasInvalidValue() {
 			return true
 		}
 	}
 	return false
 }
 
-// get returns the effective typed value of a key; the type is the one that the
+// effective returns the effective value of a key. T must be the type that the
 // key's parser returns.
-func get[T any](v view, k *Key) T {
-	if e, _, found := v.find(k); found {
-		return e.val.(T)
+func effective[T any](chain inheritanceChain, k *Key) T {
+	if e, _, found := chain.find(k); found {
+		return e.parsed.(T)
 	}
-	return k.fallback(v).(T)
+	return k.defaultValue(chain).(T)
 }
 
-// viewOf returns the chain of a path: route, service, workspace, the region of
-// the service, deployment. Data centre values apply to targets only and so
-// stand in the chain of a target alone.
-func (d *Doc) viewOf(s spot) view {
-	v := view{level: s.level}
-	if s.level >= LevelRoute {
-		v.add(RoutePath(fleet.WorkspaceID(s.name), s.service, s.route), d.node(s))
+// chainOf returns the inheritance chain of a path: route, service, workspace,
+// region of the service, deployment. Values of a data centre apply to targets
+// only, so the data centre is added by withDataCentre.
+func (d *Doc) chainOf(loc location) inheritanceChain {
+	chain := inheritanceChain{level: loc.level}
+	if loc.level >= LevelRoute {
+		chain.appendNode(RoutePath(fleet.WorkspaceID(loc.name), loc.service, loc.route), d.node(loc))
 	}
-	if s.level >= LevelService {
-		v.add(s.serviceKey().path(), d.ownOf(s.serviceKey()))
+	if loc.level >= LevelService {
+		chain.appendNode(loc.serviceKey().path(), d.serviceNode(loc.serviceKey()))
 	}
-	switch s.level {
+	switch loc.level {
 	case LevelRegion:
-		v.add(RegionPath(fleet.Region(s.name)), d.node(s))
+		chain.appendNode(RegionPath(fleet.Region(loc.name)), d.node(loc))
 	case LevelDataCentre:
-		v.add(DataCentrePath(fleet.DataCentre(s.name)), d.node(s))
+		chain.appendNode(DataCentrePath(fleet.DataCentre(loc.name)), d.node(loc))
 	case LevelWorkspace, LevelService, LevelRoute:
-		v.add(WorkspacePath(fleet.WorkspaceID(s.name)), d.spaces.find(fleet.WorkspaceID(s.name)))
+		chain.appendNode(WorkspacePath(fleet.WorkspaceID(loc.name)), d.workspaces.find(fleet.WorkspaceID(loc.name)))
 	}
-	if s.level >= LevelService {
-		region := d.regionOf(s.serviceKey())
-		v.add(RegionPath(region), d.regions.nodes[string(region)])
+	if loc.level >= LevelService {
+		region := d.regionOf(loc.serviceKey())
+		chain.appendNode(RegionPath(region), d.regions.nodes[string(region)])
 	}
-	v.add(Root, d.root)
-	return v
+	chain.appendNode(Root, d.root)
+	return chain
 }
 
-func (v *view) add(p Path, n *node) {
+func (c *inheritanceChain) appendNode(p Path, n *node) {
 	if n != nil {
-		v.links = append(v.links, link{path: p, node: n})
+		c.nodes = append(c.nodes, chainNode{path: p, node: n})
 	}
 }
 
-// below returns the chain with one more special level in front.
-func (v view) below(l Level, p Path, n *node) view {
-	links := make([]link, 0, len(v.links)+1)
-	links = append(links, link{path: p, node: n})
-	return view{level: l, links: append(links, v.links...)}
+// prepend returns the chain with a node of a more specific level in front.
+func (c inheritanceChain) prepend(level Level, p Path, n *node) inheritanceChain {
+	nodes := make([]chainNode, 0, len(c.nodes)+1)
+	nodes = append(nodes, chainNode{path: p, node: n})
+	return inheritanceChain{level: level, nodes: append(nodes, c.nodes...)}
 }
 
-// atTarget returns the chain of a target: service, workspace, data centre,
-// region, deployment.
-func (v view) atTarget(centre fleet.DataCentre, n *node) view {
-	if n == nil {
-		return v
+// withDataCentre returns the chain of a target of the service: service,
+// workspace, data centre of the target, region, deployment.
+func (c inheritanceChain) withDataCentre(dataCentre fleet.DataCentre, dataCentreNode *node) inheritanceChain {
+	if dataCentreNode == nil {
+		return c
 	}
-	links := make([]link, 0, len(v.links)+1)
+	nodes := make([]chainNode, 0, len(c.nodes)+1)
 	added := false
-	for _, l := range v.links {
-		level, _ := l.path.Level()
+	for _, cn := range c.nodes {
+		level, _ := cn.path.Level()
 		if !added && level <= LevelRegion {
-			links = append(links, link{path: DataCentrePath(centre), node: n})
+			nodes = append(nodes, chainNode{path: DataCentrePath(dataCentre), node: dataCentreNode})
 			added = true
 		}
-		links = append(links, l)
+		nodes = append(nodes, cn)
 	}
-	return view{level: v.level, links: links}
+	return inheritanceChain{level: c.level, nodes: nodes}
 }
 
-func (d *Doc) ownOf(key serviceKey) *node {
+// serviceNode returns the node of a service, or nil.
+func (d *Doc) serviceNode(key serviceKey) *node {
 	if svc := d.services[key]; svc != nil {
-		return svc.own
+		return svc.node
 	}
 	return nil
 }
 
+// regionOf returns the region of a service, or "" if none or an invalid one is set.
 func (d *Doc) regionOf(key serviceKey) fleet.Region {
-	if e, found := d.ownOf(key).find(keyRegion); found && e.bad == nil {
-		return fleet.Region(e.val.(string))
+	if e, found := d.serviceNode(key).findKey(keyRegion); found && e.problem == nil {
+		return fleet.Region(e.parsed.(string))
 	}
 	return ""
 }
 
-// Effective returns the value of a key at a path and where it comes from. It
-// returns fault.NotFound for an unknown path and fault.SettingsInvalid for an
-// unknown key.
+// Effective returns the effective value of a key at a path and its origin. The
+// error is of kind fault.NotFound for an unknown path, and of kind
+// fault.SettingsInvalid for a malformed path or an unknown key.
 func (d *Doc) Effective(p Path, key string) (Value, Origin, error) {
-	s, k, err := d.locate(p, key)
+	loc, k, err := d.locate(p, key)
 	if err != nil {
 		return Value{}, Origin{}, err
 	}
-	value, origin := d.viewOf(s).explain(k)
+	value, origin := d.chainOf(loc).effectiveWithOrigin(k)
 	return value, origin, nil
 }
 
-// EffectiveTarget returns the value of a key for one target of the service at
-// the path, which includes the values of the target's data centre.
+// EffectiveTarget returns the effective value of a key for a target of the
+// service at the path. It takes the values of the target's data centre into account.
 func (d *Doc) EffectiveTarget(p Path, id fleet.TargetID, key string) (Value, Origin, error) {
-	s, k, err := d.locate(p, key)
+	loc, k, err := d.locate(p, key)
 	if err != nil {
 		return Value{}, Origin{}, err
 	}
-	v := d.viewOf(s)
-	for _, t := range get[[]TargetEntry](v, keyTargets) {
+	chain := d.chainOf(loc)
+	for _, t := range effective[[]TargetEntry](chain, keyTargets) {
 		if t.ID == id {
-			value, origin := v.atTarget(t.DataCentre, d.centres.nodes[string(t.DataCentre)]).explain(k)
+			value, origin := chain.withDataCentre(t.DataCentre, d.dataCentres.nodes[string(t.DataCentre)]).effectiveWithOrigin(k)
 			return value, origin, nil
 		}
 	}
 	return Value{}, Origin{}, fault.New(fault.NotFound, "target %q at %s", id, p)
 }
 
-func (d *Doc) locate(p Path, key string) (spot, *Key, error) {
-	s, err := p.parse()
+// locate resolves the path and the key of a lookup.
+func (d *Doc) locate(p Path, key string) (location, *Key, error) {
+	loc, err := p.parse()
 	if err != nil {
-		return spot{}, nil, invalid([]Problem{{Path: p, Allowed: pathAllowed}})
+		return location{}, nil, invalidError([]Problem{{Path: p, Allowed: pathAllowed}})
 	}
-	k, known := KeyFor(key)
-	if !known {
-		return spot{}, nil, invalid([]Problem{{Path: p, Key: key, Allowed: "a key of the registry"}})
+	k, found := KeyByName(key)
+	if !found {
+		return location{}, nil, invalidError([]Problem{{Path: p, Key: key, Allowed: "a key of the registry"}})
 	}
-	if d.node(s) == nil {
-		return spot{}, nil, fault.New(fault.NotFound, "path %s", p)
+	if d.node(loc) == nil {
+		return location{}, nil, fault.New(fault.NotFound, "path %s", p)
 	}
-	return s, k, nil
+	return loc, k, nil
 }
 
-func (v view) explain(k *Key) (Value, Origin) {
-	if e, p, found := v.find(k); found {
+func (c inheritanceChain) effectiveWithOrigin(k *Key) (Value, Origin) {
+	if e, p, found := c.find(k); found {
 		level, _ := p.Level()
-		return Value{Raw: e.raw, Parsed: e.val}, Origin{Path: p, Level: level.String()}
+		return Value{Raw: e.raw, Parsed: e.parsed}, Origin{Path: p, Level: level.String()}
 	}
-	val := k.fallback(v)
+	value := k.defaultValue(c)
 	origin := Origin{Default: true}
-	if k.preset {
-		origin.Preset = get[string](v, keyDetection)
+	if k.fromPreset {
+		origin.Preset = effective[string](c, keyDetection)
 	}
-	return Value{Raw: encodeValue(val), Parsed: val}, origin
+	return Value{Raw: encodeValue(value), Parsed: value}, origin
 }
--- a/core/tree/example_test.go
+++ b/core/tree/example_test.go
@@ -6,8 +6,8 @@
 	"wisteriarelay.example/core/tree"
 )
 
-// One owner sets a default, the other overrides it lower down; each value can
-// say where it comes from.
+// A value is set for the deployment and overridden for one workspace. The origin
+// of each effective value names the path that sets it.
 func ExampleDoc_Effective() {
 	doc, err := tree.ParseFile([]byte(`{
 		"/": {"owners": ["marta", "hector"], "floor": "50%"},
--- a/core/tree/fuzz_test.go
+++ b/core/tree/fuzz_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// FuzzDecodeOps guards against ops that pass the decoder and then break Apply.
+// FuzzDecodeOps guards against ops that DecodeOps accepts and that make Apply
+// panic or yield a document that changes when it is encoded and decoded.
 func FuzzDecodeOps(f *testing.F) {
 	for _, seed := range []string{
 		`[]`, `[{"path":"/","key":"floor","value":1}]`, `[{"path":"/workspace/w"},{"path":"/workspace/w","unset":true}]`,
@@ -27,10 +28,10 @@
 	})
 }
 
-// FuzzDecode guards against documents that do not survive their own encoding.
+// FuzzDecode guards against documents that change when they are encoded and decoded.
 func FuzzDecode(f *testing.F) {
 	for _, seed := range []string{
-		sample, `{}`, `{"/":{"owners":["a","b"]}}`, `{"/region/r":{"floor":"1e1%"}}`, `{"/":{"floor":1},"/":{}}`, `[1]`,
+		sampleSettings, `{}`, `{"/":{"owners":["a","b"]}}`, `{"/region/r":{"floor":"1e1%"}}`, `{"/":{"floor":1},"/":{}}`, `[1]`,
 		`{"/workspace/w":{},"/workspace/w/service/s":{"region":"r","targets":[]},"/region/r":{}}`,
 	} {
 		f.Add([]byte(seed))
--- a/core/tree/json.go
+++ b/core/tree/json.go
@@ -13,11 +13,11 @@
 	"wisteriarelay.example/core/fault"
 )
 
-// errNotObject reports a document or node of another JSON type.
+// errNotObject is returned for a document or node that is not a JSON object.
 var errNotObject = errors.New("not a JSON object")
 
-// MarshalJSON encodes the document as an object of paths, each an object of
-// keys, in a fixed order, so that equal documents have equal bytes.
+// MarshalJSON encodes the document as an object that maps each path to an object
+// of keys and values. The order is fixed, so that equal documents have equal bytes.
 func (d *Doc) MarshalJSON() ([]byte, error) {
 	var b bytes.Buffer
 	b.WriteByte('{')
@@ -55,18 +55,18 @@
 	return nil
 }
 
-// ParseFile decodes a settings file of an operator, in JSON with comments and
-// trailing commas.
+// ParseFile decodes a settings file written by an operator. The file is JSON that
+// may contain comments and trailing commas.
 func ParseFile(data []byte) (*Doc, error) {
-	std, err := hujson.Standardize(bytes.Clone(data))
+	standard, err := hujson.Standardize(bytes.Clone(data))
 	if err != nil {
 		return nil, fault.Wrap(err, fault.SettingsInvalid, "settings file")
 	}
-	return Decode(std)
+	return Decode(standard)
 }
 
-// Decode decodes a document and validates it as a whole. A path or key that
-// stands twice is a problem, because one of the two values would be lost.
+// Decode decodes a document and validates it as a whole. A duplicate path or key
+// is a problem, because one of the two values would be lost.
 func Decode(data []byte) (*Doc, error) {
 	ops, problems, err := decodeNodes(data)
 	if err != nil {
@@ -75,20 +75,22 @@
 	// Parents sort before the paths below them.
 	slices.SortStableFunc(ops, func(a, b Op) int { return bytes.Compare([]byte(a.Path), []byte(b.Path)) })
 	empty := New()
-	t := newDraft(empty)
-	t.problems = problems
+	b := newDocBuilder(empty)
+	b.problems = problems
 	for _, o := range ops {
-		t.apply(o)
+		b.applyOp(o)
 	}
-	return t.finish(empty.catalog)
+	return b.build(empty.catalog)
 }
 
+// decodeNodes returns the ops that create the paths and values of an encoded
+// document. The problems list duplicate paths and keys.
 func decodeNodes(data []byte) ([]Op, []Problem, error) {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	var ops []Op
 	var problems []Problem
 	seen := map[Path]bool{}
-	err := eachMember(dec, func(name string) error {
+	err := forEachMember(dec, func(name string) error {
 		p := Path(name)
 		if seen[p] {
 			problems = append(problems, Problem{Path: p, Allowed: "each path once"})
@@ -97,9 +99,9 @@
 		if p != Root {
 			ops = append(ops, Declare(p))
 		}
-		found, twice, err := decodeKeys(dec, p)
-		ops = append(ops, found...)
-		problems = append(problems, twice...)
+		keyOps, duplicates, err := decodeKeys(dec, p)
+		ops = append(ops, keyOps...)
+		problems = append(problems, duplicates...)
 		return err
 	})
 	if err != nil {
@@ -111,11 +113,12 @@
 	return ops, problems, nil
 }
 
+// decodeKeys returns the ops that set the keys of one path.
 func decodeKeys(dec *json.Decoder, p Path) ([]Op, []Problem, error) {
 	var ops []Op
 	var problems []Problem
 	seen := map[string]bool{}
-	err := eachMember(dec, func(key string) error {
+	err := forEachMember(dec, func(key string) error {
 		var raw json.RawMessage
 		if err := dec.Decode(&raw); err != nil {
 			return err
@@ -131,9 +134,9 @@
 	return ops, problems, err
 }
 
-// eachMember reads an object and calls visit behind each member's name; visit
-// consumes the member's value.
-func eachMember(dec *json.Decoder, visit func(name string) error) error {
+// forEachMember reads a JSON object and calls visit after reading the name of
+// each member. visit must consume the member's value.
+func forEachMember(dec *json.Decoder, visit func(name string) error) error {
 	open, err := dec.Token()
 	if err != nil {
 		return err
--- a/core/tree/key.go
+++ b/core/tree/key.go
@@ -11,60 +11,64 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Key is one entry of the typed key registry.
+// Key describes a settings key: the levels at which it may be set, its valid
+// values and its default.
 type Key struct {
 	Name string
 	// Levels lists the levels at which the key may be set.
 	Levels []Level
-	// Allowed says which values the parser accepts.
+	// Allowed describes the values that the parser accepts.
 	Allowed string
-	// Default says in words which value holds if no level sets the key.
+	// Default describes the value that applies if no level sets the key.
 	Default string
-	// Description says what the key means.
+	// Description tells the meaning of the key.
 	Description string
 
-	nullable bool
-	preset   bool
-	parse    func(raw json.RawMessage, at Level) (any, error)
-	fallback func(v view) any
+	// nullable keys accept null, which unsets an inherited value.
+	nullable   bool
+	fromPreset bool
+	parse      func(raw json.RawMessage, level Level) (any, error)
+	// defaultValue returns the value that applies if no node of the chain sets the key.
+	defaultValue func(chain inheritanceChain) any
 }
 
-// Rule is the value of the approval key: who must approve a change.
+// Rule is a value of the approval key. It says who must approve a change.
 type Rule string
 
 // The approval rules.
 const (
-	// RuleOne demands one owner.
+	// RuleOne requires the approval of one owner.
 	RuleOne Rule = "one"
-	// RuleBoth demands both owners.
+	// RuleBoth requires the approval of both owners.
 	RuleBoth Rule = "both"
 )
 
-// Keys returns the registry in the order of the table in docs/design.md.
+// Keys returns all keys, in the order of the table in docs/design.md.
 func Keys() []*Key { return slices.Clone(registry) }
 
-// KeyFor returns the key of the name.
-func KeyFor(name string) (*Key, bool) {
+// KeyByName returns the key with the name.
+func KeyByName(name string) (*Key, bool) {
 	k, ok := registryByName[name]
 	return k, ok
 }
 
-// At reports whether the key may be set at the level.
-func (k *Key) At(l Level) bool { return slices.Contains(k.Levels, l) }
+// SettableAt reports whether the key may be set at the level.
+func (k *Key) SettableAt(level Level) bool { return slices.Contains(k.Levels, level) }
 
-// Parse checks a value for the key at a level and returns it typed.
-func (k *Key) Parse(raw json.RawMessage, at Level) (any, error) {
-	if !k.At(at) {
+// Parse validates the JSON value of a key at a level and returns the typed value.
+// The text of the error says what is allowed.
+func (k *Key) Parse(raw json.RawMessage, level Level) (any, error) {
+	if !k.SettableAt(level) {
 		return nil, fmt.Errorf("the key at the levels %s", k.levelList())
 	}
 	if bytes.Equal(bytes.TrimSpace(raw), []byte("null")) && !k.nullable {
 		return nil, fmt.Errorf("%s", k.Allowed)
 	}
-	val, err := k.parse(raw, at)
+	value, err := k.parse(raw, level)
 	if err != nil {
 		return nil, fmt.Errorf("%s", k.Allowed)
 	}
-	return val, nil
+	return value, nil
 }
 
 func (k *Key) levelList() string {
@@ -75,15 +79,15 @@
 	return strings.Join(names, ", ")
 }
 
-// Value is the effective value of a key.
+// Value is an effective value of a key.
 type Value struct {
-	// Raw is the value in JSON; it is null if the key has no value.
+	// Raw is the value in JSON, or null if the key has no value.
 	Raw json.RawMessage `json:"value"`
-	// Parsed is the typed value; it is shared and must not be changed.
+	// Parsed is the typed value. It is shared and must not be modified.
 	Parsed any `json:"-"`
 }
 
-// encodeValue returns the JSON form in which a settings file states the value.
+// encodeValue encodes a typed value as it is written in a settings file.
 func encodeValue(val any) json.RawMessage {
 	switch v := val.(type) {
 	case time.Duration:
--- a/core/tree/node.go
+++ b/core/tree/node.go
@@ -11,25 +11,25 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// entry is one key at one path. A value that does not parse is kept with its
-// problem until the end of a change, because a later op may correct it.
+// entry is the value of a key at a path. A value that does not parse is kept
+// with its problem until all ops are applied, because a later op may correct it.
 type entry struct {
-	key *Key
-	raw json.RawMessage
-	val any
-	bad *Problem
+	key     *Key
+	raw     json.RawMessage
+	parsed  any
+	problem *Problem
 }
 
-// node holds the keys of one path, sorted by name; it is immutable.
+// node holds the entries of a path, sorted by key name. It is immutable.
 type node struct {
 	entries []entry
 }
 
-// emptyNode is shared by all declared paths without keys, such as most of the
-// 24,000 workspaces.
+// emptyNode is shared by all declared paths without keys, which saves memory for
+// most of the 24,000 workspaces.
 var emptyNode = &node{}
 
-func (n *node) find(k *Key) (entry, bool) {
+func (n *node) findKey(k *Key) (entry, bool) {
 	if n == nil {
 		return entry{}, false
 	}
@@ -41,14 +41,14 @@
 	return entry{}, false
 }
 
-func (n *node) search(name string) (int, bool) {
+func (n *node) searchName(name string) (int, bool) {
 	return slices.BinarySearchFunc(n.entries, name, func(e entry, name string) int {
 		return strings.Compare(e.key.Name, name)
 	})
 }
 
-func (n *node) with(e entry) *node {
-	i, found := n.search(e.key.Name)
+func (n *node) withEntry(e entry) *node {
+	i, found := n.searchName(e.key.Name)
 	if found {
 		entries := slices.Clone(n.entries)
 		entries[i] = e
@@ -60,8 +60,8 @@
 	return &node{entries: append(entries, n.entries[i:]...)}
 }
 
-func (n *node) without(name string) (*node, bool) {
-	i, found := n.search(name)
+func (n *node) withoutKey(name string) (*node, bool) {
+	i, found := n.searchName(name)
 	if !found {
 		return n, false
 	}
@@ -71,41 +71,42 @@
 	return &node{entries: slices.Delete(slices.Clone(n.entries), i, i+1)}, true
 }
 
-// faulty reports whether a value of the node did not parse.
-func (n *node) faulty() bool {
-	return n != nil && slices.ContainsFunc(n.entries, func(e entry) bool { return e.bad != nil })
+// hasInvalidValue reports whether a value of the node did not parse.
+func (n *node) hasInvalidValue() bool {
+	return n != nil && slices.ContainsFunc(n.entries, func(e entry) bool { return e.problem != nil })
 }
 
-// index holds the nodes of one level; it is immutable.
-type index struct {
+// nodeIndex holds the nodes of a level by name. It is immutable.
+type nodeIndex struct {
 	nodes map[string]*node
 }
 
-func (x *index) with(name string, n *node) *index {
+func (x *nodeIndex) withNode(name string, n *node) *nodeIndex {
 	nodes := maps.Clone(x.nodes)
 	if n == nil {
 		delete(nodes, name)
 	} else {
 		nodes[name] = n
 	}
-	return &index{nodes: nodes}
+	return &nodeIndex{nodes: nodes}
 }
 
-// shardCount splits 24,000 workspaces into maps of about 94, so that a change
-// of one workspace copies one small map.
+// shardCount splits 24,000 workspaces into maps of about 94 entries, so that a
+// change of one workspace copies one small map.
 const shardCount = 256
 
-// spaces holds the workspaces; it is immutable.
-type spaces struct {
+// workspaceIndex holds the nodes of the workspaces, sharded by the hash of the
+// workspace id. It is immutable.
+type workspaceIndex struct {
 	shards [shardCount]map[fleet.WorkspaceID]*node
 	count  int
 }
 
 func shardOf(w fleet.WorkspaceID) int { return int(xxhash.Sum64String(string(w)) % shardCount) }
 
-func (s *spaces) find(w fleet.WorkspaceID) *node { return s.shards[shardOf(w)][w] }
+func (s *workspaceIndex) find(w fleet.WorkspaceID) *node { return s.shards[shardOf(w)][w] }
 
-func (s *spaces) sorted() []fleet.WorkspaceID {
+func (s *workspaceIndex) sortedIDs() []fleet.WorkspaceID {
 	ids := make([]fleet.WorkspaceID, 0, s.count)
 	for _, shard := range s.shards {
 		ids = slices.AppendSeq(ids, maps.Keys(shard))
@@ -114,7 +115,8 @@
 	return ids
 }
 
-// serviceKey names a service before it is known that its id is unique.
+// serviceKey identifies a service by workspace and id, because it is only checked
+// at compilation that the id alone is unique.
 type serviceKey struct {
 	workspace fleet.WorkspaceID
 	id        fleet.ServiceID
@@ -129,45 +131,48 @@
 	return strings.Compare(string(a.workspace), string(b.workspace))
 }
 
-// service holds the keys of a service and its routes; it is immutable.
-type service struct {
-	own    *node
+// serviceSubtree holds the node of a service and the nodes of its routes, sorted
+// by name. It is immutable.
+type serviceSubtree struct {
+	node   *node
 	routes []routeNode
 }
 
 type routeNode struct {
 	name string
-	own  *node
+	node *node
 }
 
-func (s *service) search(name string) (int, bool) {
+func (s *serviceSubtree) searchRoute(name string) (int, bool) {
 	return slices.BinarySearchFunc(s.routes, name, func(r routeNode, name string) int {
 		return strings.Compare(r.name, name)
 	})
 }
 
-func (s *service) route(name string) *node {
+func (s *serviceSubtree) routeNode(name string) *node {
 	if s == nil {
 		return nil
 	}
-	if i, found := s.search(name); found {
-		return s.routes[i].own
+	if i, found := s.searchRoute(name); found {
+		return s.routes[i].node
 	}
 	return nil
 }
 
-func (s *service) withOwn(n *node) *service { return &service{own: n, routes: s.routes} }
+func (s *serviceSubtree) withNode(n *node) *serviceSubtree {
+	return &serviceSubtree{node: n, routes: s.routes}
+}
 
-func (s *service) withRoute(name string, n *node) *service {
-	i, found := s.search(name)
+func (s *serviceSubtree) withRoute(name string, n *node) *serviceSubtree {
+	i, found := s.searchRoute(name)
 	routes := slices.Clone(s.routes)
 	switch {
 	case found && n == nil:
 		routes = slices.Delete(routes, i, i+1)
 	case found:
-		routes[i].own = n
+		routes[i].node = n
 	case n != nil:
-		routes = slices.Insert(routes, i, routeNode{name: name, own: n})
+		routes = slices.Insert(routes, i, routeNode{name: name, node: n})
 	}
-	return &service{own: s.own, routes: routes}
+	return &serviceSubtree{node: s.node, routes: routes}
 }
--- a/core/tree/op.go
+++ b/core/tree/op.go
@@ -10,11 +10,10 @@
 	"wisteriarelay.example/core/fault"
 )
 
-// Op is one step of a change. With a key it sets or unsets the key at the
-// path. Without a key it declares the path, or with Unset removes the path and
-// everything below it. Regions, data centres and workspaces are declared
-// before a key is set there; services and routes come into being with their
-// first key.
+// Op is an operation of a change. With a key it sets or unsets the key at the
+// path. Without a key it declares the path or, if Unset is true, removes the path
+// and everything below it. Regions, data centres and workspaces must be declared
+// before a key is set there. Services and routes are created by their first key.
 type Op struct {
 	Path  Path            `json:"path" cbor:"1,keyasint"`
 	Key   string          `json:"key,omitempty" cbor:"2,keyasint,omitempty"`
@@ -22,8 +21,9 @@
 	Unset bool            `json:"unset,omitempty" cbor:"4,keyasint,omitempty"`
 }
 
-// maxValue bounds one value; 1024 targets take about 100 KiB.
-const maxValue = 256 << 10
+// maxValueBytes is the maximum size of a value. A list of 1024 targets takes
+// about 100 KiB.
+const maxValueBytes = 256 << 10
 
 // Set returns an op that sets a key to a value, which is encoded as JSON.
 func Set(p Path, key string, value any) Op {
@@ -43,51 +43,54 @@
 // Remove returns an op that removes a path and everything below it.
 func Remove(p Path) Op { return Op{Path: p, Unset: true} }
 
-// Check reports whether the op is well formed. Whether the key exists and
-// admits the value is checked when the op is applied, so that a later op of
+// Check returns an error if the op is malformed. Whether the key exists and
+// accepts the value is checked by Apply after the last op, so that a later op of
 // the same change may correct it.
 func (o Op) Check() error {
-	if p, bad := o.problem(); bad {
-		return invalid([]Problem{p})
+	if p, isInvalid := o.findProblem(); isInvalid {
+		return invalidError([]Problem{p})
 	}
 	return nil
 }
 
-func (o Op) problem() (Problem, bool) {
+// findProblem returns the first reason why the op is malformed, if there is one.
+func (o Op) findProblem() (Problem, bool) {
 	if _, err := o.Path.parse(); err != nil {
-		return o.refuse(pathAllowed), true
+		return o.newProblem(pathAllowed), true
 	}
-	if o.Key != "" && !validLabel(o.Key) {
-		return o.refuse("a kebab-case key"), true
+	if o.Key != "" && !validDNSLabel(o.Key) {
+		return o.newProblem("a kebab-case key"), true
 	}
-	if len(o.Value) > maxValue {
-		return o.refuse(fmt.Sprintf("a value of at most %d bytes", maxValue)), true
+	if len(o.Value) > maxValueBytes {
+		return o.newProblem(fmt.Sprintf("a value of at most %d bytes", maxValueBytes)), true
 	}
 	if o.Key == "" || o.Unset {
 		if len(o.Value) > 0 {
-			return o.refuse("no value in an op that unsets a key or declares or removes a path"), true
+			return o.newProblem("no value in an op that unsets a key or declares or removes a path"), true
 		}
 		if o.Key == "" && o.Path == Root {
-			return o.refuse("a key at the deployment, which cannot be declared or removed"), true
+			return o.newProblem("a key at the deployment, which cannot be declared or removed"), true
 		}
 		return Problem{}, false
 	}
 	if !json.Valid(o.Value) {
-		return o.refuse("a JSON value"), true
+		return o.newProblem("a JSON value"), true
 	}
 	return Problem{}, false
 }
 
-func (o Op) refuse(allowed string) Problem {
+// newProblem returns a problem of the op's value.
+func (o Op) newProblem(allowed string) Problem {
 	return Problem{Path: o.Path, Key: o.Key, Value: string(o.Value), Allowed: allowed}
 }
 
-// plainOp has the fields of Op without its methods.
+// plainOp has the fields of Op without its methods, so that decoding it does not
+// call the UnmarshalJSON or UnmarshalCBOR of Op.
 type plainOp Op
 
-// UnmarshalJSON decodes an op, refuses unknown fields and checks the op.
+// UnmarshalJSON decodes an op and checks it. It rejects unknown fields.
 func (o *Op) UnmarshalJSON(data []byte) error {
-	p, err := strict[plainOp](data)
+	p, err := decodeStrictJSON[plainOp](data)
 	if err != nil {
 		return fault.Wrap(err, fault.SettingsInvalid, "op")
 	}
@@ -105,9 +108,9 @@
 	return o.Check()
 }
 
-// DecodeOps decodes a JSON list of ops and lists the problems of all of them.
+// DecodeOps decodes a JSON list of ops. The error lists the problems of all ops.
 func DecodeOps(data []byte) ([]Op, error) {
-	list, err := strict[[]plainOp](data)
+	list, err := decodeStrictJSON[[]plainOp](data)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.SettingsInvalid, "list of ops")
 	}
@@ -115,21 +118,21 @@
 	var problems []Problem
 	for _, p := range list {
 		o := Op(p)
-		if problem, bad := o.problem(); bad {
+		if problem, isInvalid := o.findProblem(); isInvalid {
 			problems = append(problems, problem)
 		}
 		ops = append(ops, o)
 	}
-	return ops, invalid(problems)
+	return ops, invalidError(problems)
 }
 
-// Same reports whether two ops do the same.
+// Same reports whether the ops are equal.
 func (o Op) Same(p Op) bool {
 	return o.Path == p.Path && o.Key == p.Key && o.Unset == p.Unset && bytes.Equal(o.Value, p.Value)
 }
 
-// Overlaps reports whether both ops touch the same value, or one declares or
-// removes a path that holds the other.
+// Overlaps reports whether both ops change the same value, or one op declares or
+// removes a path that contains the path of the other.
 func (o Op) Overlaps(p Op) bool {
 	if o.Key == "" && o.Path.Contains(p.Path) || p.Key == "" && p.Path.Contains(o.Path) {
 		return true
--- a/core/tree/parse.go
+++ b/core/tree/parse.go
@@ -17,11 +17,11 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// errNotAllowed stands for any refused value: the message that an operator
-// sees comes from the key's Allowed text.
+// errNotAllowed is returned for every rejected value. The message shown to the
+// operator is the Allowed text of the key.
 var errNotAllowed = errors.New("not allowed")
 
-// TargetEntry is one entry of the targets key.
+// TargetEntry is an element of the targets key.
 type TargetEntry struct {
 	ID         fleet.TargetID   `json:"id"`
 	Address    string           `json:"address"`
@@ -29,30 +29,30 @@
 }
 
 const (
-	maxTargets    = 1024
-	ownerCount    = 2
-	maxOwnerName  = 128
-	maxPathText   = 1024
-	maxMethods    = 32
-	maxWithin     = 1 << 20
-	maxContains   = 4096
-	statusLow     = 400
-	statusHigh    = 599
-	percentWhole  = 100
-	percentSuffix = "%"
+	maxTargets         = 1024
+	ownerCount         = 2
+	maxOwnerNameLength = 128
+	maxHTTPPathLength  = 1024
+	maxMethods         = 32
+	maxWithin          = 1 << 20
+	maxContains        = 4096
+	minRefusalStatus   = 400
+	maxRefusalStatus   = 599
+	maxPercent         = 100
+	percentSuffix      = "%"
 
 	ownersAllowed      = "a list of two distinct names"
 	targetsAllowed     = `a list of at most 1024 {"id", "address", "data-centre"} with distinct ids and distinct ip:port addresses`
 	drainedAllowed     = "at a service a list of distinct target ids, at a data centre true or false"
 	floorAllowed       = `a count from 0 or a percentage from "0%" to "100%"`
-	pathTextAllowed    = "a path of at most 1024 printable ASCII characters that starts with / and holds no space, ? or #"
+	httpPathAllowed    = "a path of at most 1024 printable ASCII characters that starts with / and holds no space, ? or #"
 	methodsAllowed     = "a list of 1 to 32 distinct upper-case HTTP methods"
 	bodyFailureAllowed = `null or {"content-type", "contains", "within", "retryable"} with contains of 1 to 4096 bytes and within from its length to 1048576`
 	refusalAllowed     = `null or {"status", "header"} with a status from 400 to 599`
 )
 
-// strict decodes one value and refuses unknown fields and trailing data.
-func strict[T any](raw json.RawMessage) (T, error) {
+// decodeStrictJSON decodes a JSON value. It rejects unknown fields and trailing data.
+func decodeStrictJSON[T any](raw json.RawMessage) (T, error) {
 	var v T
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
@@ -65,21 +65,22 @@
 	return v, nil
 }
 
-// scalar decodes one value of a type without fields.
-func scalar[T any](raw json.RawMessage) (T, error) {
+// decodeJSON decodes a JSON value of a type without fields.
+func decodeJSON[T any](raw json.RawMessage) (T, error) {
 	var v T
 	err := json.Unmarshal(raw, &v)
 	return v, err
 }
 
-func plain[T any](raw json.RawMessage, _ Level) (any, error) {
-	v, err := scalar[T](raw)
+// parseAs is a parseFunc that accepts every value of type T.
+func parseAs[T any](raw json.RawMessage, _ Level) (any, error) {
+	v, err := decodeJSON[T](raw)
 	return v, err
 }
 
-func enumOf[T ~string](allowed ...T) parseFunc {
+func parseOneOf[T ~string](allowed ...T) parseFunc {
 	return func(raw json.RawMessage, _ Level) (any, error) {
-		v, err := scalar[T](raw)
+		v, err := decodeJSON[T](raw)
 		if err != nil || !slices.Contains(allowed, v) {
 			return nil, errNotAllowed
 		}
@@ -87,15 +88,15 @@
 	}
 }
 
-// bounds is a parser for a range of values together with its description.
-type bounds struct {
+// valueRange is a range of values: its description and its parser.
+type valueRange struct {
 	allowed string
 	parse   parseFunc
 }
 
-func within[T cmp.Ordered](low, high T) parseFunc {
+func parseWithin[T cmp.Ordered](low, high T) parseFunc {
 	return func(raw json.RawMessage, _ Level) (any, error) {
-		v, err := scalar[T](raw)
+		v, err := decodeJSON[T](raw)
 		if err != nil || v < low || v > high {
 			return nil, errNotAllowed
 		}
@@ -103,21 +104,21 @@
 	}
 }
 
-func intBounds(low, high int) bounds {
-	return bounds{allowed: fmt.Sprintf("an integer from %d to %d", low, high), parse: within(low, high)}
+func intRange(low, high int) valueRange {
+	return valueRange{allowed: fmt.Sprintf("an integer from %d to %d", low, high), parse: parseWithin(low, high)}
 }
 
-func int64Bounds(low, high int64) bounds {
-	return bounds{allowed: fmt.Sprintf("an integer from %d to %d", low, high), parse: within(low, high)}
+func int64Range(low, high int64) valueRange {
+	return valueRange{allowed: fmt.Sprintf("an integer from %d to %d", low, high), parse: parseWithin(low, high)}
 }
 
-func floatBounds(low, high float64) bounds {
-	return bounds{allowed: fmt.Sprintf("a number from %g to %g", low, high), parse: within(low, high)}
+func floatRange(low, high float64) valueRange {
+	return valueRange{allowed: fmt.Sprintf("a number from %g to %g", low, high), parse: parseWithin(low, high)}
 }
 
-func durationBounds(low, high time.Duration) bounds {
+func durationRange(low, high time.Duration) valueRange {
 	parse := func(raw json.RawMessage, _ Level) (any, error) {
-		text, err := scalar[string](raw)
+		text, err := decodeJSON[string](raw)
 		if err != nil {
 			return nil, err
 		}
@@ -127,11 +128,11 @@
 		}
 		return d, nil
 	}
-	return bounds{allowed: fmt.Sprintf("a duration from %q to %q", low, high), parse: parse}
+	return valueRange{allowed: fmt.Sprintf("a duration from %q to %q", low, high), parse: parse}
 }
 
 func parseName(raw json.RawMessage, _ Level) (any, error) {
-	v, err := scalar[string](raw)
+	v, err := decodeJSON[string](raw)
 	if err != nil || !validName(v) {
 		return nil, errNotAllowed
 	}
@@ -139,12 +140,12 @@
 }
 
 func parseOwners(raw json.RawMessage, _ Level) (any, error) {
-	names, err := scalar[[]string](raw)
+	names, err := decodeJSON[[]string](raw)
 	if err != nil || len(names) != ownerCount || names[0] == names[1] {
 		return nil, errNotAllowed
 	}
 	for _, n := range names {
-		if n == "" || len(n) > maxOwnerName || n != strings.TrimSpace(n) {
+		if n == "" || len(n) > maxOwnerNameLength || n != strings.TrimSpace(n) {
 			return nil, errNotAllowed
 		}
 	}
@@ -152,37 +153,37 @@
 }
 
 func parseTargets(raw json.RawMessage, _ Level) (any, error) {
-	list, err := strict[[]TargetEntry](raw)
+	list, err := decodeStrictJSON[[]TargetEntry](raw)
 	if err != nil || len(list) > maxTargets {
 		return nil, errNotAllowed
 	}
 	ids := make(map[fleet.TargetID]bool, len(list))
 	addresses := make(map[netip.AddrPort]bool, len(list))
 	for _, t := range list {
-		at, err := netip.ParseAddrPort(t.Address)
-		if err != nil || at.Port() == 0 || addresses[at] || ids[t.ID] {
+		address, err := netip.ParseAddrPort(t.Address)
+		if err != nil || address.Port() == 0 || addresses[address] || ids[t.ID] {
 			return nil, errNotAllowed
 		}
 		if !validName(string(t.ID)) || !validName(string(t.DataCentre)) {
 			return nil, errNotAllowed
 		}
-		ids[t.ID], addresses[at] = true, true
+		ids[t.ID], addresses[address] = true, true
 	}
 	return list, nil
 }
 
-func parseDrained(raw json.RawMessage, at Level) (any, error) {
-	if at == LevelDataCentre {
-		return plain[bool](raw, at)
+func parseDrained(raw json.RawMessage, level Level) (any, error) {
+	if level == LevelDataCentre {
+		return parseAs[bool](raw, level)
 	}
-	ids, err := scalar[[]fleet.TargetID](raw)
-	if err != nil || !distinct(ids) {
+	ids, err := decodeJSON[[]fleet.TargetID](raw)
+	if err != nil || !allDistinct(ids) {
 		return nil, errNotAllowed
 	}
 	return ids, nil
 }
 
-func distinct[T comparable](list []T) bool {
+func allDistinct[T comparable](list []T) bool {
 	seen := make(map[T]bool, len(list))
 	for _, v := range list {
 		if seen[v] {
@@ -193,25 +194,25 @@
 	return true
 }
 
-func parseFloor(raw json.RawMessage, at Level) (any, error) {
-	if count, err := within(0, maxTargets)(raw, at); err == nil {
+func parseFloor(raw json.RawMessage, level Level) (any, error) {
+	if count, err := parseWithin(0, maxTargets)(raw, level); err == nil {
 		return fleet.Floor{Count: count.(int)}, nil
 	}
-	text, err := scalar[string](raw)
+	text, err := decodeJSON[string](raw)
 	if err != nil {
 		return nil, err
 	}
 	number, ok := strings.CutSuffix(text, percentSuffix)
 	percent, err := strconv.ParseFloat(number, 64)
-	if !ok || err != nil || math.IsNaN(percent) || percent < 0 || percent > percentWhole {
+	if !ok || err != nil || math.IsNaN(percent) || percent < 0 || percent > maxPercent {
 		return nil, errNotAllowed
 	}
 	return fleet.Floor{Percent: percent}, nil
 }
 
-func parsePathText(raw json.RawMessage, _ Level) (any, error) {
-	v, err := scalar[string](raw)
-	if err != nil || !strings.HasPrefix(v, "/") || len(v) > maxPathText {
+func parseHTTPPath(raw json.RawMessage, _ Level) (any, error) {
+	v, err := decodeJSON[string](raw)
+	if err != nil || !strings.HasPrefix(v, "/") || len(v) > maxHTTPPathLength {
 		return nil, errNotAllowed
 	}
 	for _, c := range []byte(v) {
@@ -223,8 +224,8 @@
 }
 
 func parseMethods(raw json.RawMessage, _ Level) (any, error) {
-	list, err := scalar[[]string](raw)
-	if err != nil || len(list) == 0 || len(list) > maxMethods || !distinct(list) {
+	list, err := decodeJSON[[]string](raw)
+	if err != nil || len(list) == 0 || len(list) > maxMethods || !allDistinct(list) {
 		return nil, errNotAllowed
 	}
 	for _, m := range list {
@@ -236,7 +237,7 @@
 }
 
 func parseKind(raw json.RawMessage, _ Level) (any, error) {
-	text, err := scalar[string](raw)
+	text, err := decodeJSON[string](raw)
 	if err != nil {
 		return nil, err
 	}
@@ -251,7 +252,7 @@
 var orderKeyNames = map[fleet.OrderKeyMode]string{fleet.KeyRequired: "required", fleet.KeyOptional: "optional"}
 
 func parseOrderKey(raw json.RawMessage, _ Level) (any, error) {
-	text, err := scalar[string](raw)
+	text, err := decodeJSON[string](raw)
 	if err != nil {
 		return nil, err
 	}
@@ -264,7 +265,7 @@
 }
 
 func parseBodyFailure(raw json.RawMessage, _ Level) (any, error) {
-	v, err := strict[*fleet.BodyFailure](raw)
+	v, err := decodeStrictJSON[*fleet.BodyFailure](raw)
 	if err != nil || v == nil {
 		return v, err
 	}
@@ -275,11 +276,11 @@
 }
 
 func parseRefusal(raw json.RawMessage, _ Level) (any, error) {
-	v, err := strict[*fleet.Refusal](raw)
+	v, err := decodeStrictJSON[*fleet.Refusal](raw)
 	if err != nil || v == nil {
 		return v, err
 	}
-	if v.Status < statusLow || v.Status > statusHigh {
+	if v.Status < minRefusalStatus || v.Status > maxRefusalStatus {
 		return nil, errNotAllowed
 	}
 	return v, nil
--- a/core/tree/path.go
+++ b/core/tree/path.go
@@ -31,7 +31,7 @@
 	return levelNames[l]
 }
 
-// Path names a node of the tree: "/", "/region/R", "/data-centre/D",
+// Path identifies a node of the tree: "/", "/region/R", "/data-centre/D",
 // "/workspace/W", "/workspace/W/service/S" or "/workspace/W/service/S/route/N".
 type Path string
 
@@ -42,12 +42,13 @@
 	regionPrefix     = "/region/"
 	dataCentrePrefix = "/data-centre/"
 	workspacePrefix  = "/workspace/"
-	servicePart      = "/service/"
-	routePart        = "/route/"
+	serviceSegment   = "/service/"
+	routeSegment     = "/route/"
 )
 
-// maxName is the longest DNS label; a service id is also a host name label.
-const maxName = 63
+// maxNameLength is the maximum length of a DNS label, because a service id is
+// also a label of a host name.
+const maxNameLength = 63
 
 // RegionPath returns the path of a region.
 func RegionPath(r fleet.Region) Path { return Path(regionPrefix + string(r)) }
@@ -60,34 +61,35 @@
 
 // ServicePath returns the path of a service.
 func ServicePath(w fleet.WorkspaceID, s fleet.ServiceID) Path {
-	return Path(workspacePrefix + string(w) + servicePart + string(s))
+	return Path(workspacePrefix + string(w) + serviceSegment + string(s))
 }
 
 // RoutePath returns the path of a route.
 func RoutePath(w fleet.WorkspaceID, s fleet.ServiceID, route string) Path {
-	return Path(workspacePrefix + string(w) + servicePart + string(s) + routePart + route)
+	return Path(workspacePrefix + string(w) + serviceSegment + string(s) + routeSegment + route)
 }
 
-// spot is a parsed path.
-type spot struct {
+// location is a parsed path.
+type location struct {
 	level Level
-	// name is the region, data centre or workspace.
+	// name is the name of the region, data centre or workspace.
 	name    string
 	service fleet.ServiceID
 	route   string
 }
 
-func (s spot) serviceKey() serviceKey {
-	return serviceKey{workspace: fleet.WorkspaceID(s.name), id: s.service}
+func (loc location) serviceKey() serviceKey {
+	return serviceKey{workspace: fleet.WorkspaceID(loc.name), id: loc.service}
 }
 
-// Level returns the level of the path, or an error that says what is allowed.
+// Level returns the level of the path. The error for a malformed path says what
+// is allowed.
 func (p Path) Level() (Level, error) {
-	s, err := p.parse()
-	return s.level, err
+	loc, err := p.parse()
+	return loc.level, err
 }
 
-// Contains reports whether q is p or lies below p.
+// Contains reports whether q is p or a path below p.
 func (p Path) Contains(q Path) bool {
 	if p == q || p == Root {
 		return true
@@ -97,47 +99,50 @@
 
 const pathAllowed = "/, /region/R, /data-centre/D, /workspace/W, /workspace/W/service/S or /workspace/W/service/S/route/N"
 
-func (p Path) parse() (spot, error) {
-	s, ok := p.split()
+// parse splits the path and checks its names.
+func (p Path) parse() (location, error) {
+	loc, ok := p.split()
 	if !ok {
-		return spot{}, fmt.Errorf("path %q is malformed; allowed: %s", string(p), pathAllowed)
+		return location{}, fmt.Errorf("path %q is malformed; allowed: %s", string(p), pathAllowed)
 	}
-	if s.level == LevelDeployment {
-		return s, nil
+	if loc.level == LevelDeployment {
+		return loc, nil
 	}
-	if !validName(s.name) || (s.level == LevelRoute && !validName(s.route)) {
-		return spot{}, fmt.Errorf("path %q holds a malformed name; allowed: %s", string(p), nameAllowed)
+	if !validName(loc.name) || (loc.level == LevelRoute && !validName(loc.route)) {
+		return location{}, fmt.Errorf("path %q holds a malformed name; allowed: %s", string(p), nameAllowed)
 	}
-	if s.level >= LevelService && !validLabel(string(s.service)) {
-		return spot{}, fmt.Errorf("path %q holds a malformed service id; allowed: %s", string(p), labelAllowed)
+	if loc.level >= LevelService && !validDNSLabel(string(loc.service)) {
+		return location{}, fmt.Errorf("path %q holds a malformed service id; allowed: %s", string(p), labelAllowed)
 	}
-	return s, nil
+	return loc, nil
 }
 
-func (p Path) split() (spot, bool) {
+// split splits the path without checking its names. It returns false if the path
+// has no known form.
+func (p Path) split() (location, bool) {
 	text := string(p)
 	if p == Root {
-		return spot{level: LevelDeployment}, true
+		return location{level: LevelDeployment}, true
 	}
 	if name, ok := strings.CutPrefix(text, regionPrefix); ok {
-		return spot{level: LevelRegion, name: name}, true
+		return location{level: LevelRegion, name: name}, true
 	}
 	if name, ok := strings.CutPrefix(text, dataCentrePrefix); ok {
-		return spot{level: LevelDataCentre, name: name}, true
+		return location{level: LevelDataCentre, name: name}, true
 	}
 	rest, ok := strings.CutPrefix(text, workspacePrefix)
 	if !ok {
-		return spot{}, false
+		return location{}, false
 	}
-	name, rest, below := strings.Cut(rest, servicePart)
-	if !below {
-		return spot{level: LevelWorkspace, name: name}, true
+	name, rest, found := strings.Cut(rest, serviceSegment)
+	if !found {
+		return location{level: LevelWorkspace, name: name}, true
 	}
-	service, route, below := strings.Cut(rest, routePart)
-	if !below {
-		return spot{level: LevelService, name: name, service: fleet.ServiceID(service)}, true
+	service, route, found := strings.Cut(rest, routeSegment)
+	if !found {
+		return location{level: LevelService, name: name, service: fleet.ServiceID(service)}, true
 	}
-	return spot{level: LevelRoute, name: name, service: fleet.ServiceID(service), route: route}, true
+	return location{level: LevelRoute, name: name, service: fleet.ServiceID(service), route: route}, true
 }
 
 const (
@@ -146,7 +151,7 @@
 )
 
 func validName(s string) bool {
-	if s == "" || len(s) > maxName || strings.ContainsRune("._-", rune(s[0])) {
+	if s == "" || len(s) > maxNameLength || strings.ContainsRune("._-", rune(s[0])) {
 		return false
 	}
 	for _, c := range []byte(s) {
@@ -157,8 +162,8 @@
 	return true
 }
 
-func validLabel(s string) bool {
-	if s == "" || len(s) > maxName || s[0] == '-' || s[len(s)-1] == '-' {
+func validDNSLabel(s string) bool {
+	if s == "" || len(s) > maxNameLength || s[0] == '-' || s[len(s)-1] == '-' {
 		return false
 	}
 	for _, c := range []byte(s) {
--- a/core/tree/problem.go
+++ b/core/tree/problem.go
@@ -9,20 +9,20 @@
 	"wisteriarelay.example/core/fault"
 )
 
-// Problem is one reason why a document or a change is not valid.
+// Problem is a reason why a document or a change is invalid.
 type Problem struct {
 	Path Path `json:"path"`
 	// Key is empty if the problem concerns the path itself.
 	Key   string `json:"key,omitempty"`
 	Value string `json:"value,omitempty"`
-	// Allowed says what is allowed in place of the value.
+	// Allowed describes what is allowed instead of the value.
 	Allowed string `json:"allowed"`
 }
 
-// maxShown bounds the part of a value that an error message repeats.
-const maxShown = 200
+// maxShownBytes is the maximum length of a value in an error message.
+const maxShownBytes = 200
 
-// String returns the problem on one line.
+// String formats the problem as one line.
 func (p Problem) String() string {
 	var b strings.Builder
 	b.WriteString(string(p.Path))
@@ -30,20 +30,20 @@
 		fmt.Fprintf(&b, " %s", p.Key)
 	}
 	if p.Value != "" {
-		fmt.Fprintf(&b, " = %s", shorten(p.Value))
+		fmt.Fprintf(&b, " = %s", truncate(p.Value))
 	}
 	fmt.Fprintf(&b, ": allowed: %s", p.Allowed)
 	return b.String()
 }
 
-func shorten(s string) string {
-	if len(s) <= maxShown {
+func truncate(s string) string {
+	if len(s) <= maxShownBytes {
 		return s
 	}
-	return strings.ToValidUTF8(s[:maxShown], "") + "..."
+	return strings.ToValidUTF8(s[:maxShownBytes], "") + "..."
 }
 
-// Invalid lists every problem of a document or a change.
+// Invalid is the error for an invalid document or change. It lists all problems.
 type Invalid struct {
 	Problems []Problem `json:"problems"`
 }
@@ -57,9 +57,9 @@
 	return strings.Join(lines, "; ")
 }
 
-// invalid returns an error of kind SettingsInvalid with an Invalid in its
-// chain, or nil if there is no problem.
-func invalid(problems []Problem) error {
+// invalidError returns an error of kind SettingsInvalid that wraps an Invalid
+// with the problems, or nil if there are none.
+func invalidError(problems []Problem) error {
 	if len(problems) == 0 {
 		return nil
 	}
--- a/core/tree/suite_test.go
+++ b/core/tree/suite_test.go
@@ -15,7 +15,7 @@
 	RunSpecs(t, "tree")
 }
 
-const sample = `{
+const sampleSettings = `{
   // Franchise counters of the coast.
   "/": {"owners": ["ana", "luis"], "deadline": "3s"},
   "/region/costa": {"floor": 2},
@@ -36,27 +36,27 @@
 }`
 
 const (
-	reservas = Path("/workspace/franquicias/service/reservas")
-	book     = reservas + "/route/book"
-	stock    = reservas + "/route/stock"
+	reservasPath = Path("/workspace/franquicias/service/reservas")
+	bookPath     = reservasPath + "/route/book"
+	stockPath    = reservasPath + "/route/stock"
 )
 
 func sampleDoc() *Doc {
-	doc, err := ParseFile([]byte(sample))
+	doc, err := ParseFile([]byte(sampleSettings))
 	Expect(err).NotTo(HaveOccurred())
 	return doc
 }
 
-// Sizes of the fleet in two years, see section 1 of the design page.
+// Sizes of the fleet that are planned for in two years; see section 1 of docs/design.md.
 const (
-	bigServices   = 360
-	bigRoutes     = 4300
-	bigTargets    = 9800
-	bigWorkspaces = 24_000
+	plannedServices   = 360
+	plannedRoutes     = 4300
+	plannedTargets    = 9800
+	plannedWorkspaces = 24_000
 )
 
-// bigOps builds a document of the planned size.
-func bigOps() []Op {
+// plannedFleetOps returns the ops that build a document of the planned size.
+func plannedFleetOps() []Op {
 	ops := []Op{Set(Root, "owners", []string{"ana", "luis"}), Set(Root, "deadline", "3s")}
 	for i := range 2 {
 		ops = append(ops, Declare(RegionPath(fleet.Region(fmt.Sprint("region-", i)))))
@@ -64,37 +64,39 @@
 	for i := range 5 {
 		ops = append(ops, Declare(DataCentrePath(fleet.DataCentre(fmt.Sprint("centre-", i)))))
 	}
-	for i := range bigWorkspaces {
-		ops = append(ops, Declare(bigWorkspace(i)))
+	for i := range plannedWorkspaces {
+		ops = append(ops, Declare(plannedWorkspacePath(i)))
 	}
-	for i := range bigServices {
-		ops = append(ops, bigService(i)...)
+	for i := range plannedServices {
+		ops = append(ops, plannedServiceOps(i)...)
 	}
-	for i := range bigRoutes {
-		p := RoutePath(fleet.WorkspaceID(fmt.Sprintf("team-%05d", i%bigServices)), bigID(i%bigServices), fmt.Sprint("route-", i/bigServices))
-		ops = append(ops, Set(p, "methods", []string{"GET", "HEAD"}), Set(p, "path-prefix", fmt.Sprint("/v1/part-", i/bigServices)))
+	for i := range plannedRoutes {
+		p := RoutePath(fleet.WorkspaceID(fmt.Sprintf("team-%05d", i%plannedServices)), plannedServiceID(i%plannedServices), fmt.Sprint("route-", i/plannedServices))
+		ops = append(ops, Set(p, "methods", []string{"GET", "HEAD"}), Set(p, "path-prefix", fmt.Sprint("/v1/part-", i/plannedServices)))
 		ops = append(ops, Set(p, "deadline", "800ms"), Set(p, "kind", "batch"))
 	}
 	return ops
 }
 
-func bigWorkspace(i int) Path { return WorkspacePath(fleet.WorkspaceID(fmt.Sprintf("team-%05d", i))) }
+func plannedWorkspacePath(i int) Path {
+	return WorkspacePath(fleet.WorkspaceID(fmt.Sprintf("team-%05d", i)))
+}
 
-func bigID(i int) fleet.ServiceID { return fleet.ServiceID(fmt.Sprint("service-", i)) }
+func plannedServiceID(i int) fleet.ServiceID { return fleet.ServiceID(fmt.Sprint("service-", i)) }
 
-func bigServicePath(i int) Path {
-	return ServicePath(fleet.WorkspaceID(fmt.Sprintf("team-%05d", i)), bigID(i))
+func plannedServicePath(i int) Path {
+	return ServicePath(fleet.WorkspaceID(fmt.Sprintf("team-%05d", i)), plannedServiceID(i))
 }
 
-func bigService(i int) []Op {
+func plannedServiceOps(i int) []Op {
 	var targets []TargetEntry
-	for n := i; n < bigTargets; n += bigServices {
+	for n := i; n < plannedTargets; n += plannedServices {
 		targets = append(targets, TargetEntry{
 			ID:         fleet.TargetID(fmt.Sprint("t", n)),
 			Address:    fmt.Sprintf("10.%d.%d.%d:8080", n>>16, n>>8&255, n&255),
 			DataCentre: fleet.DataCentre(fmt.Sprint("centre-", n%5)),
 		})
 	}
-	p := bigServicePath(i)
+	p := plannedServicePath(i)
 	return []Op{Set(p, "region", fmt.Sprint("region-", i%2)), Set(p, "targets", targets), Set(p, "floor", "60%")}
 }
--- a/core/tree/tree_test.go
+++ b/core/tree/tree_test.go
@@ -13,8 +13,8 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// problemsOf returns the problems of an error as text, one each.
-func problemsOf(err error) []string {
+// problemTexts returns the text of each problem of an error.
+func problemTexts(err error) []string {
 	var e *Invalid
 	if !errors.As(err, &e) || !fault.Is(err, fault.SettingsInvalid) {
 		return nil
@@ -27,46 +27,46 @@
 }
 
 var _ = Describe("Keys", func() {
-	It("documents every key and gives each default in its own syntax", func() {
-		// Guards against a default that the operator could not write himself.
+	It("describes every key and gives defaults that its parser accepts", func() {
+		// Guards against a default that a settings file could not contain.
 		for _, k := range Keys() {
 			Expect(k.Description).NotTo(BeEmpty(), k.Name)
 			Expect(k.Levels).NotTo(BeEmpty(), k.Name)
-			at := k.Levels[len(k.Levels)-1]
-			raw := encodeValue(k.fallback(view{level: at}))
+			level := k.Levels[len(k.Levels)-1]
+			raw := encodeValue(k.defaultValue(inheritanceChain{level: level}))
 			if k.Default == "none" || k == keyDrained {
 				continue
 			}
-			_, err := k.Parse(raw, at)
+			_, err := k.Parse(raw, level)
 			Expect(err).NotTo(HaveOccurred(), "%s = %s", k.Name, raw)
 		}
 	})
 
-	DescribeTable("refuses values", func(p Path, key, value string) {
+	DescribeTable("rejects invalid values", func(p Path, key, value string) {
 		_, err := sampleDoc().Apply([]Op{{Path: p, Key: key, Value: json.RawMessage(value)}})
-		Expect(problemsOf(err)).To(ContainElement(And(
+		Expect(problemTexts(err)).To(ContainElement(And(
 			HavePrefix(string(p)+" "+key+" = "), ContainSubstring(": allowed: "))))
 	},
 		Entry("one owner", Root, "owners", `["ana"]`),
 		Entry("the same owner twice", Root, "owners", `["ana","ana"]`),
-		Entry("a null that would become 0", reservas, "slots", `null`),
-		Entry("a fraction for a count", reservas, "slots", `1.5`),
-		Entry("a count as a string", reservas, "queue-length", `"64"`),
-		Entry("a duration without unit", stock, "deadline", `2`),
-		Entry("a duration out of range", stock, "deadline", `"0s"`),
-		Entry("a percentage above 100", reservas, "floor", `"101%"`),
-		Entry("a percentage that is not a number", reservas, "floor", `"NaN%"`),
-		Entry("a floor without percent sign", reservas, "floor", `"50"`),
-		Entry("a host name as address", reservas, "targets", `[{"id":"a","address":"host:80","data-centre":"mdp"}]`),
-		Entry("a target id twice", reservas, "targets", `[{"id":"a","address":"10.0.0.1:80","data-centre":"mdp"},{"id":"a","address":"10.0.0.2:80","data-centre":"mdp"}]`),
-		Entry("an unknown field", reservas, "targets", `[{"id":"a","address":"10.0.0.1:80","data-centre":"mdp","weight":2}]`),
-		Entry("lower-case methods", stock, "methods", `["get"]`),
-		Entry("a prefix with a query", stock, "path-prefix", `"/a?b"`),
-		Entry("an unknown kind", stock, "kind", `"urgent"`),
-		Entry("a body failure that cannot fit", stock, "body-failure", `{"contains":"error","within":2}`),
-		Entry("a refusal with a success status", stock, "refusal", `{"status":200}`),
-		Entry("a key that is not in the registry", stock, "colour", `"red"`),
-		Entry("a service key at a route", stock, "floor", `1`),
+		Entry("a null that would become 0", reservasPath, "slots", `null`),
+		Entry("a fraction for a count", reservasPath, "slots", `1.5`),
+		Entry("a count as a string", reservasPath, "queue-length", `"64"`),
+		Entry("a duration without unit", stockPath, "deadline", `2`),
+		Entry("a duration out of range", stockPath, "deadline", `"0s"`),
+		Entry("a percentage above 100", reservasPath, "floor", `"101%"`),
+		Entry("a percentage that is not a number", reservasPath, "floor", `"NaN%"`),
+		Entry("a floor without percent sign", reservasPath, "floor", `"50"`),
+		Entry("a host name as address", reservasPath, "targets", `[{"id":"a","address":"host:80","data-centre":"mdp"}]`),
+		Entry("a target id twice", reservasPath, "targets", `[{"id":"a","address":"10.0.0.1:80","data-centre":"mdp"},{"id":"a","address":"10.0.0.2:80","data-centre":"mdp"}]`),
+		Entry("an unknown field", reservasPath, "targets", `[{"id":"a","address":"10.0.0.1:80","data-centre":"mdp","weight":2}]`),
+		Entry("lower-case methods", stockPath, "methods", `["get"]`),
+		Entry("a prefix with a query", stockPath, "path-prefix", `"/a?b"`),
+		Entry("an unknown kind", stockPath, "kind", `"urgent"`),
+		Entry("a body failure that is longer than the searched part of the body", stockPath, "body-failure", `{"contains":"error","within":2}`),
+		Entry("a refusal with a success status", stockPath, "refusal", `{"status":200}`),
+		Entry("a key that is not in the registry", stockPath, "colour", `"red"`),
+		Entry("a service key at a route", stockPath, "floor", `1`),
 		Entry("a route key at a workspace", Path("/workspace/franquicias"), "kind", `"order"`),
 		Entry("a key without effect at a data centre", Path("/data-centre/mdp"), "deadline", `"1s"`),
 		Entry("a list of drained ids at a data centre", Path("/data-centre/mdp"), "drained", `["r1"]`),
@@ -75,7 +75,7 @@
 })
 
 var _ = Describe("Doc", func() {
-	It("inherits with origin", func() {
+	It("inherits values and returns their origins", func() {
 		doc := sampleDoc()
 		check := func(p Path, key, raw string, o Origin) {
 			GinkgoHelper()
@@ -84,18 +84,18 @@
 			Expect(string(value.Raw)).To(Equal(raw), key)
 			Expect(origin).To(Equal(o), key)
 		}
-		check(stock, "deadline", `"1s"`, Origin{Path: stock, Level: "route"})
-		check(book, "deadline", `"3s"`, Origin{Path: Root, Level: "deployment"})
-		check(reservas, "floor", `2`, Origin{Path: "/region/costa", Level: "region"})
-		check(reservas, "carriers", `4`, Origin{Path: "/workspace/franquicias", Level: "workspace"})
-		check(reservas, "detection-min-requests", `10`, Origin{Default: true, Preset: "careful"})
-		check(reservas, "detection-window", `"6s"`, Origin{Path: reservas, Level: "service"})
-		check(book, "idempotent", `false`, Origin{Default: true})
-		check(book, "attempts", `1`, Origin{Default: true})
-		check(stock, "attempts", `2`, Origin{Default: true})
+		check(stockPath, "deadline", `"1s"`, Origin{Path: stockPath, Level: "route"})
+		check(bookPath, "deadline", `"3s"`, Origin{Path: Root, Level: "deployment"})
+		check(reservasPath, "floor", `2`, Origin{Path: "/region/costa", Level: "region"})
+		check(reservasPath, "carriers", `4`, Origin{Path: "/workspace/franquicias", Level: "workspace"})
+		check(reservasPath, "detection-min-requests", `10`, Origin{Default: true, Preset: "careful"})
+		check(reservasPath, "detection-window", `"6s"`, Origin{Path: reservasPath, Level: "service"})
+		check(bookPath, "idempotent", `false`, Origin{Default: true})
+		check(bookPath, "attempts", `1`, Origin{Default: true})
+		check(stockPath, "attempts", `2`, Origin{Default: true})
 		check(Root, "approval", `"both"`, Origin{Default: true})
-		check(reservas, "approval", `"one"`, Origin{Default: true})
-		value, origin, err := doc.EffectiveTarget(reservas, "r1", "slots")
+		check(reservasPath, "approval", `"one"`, Origin{Default: true})
+		value, origin, err := doc.EffectiveTarget(reservasPath, "r1", "slots")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(value.Parsed).To(Equal(4))
 		Expect(origin).To(Equal(Origin{Path: "/data-centre/mdp", Level: "data-centre"}))
@@ -125,37 +125,37 @@
 	})
 
 	It("drains single targets and whole data centres", func() {
-		doc, err := sampleDoc().Apply([]Op{Set(reservas, "drained", []string{"r2"}), Set("/data-centre/mdp", "drained", true)})
+		doc, err := sampleDoc().Apply([]Op{Set(reservasPath, "drained", []string{"r2"}), Set("/data-centre/mdp", "drained", true)})
 		Expect(err).NotTo(HaveOccurred())
 		svc, _ := doc.catalog.Service("reservas")
 		Expect(svc.Targets[0].Drained && svc.Targets[1].Drained).To(BeTrue())
 	})
 
 	It("lets a route turn off an inherited refusal rule", func() {
-		doc, err := sampleDoc().Apply([]Op{Set(Root, "refusal", fleet.Refusal{Status: 503, Header: "X-Shed"}), Set(book, "refusal", nil)})
+		doc, err := sampleDoc().Apply([]Op{Set(Root, "refusal", fleet.Refusal{Status: 503, Header: "X-Shed"}), Set(bookPath, "refusal", nil)})
 		Expect(err).NotTo(HaveOccurred())
 		svc, _ := doc.catalog.Service("reservas")
 		Expect(svc.Routes[0].Refusal).To(BeNil())
 		Expect(svc.Routes[1].Refusal.Status).To(Equal(503))
 	})
 
-	It("lists every problem of a change and changes nothing", func() {
-		// Guards against operators who have to find problems one by one.
+	It("lists every problem of an invalid change and leaves the document unchanged", func() {
+		// Guards against an error that reports only the first of several problems.
 		doc := sampleDoc()
 		before, _ := json.Marshal(doc)
 		_, err := doc.Apply([]Op{
-			Set(reservas, "floor", 3),
-			Set(reservas, "drained", []string{"r9"}),
-			Set(book, "attempts", 2),
-			Set(book, "hedge-after", "10ms"),
-			Set(reservas+"/route/again", "path-prefix", "/stock"),
-			Set(reservas+"/route/again", "methods", []string{"PUT", "GET"}),
+			Set(reservasPath, "floor", 3),
+			Set(reservasPath, "drained", []string{"r9"}),
+			Set(bookPath, "attempts", 2),
+			Set(bookPath, "hedge-after", "10ms"),
+			Set(reservasPath+"/route/again", "path-prefix", "/stock"),
+			Set(reservasPath+"/route/again", "methods", []string{"PUT", "GET"}),
 			Set("/workspace/nobody/service/lost", "targets", []TargetEntry{{ID: "a", Address: "10.0.0.9:1", DataCentre: "mars"}}),
 			Declare("/workspace/second"),
 			Set("/workspace/second/service/reservas", "region", "costa"),
-			Unset(stock, "kind"),
+			Unset(stockPath, "kind"),
 		})
-		Expect(problemsOf(err)).To(ConsistOf(
+		Expect(problemTexts(err)).To(ConsistOf(
 			HavePrefix("/workspace/franquicias/service/reservas floor = 3: allowed: at most the 2 targets"),
 			HavePrefix(`/workspace/franquicias/service/reservas drained = "r9"`),
 			HavePrefix("/workspace/franquicias/service/reservas/route/book attempts = 2"),
@@ -171,13 +171,13 @@
 		Expect(after).To(Equal(before))
 	})
 
-	It("names the level that sets an inherited value which breaks a service", func() {
+	It("reports an inherited value that is invalid for a service at the path that sets it", func() {
 		_, err := sampleDoc().Apply([]Op{Set("/workspace/franquicias", "floor", 5)})
-		Expect(problemsOf(err)).To(ConsistOf(HavePrefix("/workspace/franquicias floor = 5: allowed: at most the 2 targets of the service (for /workspace/franquicias/service/reservas)")))
+		Expect(problemTexts(err)).To(ConsistOf(HavePrefix("/workspace/franquicias floor = 5: allowed: at most the 2 targets of the service (for /workspace/franquicias/service/reservas)")))
 	})
 
 	It("lets a later op of one change correct an earlier one", func() {
-		_, err := sampleDoc().Apply([]Op{Set(stock, "colour", "red"), Set(reservas, "floor", 9), Unset(stock, "colour"), Set(reservas, "floor", 1)})
+		_, err := sampleDoc().Apply([]Op{Set(stockPath, "colour", "red"), Set(reservasPath, "floor", 9), Unset(stockPath, "colour"), Set(reservasPath, "floor", 1)})
 		Expect(err).NotTo(HaveOccurred())
 	})
 
@@ -188,17 +188,17 @@
 		Expect(doc.catalog.WorkspaceCount()).To(BeZero())
 	})
 
-	It("reuses the compiled services that a change leaves alone", func() {
+	It("reuses the compiled services that a change does not affect", func() {
 		// Guards against recompiling 360 services for each of 4,000 changes a day.
-		doc, err := New().Apply(bigOps())
+		doc, err := New().Apply(plannedFleetOps())
 		Expect(err).NotTo(HaveOccurred())
-		next, err := doc.Apply([]Op{Set(bigServicePath(7), "floor", "70%")})
+		next, err := doc.Apply([]Op{Set(plannedServicePath(7), "floor", "70%")})
 		Expect(err).NotTo(HaveOccurred())
 		changed := 0
 		for i, svc := range doc.catalog.Services() {
 			if next.catalog.Services()[i] != svc {
 				changed++
-				Expect(svc.ID).To(Equal(bigID(7)))
+				Expect(svc.ID).To(Equal(plannedServiceID(7)))
 			}
 		}
 		Expect(changed).To(Equal(1))
@@ -208,20 +208,20 @@
 		Expect(same.catalog.Services()[0]).To(BeIdenticalTo(next.catalog.Services()[0]))
 	})
 
-	It("relates a decoded document to the catalog before it", func() {
+	It("reuses the services of the previous catalog for a decoded document", func() {
 		doc := sampleDoc()
 		related := sampleDoc().Relate(doc.catalog)
 		Expect(related.catalog.Services()[0]).To(BeIdenticalTo(doc.catalog.Services()[0]))
-		// The relation must not hide a later change of the service.
-		next, err := related.Apply([]Op{Set(reservas, "floor", 1)})
+		// The reuse must not hide a later change of the service.
+		next, err := related.Apply([]Op{Set(reservasPath, "floor", 1)})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(next.catalog.Services()[0].Policy.Floor.Count).To(Equal(1))
 	})
 
-	It("finds the ops between two documents", func() {
+	It("returns the ops that turn one document into another", func() {
 		doc := sampleDoc()
 		next, err := doc.Apply([]Op{
-			Remove(book), Set(stock, "deadline", "2s"), Unset(reservas, "detection"), Declare("/workspace/new"), Set("/workspace/new", "floor", 1),
+			Remove(bookPath), Set(stockPath, "deadline", "2s"), Unset(reservasPath, "detection"), Declare("/workspace/new"), Set("/workspace/new", "floor", 1),
 		})
 		Expect(err).NotTo(HaveOccurred())
 		for _, pair := range [][2]*Doc{{doc, next}, {next, doc}, {New(), doc}, {doc, New()}} {
@@ -232,14 +232,14 @@
 		}
 		Expect(Changes(doc, doc)).To(BeEmpty())
 		Expect(Differences(doc, next)).To(ContainElements(
-			Difference{Path: stock, Key: "deadline", Before: json.RawMessage(`"1s"`), After: json.RawMessage(`"2s"`)},
-			Difference{Path: reservas, Key: "detection", Before: json.RawMessage(`"careful"`)},
-			Difference{Path: book, Before: json.RawMessage(`{}`)},
+			Difference{Path: stockPath, Key: "deadline", Before: json.RawMessage(`"1s"`), After: json.RawMessage(`"2s"`)},
+			Difference{Path: reservasPath, Key: "detection", Before: json.RawMessage(`"careful"`)},
+			Difference{Path: bookPath, Before: json.RawMessage(`{}`)},
 			Difference{Path: "/workspace/new", After: json.RawMessage(`{}`)},
 		))
 	})
 
-	It("keeps its meaning through JSON and refuses doubled paths and keys", func() {
+	It("is unchanged by a JSON round trip and rejects duplicate paths and keys", func() {
 		doc := sampleDoc()
 		raw, err := json.Marshal(doc)
 		Expect(err).NotTo(HaveOccurred())
@@ -247,15 +247,15 @@
 		Expect(json.Unmarshal(raw, &again)).To(Succeed())
 		Expect(Changes(doc, &again)).To(BeEmpty())
 		_, err = Decode([]byte(`{"/":{"floor":1,"floor":2},"/region/a":{},"/region/a":{}}`))
-		Expect(problemsOf(err)).To(ConsistOf(ContainSubstring("each key once"), ContainSubstring("each path once")))
+		Expect(problemTexts(err)).To(ConsistOf(ContainSubstring("each key once"), ContainSubstring("each path once")))
 		_, err = Decode([]byte(`{"/":{}} {}`))
 		Expect(fault.Is(err, fault.SettingsInvalid)).To(BeTrue())
 	})
 })
 
 var _ = Describe("Op", func() {
-	It("keeps its meaning through JSON and CBOR", func() {
-		for _, o := range []Op{Set(stock, "deadline", "2s"), Unset(stock, "deadline"), Declare("/workspace/w"), Remove(book), Set(book, "refusal", nil)} {
+	It("is unchanged by a JSON or CBOR round trip", func() {
+		for _, o := range []Op{Set(stockPath, "deadline", "2s"), Unset(stockPath, "deadline"), Declare("/workspace/w"), Remove(bookPath), Set(bookPath, "refusal", nil)} {
 			var fromJSON, fromCBOR Op
 			raw, err := json.Marshal(o)
 			Expect(err).NotTo(HaveOccurred())
@@ -270,18 +270,18 @@
 
 	It("lists the problems of all malformed ops", func() {
 		_, err := DecodeOps([]byte(`[{"path":"/shelf/1"},{"path":"/","unset":true},{"path":"/","key":"Floor","value":1},{"path":"/","key":"floor"},{"path":"/workspace/w/service/UPPER"}]`))
-		Expect(problemsOf(err)).To(HaveLen(5))
+		Expect(problemTexts(err)).To(HaveLen(5))
 		_, err = DecodeOps([]byte(`[{"path":"/","key":"floor","value":1,"by":"ana"}]`))
 		Expect(fault.Is(err, fault.SettingsInvalid)).To(BeTrue())
 	})
 
-	DescribeTable("knows which ops touch the same value", func(a, b Op, want bool) {
+	DescribeTable("reports ops that change the same value", func(a, b Op, want bool) {
 		Expect(a.Overlaps(b)).To(Equal(want))
 		Expect(b.Overlaps(a)).To(Equal(want))
 	},
-		Entry("the same key", Set(stock, "deadline", "1s"), Unset(stock, "deadline"), true),
-		Entry("another key", Set(stock, "deadline", "1s"), Set(stock, "kind", "batch"), false),
-		Entry("a removed parent", Remove(reservas), Set(stock, "kind", "batch"), true),
-		Entry("a name that starts alike", Remove(reservas), Set(reservas+"-2", "region", "costa"), false),
+		Entry("the same key", Set(stockPath, "deadline", "1s"), Unset(stockPath, "deadline"), true),
+		Entry("another key", Set(stockPath, "deadline", "1s"), Set(stockPath, "kind", "batch"), false),
+		Entry("a removed parent", Remove(reservasPath), Set(stockPath, "kind", "batch"), true),
+		Entry("a path with the same prefix", Remove(reservasPath), Set(reservasPath+"-2", "region", "costa"), false),
 	)
 })
