--- a/core/stand/doc.go
+++ b/core/stand/doc.go
@@ -1,3 +1,4 @@
-// Package stand holds stand-ins for the platform and the targets, which tests
-// and the demo use and which misbehave on order.
+// Package stand provides in-memory fakes of the platform ([Platform]) and of the
+// targets ([Target]) for tests and the demo. Both are HTTP handlers, and faults
+// can be injected into both while they run.
 package stand
--- a/core/stand/platform.go
+++ b/core/stand/platform.go
@@ -17,46 +17,51 @@
 	"wisteriarelay.example/core/store"
 )
 
-// PlatformFaults orders how the platform misbehaves; the zero value is a healthy platform.
+// PlatformFaults are the faults that the platform injects. The zero value injects none.
 type PlatformFaults struct {
-	// TableDown, ObjectsDown and VMsDown refuse every request to one part, without effect.
+	// TableDown, ObjectsDown and VMsDown fail every request to the table, the
+	// object store or the VM list, without effect.
 	TableDown   bool `json:"table-down,omitempty"`
 	ObjectsDown bool `json:"objects-down,omitempty"`
 	VMsDown     bool `json:"vms-down,omitempty"`
-	// Delay is added to each request, half before its effect and half after it.
+	// Delay is added to each request. A write is delayed by one half before it takes
+	// effect and by the other half before its reply.
 	Delay time.Duration `json:"delay-ns,omitempty"`
-	// RefuseWrites refuses writes to the table and the object store, without effect.
+	// RefuseWrites fails every write, without effect.
 	RefuseWrites bool `json:"refuse-writes,omitempty"`
-	// LoseReplies is the number of next writes that take effect while their reply is lost.
+	// LoseReplies is the number of writes, from the next one on, that take effect and
+	// whose reply is lost.
 	LoseReplies int `json:"lose-replies,omitempty"`
-	// DownAfterLoss turns the table down after the last of LoseReplies, so that
+	// DownAfterLoss sets TableDown at the last write that LoseReplies counts, so that
 	// the outcome of that write cannot be read back either.
 	DownAfterLoss bool `json:"down-after-loss,omitempty"`
-	// LoseReplyRate is the probability that the reply of a write is lost after its effect.
+	// LoseReplyRate is the probability that a write takes effect and its reply is lost.
 	LoseReplyRate float64 `json:"lose-reply-rate,omitempty"`
-	// LoseRequests is the number of next writes that are lost before their effect.
+	// LoseRequests is the number of writes, from the next one on, that are lost before
+	// they take effect.
 	LoseRequests int `json:"lose-requests,omitempty"`
-	// LoseRequestRate is the probability that a write is lost before its effect.
+	// LoseRequestRate is the probability that a write is lost before it takes effect.
 	LoseRequestRate float64 `json:"lose-request-rate,omitempty"`
-	// LateBy delays the effect of a table write whose reply is lost, so that
-	// the write takes effect after a reader has seen it missing.
+	// LateBy delays the effect of a write whose reply is lost. The write then takes
+	// effect after a reader has found that it is missing.
 	LateBy time.Duration `json:"late-by-ns,omitempty"`
-	// OneWay lets requests arrive and take effect while no reply returns.
+	// OneWay loses all replies: requests arrive and writes take effect, but the caller
+	// waits for a reply until its context ends.
 	OneWay bool `json:"one-way,omitempty"`
-	// VMLag is the age that a change of the VM list has before it is listed.
+	// VMLag is the time that passes before a change of the VM list becomes visible.
 	VMLag time.Duration `json:"vm-lag-ns,omitempty"`
 }
 
-// PlatformCounts holds the numbers of requests that reached the platform,
-// whether or not they were answered.
-type PlatformCounts struct {
+// RequestCounts are the numbers of requests that reached the platform, whether or
+// not they succeeded.
+type RequestCounts struct {
 	TableReads, TableWrites   int64
 	ObjectReads, ObjectWrites int64
 	VMReads, VMWrites         int64
 }
 
-// Platform is a stand-in for the table service, the object store and the VM
-// list, in memory. It serves HTTP by the protocol in docs/platform.md.
+// Platform is an in-memory fake of the table service, the object store and the VM
+// list. It serves the HTTP protocol of docs/platform.md.
 type Platform struct {
 	router *mux.Router
 	faults atomic.Pointer[PlatformFaults]
@@ -69,39 +74,41 @@
 	rng          *rand.Rand
 	loseReplies  int
 	loseRequests int
-	version      uint64
+	rowVersion   uint64
 	rows         map[string]store.Row
-	keys         []string
+	sortedKeys   []string
 	keysStale    bool
 	objects      map[string][]byte
 	vms          vmLog
 }
 
-// PlatformOption changes a stand-in platform.
+// PlatformOption configures a Platform.
 type PlatformOption func(*Platform)
 
 const (
-	defaultVMLog  = 1024
-	platformSeeds = 2
+	defaultVMLogLength = 1024
+	pcgStream          = 2
 )
 
-// WithSeed sets the seed of the random faults.
+// WithSeed sets the seed of the random generator that LoseReplyRate and
+// LoseRequestRate use.
 func WithSeed(seed uint64) PlatformOption {
-	return func(p *Platform) { p.rng = rand.New(rand.NewPCG(seed, platformSeeds)) }
+	return func(p *Platform) { p.rng = rand.New(rand.NewPCG(seed, pcgStream)) }
 }
 
-// WithVMLog sets how many changes of the VM list are kept.
+// WithVMLog sets how many changes of the VM list are kept. A caller that knows an
+// older version gets the full list.
 func WithVMLog(n int) PlatformOption {
-	return func(p *Platform) { p.vms.bound = n }
+	return func(p *Platform) { p.vms.maxLength = n }
 }
 
-// NewPlatform returns a healthy, empty platform.
+// NewPlatform returns an empty platform without faults.
 func NewPlatform(opts ...PlatformOption) *Platform {
 	p := &Platform{
-		rng:     rand.New(rand.NewPCG(1, platformSeeds)),
+		rng:     rand.New(rand.NewPCG(1, pcgStream)),
 		rows:    map[string]store.Row{},
 		objects: map[string][]byte{},
-		vms:     vmLog{bound: defaultVMLog, base: map[fleet.VMID]fleet.VM{}},
+		vms:     vmLog{maxLength: defaultVMLogLength, snapshot: map[fleet.VMID]fleet.VM{}},
 	}
 	p.faults.Store(&PlatformFaults{})
 	for _, o := range opts {
@@ -111,7 +118,7 @@
 	return p
 }
 
-// NewTable returns the table of a healthy, empty platform, for tests that need nothing else.
+// NewTable returns the table of a new platform, for tests that need nothing else.
 func NewTable() store.Table {
 	return NewPlatform().Table()
 }
@@ -124,78 +131,83 @@
 	p.faults.Store(&f)
 }
 
-// Counts returns the numbers of requests since the start.
-func (p *Platform) Counts() PlatformCounts {
-	return PlatformCounts{
+// Counts returns the numbers of requests since the platform was created.
+func (p *Platform) Counts() RequestCounts {
+	return RequestCounts{
 		TableReads: p.tableReads.Load(), TableWrites: p.tableWrites.Load(),
 		ObjectReads: p.objectReads.Load(), ObjectWrites: p.objectWrites.Load(),
 		VMReads: p.vmReads.Load(), VMWrites: p.vmWrites.Load(),
 	}
 }
 
-// ServeHTTP serves the platform's protocol.
+// ServeHTTP serves the platform's HTTP protocol.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.router.ServeHTTP(w, r)
 }
 
 var (
 	errDown = fault.New(fault.StoreUnavailable, "the platform is down")
-	// errNoReply is returned by reads whose reply is lost; over HTTP the connection is cut instead.
-	errNoReply = fault.New(fault.StoreUnavailable, "no reply from the platform")
-	errLost    = fault.New(fault.StoreAmbiguous, "no reply from the platform")
+	// errReadReplyLost is returned by reads whose reply is lost. Over HTTP the
+	// connection is closed instead.
+	errReadReplyLost = fault.New(fault.StoreUnavailable, "no reply from the platform")
+	// errOutcomeUnknown is returned by writes whose request or reply is lost. Over
+	// HTTP the connection is closed instead.
+	errOutcomeUnknown = fault.New(fault.StoreAmbiguous, "no reply from the platform")
 )
 
-// read carries out one read with the faults in force.
-func (p *Platform) read(ctx context.Context, down bool, effect func() error) error {
+// read runs a read operation and injects the current faults.
+func (p *Platform) read(ctx context.Context, down bool, operation func() error) error {
 	f := p.faults.Load()
 	if down {
 		return errDown
 	}
 	if f.OneWay {
-		hold(ctx)
-		return errNoReply
+		waitForCancel(ctx)
+		return errReadReplyLost
 	}
-	if !pause(ctx, f.Delay) {
-		return errNoReply
+	if !sleep(ctx, f.Delay) {
+		return errReadReplyLost
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return effect()
+	return operation()
 }
 
-// write carries out one write with the faults in force. A caller that gives up
-// during the delay doesn't stop the write, since its request has arrived.
-func (p *Platform) write(ctx context.Context, down bool, effect func() error) error {
+// write runs a write operation and injects the current faults. A caller that
+// gives up during the delay does not stop the write, because the platform has
+// already received the request.
+func (p *Platform) write(ctx context.Context, down bool, operation func() error) error {
 	f := p.faults.Load()
 	if down || f.RefuseWrites {
 		return errDown
 	}
-	waited := pause(ctx, f.Delay/2)
-	requestLost, replyLost := p.drawLoss(f)
+	callerWaits := sleep(ctx, f.Delay/2)
+	requestLost, replyLost := p.decideLoss(f)
 	if requestLost {
-		return errLost
+		return errOutcomeUnknown
 	}
 	if replyLost && f.LateBy > 0 {
-		time.AfterFunc(f.LateBy, func() { _ = p.locked(effect) })
-		return errLost
+		time.AfterFunc(f.LateBy, func() { _ = p.withLock(operation) })
+		return errOutcomeUnknown
 	}
-	err := p.locked(effect)
+	err := p.withLock(operation)
 	if f.OneWay {
-		hold(ctx)
+		waitForCancel(ctx)
 	}
-	if f.OneWay || replyLost || !waited || !pause(ctx, f.Delay/2) {
-		return errLost
+	if f.OneWay || replyLost || !callerWaits || !sleep(ctx, f.Delay/2) {
+		return errOutcomeUnknown
 	}
 	return err
 }
 
-func (p *Platform) locked(effect func() error) error {
+func (p *Platform) withLock(operation func() error) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return effect()
+	return operation()
 }
 
-func (p *Platform) drawLoss(f *PlatformFaults) (request, reply bool) {
+// decideLoss decides whether the request or the reply of the next write is lost.
+func (p *Platform) decideLoss(f *PlatformFaults) (requestLost, replyLost bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.loseRequests > 0 {
@@ -211,13 +223,14 @@
 		}
 		return false, true
 	}
-	request = f.LoseRequestRate > 0 && p.rng.Float64() < f.LoseRequestRate
-	reply = f.LoseReplyRate > 0 && p.rng.Float64() < f.LoseReplyRate
-	return request, reply
+	requestLost = f.LoseRequestRate > 0 && p.rng.Float64() < f.LoseRequestRate
+	replyLost = f.LoseReplyRate > 0 && p.rng.Float64() < f.LoseReplyRate
+	return requestLost, replyLost
 }
 
-// hold waits until the caller gives up; a caller that never gives up isn't held.
-func hold(ctx context.Context) {
+// waitForCancel waits until ctx is cancelled. It returns at once if ctx cannot be
+// cancelled.
+func waitForCancel(ctx context.Context) {
 	if ctx.Done() != nil {
 		<-ctx.Done()
 	}
@@ -249,7 +262,7 @@
 	})
 }
 
-// ObjectNames returns the names of the stored objects, in order.
+// ObjectNames returns the names of the stored objects, sorted.
 func (p *Platform) ObjectNames() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/core/stand/platform_table.go
+++ b/core/stand/platform_table.go
@@ -38,17 +38,19 @@
 	return rows, err
 }
 
+// scanLocked returns up to limit rows whose key has the prefix and sorts after the
+// key after. A limit of 0 means no limit.
 func (p *Platform) scanLocked(prefix, after string, limit int) []store.Row {
 	if p.keysStale {
-		p.keys = slices.Sorted(maps.Keys(p.rows))
+		p.sortedKeys = slices.Sorted(maps.Keys(p.rows))
 		p.keysStale = false
 	}
-	start, found := slices.BinarySearch(p.keys, max(prefix, after))
-	if found && p.keys[start] == after {
+	start, found := slices.BinarySearch(p.sortedKeys, max(prefix, after))
+	if found && p.sortedKeys[start] == after {
 		start++
 	}
 	rows := []store.Row{}
-	for _, k := range p.keys[start:] {
+	for _, k := range p.sortedKeys[start:] {
 		if !strings.HasPrefix(k, prefix) || (limit > 0 && len(rows) == limit) {
 			break
 		}
@@ -64,6 +66,8 @@
 	return p.write(ctx, p.faults.Load().TableDown, func() error { return p.applyLocked(tx) })
 }
 
+// applyLocked checks all conditions before the first write, so that a transaction
+// is applied as a whole or not at all.
 func (p *Platform) applyLocked(tx store.Tx) error {
 	for _, c := range tx.Conds {
 		if p.rows[c.Key].Version != c.Version {
@@ -77,10 +81,10 @@
 			p.keysStale = p.keysStale || known
 			continue
 		}
-		// One counter serves all rows, so that a row that is deleted and
-		// created again never returns to an earlier version.
-		p.version++
-		p.rows[w.Key] = store.Row{Key: w.Key, Version: p.version, Value: slices.Clone(w.Value)}
+		// All rows share one version counter, so that a row that is deleted and
+		// created again never has an earlier version.
+		p.rowVersion++
+		p.rows[w.Key] = store.Row{Key: w.Key, Version: p.rowVersion, Value: slices.Clone(w.Value)}
 		p.keysStale = p.keysStale || !known
 	}
 	return nil
--- a/core/stand/platform_test.go
+++ b/core/stand/platform_test.go
@@ -19,12 +19,12 @@
 	"wisteriarelay.example/core/store"
 )
 
-// insert is a transaction that creates the row.
-func insert(key, value string) store.Tx {
+// insertTx returns a transaction that creates a row.
+func insertTx(key, value string) store.Tx {
 	return store.Tx{ID: key, Conds: []store.Cond{{Key: key}}, Puts: []store.Put{{Key: key, Value: []byte(value)}}}
 }
 
-func beKind(k fault.Kind) OmegaMatcher {
+func beOfKind(k fault.Kind) OmegaMatcher {
 	return WithTransform(func(err error) fault.Kind { return fault.From(err).Kind }, Equal(k))
 }
 
@@ -38,17 +38,17 @@
 	})
 
 	It("applies a transaction as a whole or not at all", func() {
-		Expect(t.Apply(ctx, insert("a", "1"))).To(Succeed())
-		tx := insert("b", "1")
+		Expect(t.Apply(ctx, insertTx("a", "1"))).To(Succeed())
+		tx := insertTx("b", "1")
 		tx.Conds = append(tx.Conds, store.Cond{Key: "a", Version: 99})
-		Expect(t.Apply(ctx, tx)).To(beKind(fault.StoreConflict))
+		Expect(t.Apply(ctx, tx)).To(beOfKind(fault.StoreConflict))
 		_, err := t.Get(ctx, "b")
-		Expect(err).To(beKind(fault.RowMissing))
+		Expect(err).To(beOfKind(fault.RowMissing))
 	})
 
-	// Guards against a lost reply whose outcome can still be read back where a
-	// test or the demo needs it to stay in doubt.
-	It("takes faults over HTTP and goes down after the last lost reply", func() {
+	// Guards against a DownAfterLoss that leaves the table readable, so that the
+	// outcome of the write whose reply is lost can be read back.
+	It("accepts faults over HTTP and fails requests after the last lost reply", func() {
 		server := httptest.NewServer(p)
 		defer server.Close()
 		put := func(body string) int {
@@ -60,27 +60,27 @@
 			return resp.StatusCode
 		}
 		Expect(put(`{"lose-replies": 1, "down-after-loss": true}`)).To(Equal(http.StatusOK))
-		Expect(t.Apply(ctx, insert("a", "1"))).To(beKind(fault.StoreAmbiguous))
+		Expect(t.Apply(ctx, insertTx("a", "1"))).To(beOfKind(fault.StoreAmbiguous))
 		_, err := t.Get(ctx, "a")
-		Expect(err).To(beKind(fault.StoreUnavailable))
+		Expect(err).To(beOfKind(fault.StoreUnavailable))
 		Expect(put(`{}`)).To(Equal(http.StatusOK))
 		_, err = t.Get(ctx, "a")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(put(`{"lose-replies": "x"}`)).To(Equal(http.StatusBadRequest))
 	})
 
-	It("never returns to an earlier version after a row was deleted", func() {
-		Expect(t.Apply(ctx, insert("a", "1"))).To(Succeed())
+	It("never reuses a version after a row was deleted", func() {
+		Expect(t.Apply(ctx, insertTx("a", "1"))).To(Succeed())
 		first, _ := t.Get(ctx, "a")
 		Expect(t.Apply(ctx, store.Tx{Puts: []store.Put{{Key: "a", Delete: true}}})).To(Succeed())
-		Expect(t.Apply(ctx, insert("a", "1"))).To(Succeed())
+		Expect(t.Apply(ctx, insertTx("a", "1"))).To(Succeed())
 		second, _ := t.Get(ctx, "a")
 		Expect(second.Version).To(BeNumerically(">", first.Version))
 	})
 
-	It("scans by prefix in key order from behind a key", func() {
+	It("scans by prefix in key order, starting after a key", func() {
 		for _, k := range []string{"x/2", "x/1", "x/3", "y/1", "w"} {
-			Expect(t.Apply(ctx, insert(k, k))).To(Succeed())
+			Expect(t.Apply(ctx, insertTx(k, k))).To(Succeed())
 		}
 		rows, err := t.Scan(ctx, "x/", "x/1", 10)
 		Expect(err).NotTo(HaveOccurred())
@@ -91,10 +91,10 @@
 		Expect(rows[0].Key).To(Equal("x/1"))
 	})
 
-	DescribeTable("misbehaves on order",
+	DescribeTable("injects faults into writes",
 		func(f stand.PlatformFaults, kind fault.Kind, applied bool) {
 			p.Misbehave(f)
-			Expect(t.Apply(ctx, insert("a", "1"))).To(beKind(kind))
+			Expect(t.Apply(ctx, insertTx("a", "1"))).To(beOfKind(kind))
 			p.Misbehave(stand.PlatformFaults{})
 			_, err := t.Get(ctx, "a")
 			Expect(err == nil).To(Equal(applied))
@@ -143,17 +143,17 @@
 	})
 })
 
-// TestPlatformTime guards the faults that depend on time: a lag that hides
-// changes for ever, and a late write that takes effect at once.
-func TestPlatformTime(t *testing.T) {
+// TestPlatformTimedFaults guards against a VMLag that hides changes for ever and a
+// LateBy that lets a write take effect at once.
+func TestPlatformTimedFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx := context.Background()
 		p := stand.NewPlatform()
 		p.Misbehave(stand.PlatformFaults{VMLag: time.Minute, LoseReplies: 1, LateBy: time.Second})
-		g.Expect(p.Table().Apply(ctx, insert("a", "1"))).To(beKind(fault.StoreAmbiguous))
+		g.Expect(p.Table().Apply(ctx, insertTx("a", "1"))).To(beOfKind(fault.StoreAmbiguous))
 		_, err := p.Table().Get(ctx, "a")
-		g.Expect(err).To(beKind(fault.RowMissing))
+		g.Expect(err).To(beOfKind(fault.RowMissing))
 		g.Expect(p.PutVM(ctx, fleet.VM{ID: "v"})).To(Succeed())
 		out, _ := p.VMList().Since(ctx, 0)
 		g.Expect(out.Live).To(BeEmpty())
--- a/core/stand/platform_vms.go
+++ b/core/stand/platform_vms.go
@@ -10,68 +10,70 @@
 	"wisteriarelay.example/core/store"
 )
 
-// vmChange is one entry of the change log of the VM list.
+// vmChange is an entry of the change log of the VM list.
 type vmChange struct {
-	version uint64
-	at      time.Time
-	vm      fleet.VM
-	gone    bool
+	version   uint64
+	changedAt time.Time
+	vm        fleet.VM
+	removed   bool
 }
 
-// vmLog is the VM list: the state before the log's first entry, and the log.
+// vmLog is the VM list as a snapshot and the changes since then. At most maxLength
+// changes are kept; older ones are applied to the snapshot.
 type vmLog struct {
-	bound       int
-	version     uint64
-	baseVersion uint64
-	base        map[fleet.VMID]fleet.VM
-	log         []vmChange
+	maxLength       int
+	version         uint64
+	snapshotVersion uint64
+	snapshot        map[fleet.VMID]fleet.VM
+	changes         []vmChange
 }
 
 func (l *vmLog) add(c vmChange) {
 	l.version++
-	c.version, c.at = l.version, time.Now()
-	l.log = append(l.log, c)
-	for len(l.log) > l.bound {
-		l.log[0].applyTo(l.base)
-		l.baseVersion = l.log[0].version
-		l.log = l.log[1:]
+	c.version, c.changedAt = l.version, time.Now()
+	l.changes = append(l.changes, c)
+	for len(l.changes) > l.maxLength {
+		l.changes[0].applyTo(l.snapshot)
+		l.snapshotVersion = l.changes[0].version
+		l.changes = l.changes[1:]
 	}
 }
 
 func (c vmChange) applyTo(vms map[fleet.VMID]fleet.VM) {
-	if c.gone {
+	if c.removed {
 		delete(vms, c.vm.ID)
 		return
 	}
 	vms[c.vm.ID] = c.vm
 }
 
-// since returns the changes after version that are older than lag.
+// since returns the changes after version that are older than lag. It returns the
+// full list if version is 0, unknown or older than the snapshot.
 func (l *vmLog) since(version uint64, lag time.Duration) store.VMChanges {
-	visible := l.baseVersion
-	limit := time.Now().Add(-lag)
-	full := version == 0 || version < l.baseVersion || version > l.version
-	vms, gone := map[fleet.VMID]fleet.VM{}, map[fleet.VMID]bool{}
+	visible := l.snapshotVersion
+	visibleUntil := time.Now().Add(-lag)
+	full := version == 0 || version < l.snapshotVersion || version > l.version
+	vms, removed := map[fleet.VMID]fleet.VM{}, map[fleet.VMID]bool{}
 	if full {
-		vms = maps.Clone(l.base)
+		vms = maps.Clone(l.snapshot)
 	}
-	for _, c := range l.log {
-		if c.at.After(limit) {
+	for _, c := range l.changes {
+		if c.changedAt.After(visibleUntil) {
 			break
 		}
 		visible = c.version
 		if full || c.version > version {
 			c.applyTo(vms)
-			gone[c.vm.ID] = c.gone
+			removed[c.vm.ID] = c.removed
 		}
 	}
 	if !full && visible < version {
 		visible = version
 	}
-	return changes(visible, full, vms, gone)
+	return newVMChanges(visible, full, vms, removed)
 }
 
-func changes(version uint64, full bool, vms map[fleet.VMID]fleet.VM, gone map[fleet.VMID]bool) store.VMChanges {
+func newVMChanges(version uint64, full bool, vms map[fleet.VMID]fleet.VM, removed map[fleet.VMID]bool) store.VMChanges {
 	out := store.VMChanges{Version: version, Full: full, Live: []fleet.VM{}}
 	for _, id := range slices.Sorted(maps.Keys(vms)) {
 		out.Live = append(out.Live, vms[id])
@@ -79,15 +81,15 @@
 	if full {
 		return out
 	}
-	for _, id := range slices.Sorted(maps.Keys(gone)) {
-		if gone[id] {
+	for _, id := range slices.Sorted(maps.Keys(removed)) {
+		if removed[id] {
 			out.Gone = append(out.Gone, id)
 		}
 	}
 	return out
 }
 
-// VMList returns the platform's list of VMs.
+// VMList returns the platform's VM list.
 func (p *Platform) VMList() store.VMList {
 	return store.VMList{Since: p.vmsSince}
 }
@@ -101,7 +103,7 @@
 	return out, err
 }
 
-// PutVM lists a VM or replaces its entry.
+// PutVM adds a VM to the list or replaces its entry.
 func (p *Platform) PutVM(ctx context.Context, vm fleet.VM) error {
 	p.vmWrites.Add(1)
 	return p.write(ctx, p.faults.Load().VMsDown, func() error {
@@ -114,7 +116,7 @@
 func (p *Platform) RemoveVM(ctx context.Context, id fleet.VMID) error {
 	p.vmWrites.Add(1)
 	return p.write(ctx, p.faults.Load().VMsDown, func() error {
-		p.vms.add(vmChange{vm: fleet.VM{ID: id}, gone: true})
+		p.vms.add(vmChange{vm: fleet.VM{ID: id}, removed: true})
 		return nil
 	})
 }
--- a/core/stand/target.go
+++ b/core/stand/target.go
@@ -11,78 +11,82 @@
 	"time"
 )
 
-// Headers that the stand-in targets understand or send.
+// Headers that a Target reads or sends.
 const (
-	HeaderKey     = "Idempotency-Key"
-	HeaderID      = "X-Request-Id"
-	HeaderShed    = "X-Shed"
-	HeaderLeaving = "Wisteria-Leaving"
-	HeaderLoad    = "X-Load"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderRequestID      = "X-Request-Id"
+	HeaderShed           = "X-Shed"
+	HeaderLeaving        = "Wisteria-Leaving"
+	HeaderLoad           = "X-Load"
 )
 
-// Faults orders how a target misbehaves; the zero value is a healthy target.
+// Faults are the faults that a target injects. The zero value injects none.
 type Faults struct {
-	// Delay is added to each request for work.
+	// Delay is added to each work request.
 	Delay time.Duration `json:"delay-ns,omitempty"`
-	// FailWork answers work with status 500, while probes stay good.
+	// FailWork answers work requests with status 500 without executing the work, while
+	// probes succeed.
 	FailWork bool `json:"fail-work,omitempty"`
-	// FailAfterRun runs the work and then answers with status 500.
+	// FailAfterRun executes the work and then answers with status 500.
 	FailAfterRun bool `json:"fail-after-run,omitempty"`
 	// FailProbe answers probes with status 503.
 	FailProbe bool `json:"fail-probe,omitempty"`
-	// CutShort ends the connection in the middle of the answer's body.
+	// CutShort closes the connection in the middle of the response body.
 	CutShort bool `json:"cut-short,omitempty"`
-	// CutBefore ends the connection before the work is run.
+	// CutBefore closes the connection before the work is executed.
 	CutBefore bool `json:"cut-before,omitempty"`
-	// CutAfter ends the connection after the work is run and before any answer.
+	// CutAfter closes the connection after the work is executed and before a response
+	// is sent.
 	CutAfter bool `json:"cut-after,omitempty"`
-	// BodyFailure answers work with status 200 and a failure in the body.
+	// BodyFailure answers work requests with status 200 and an error in the body.
 	BodyFailure bool `json:"body-failure,omitempty"`
-	// ShedAll refuses all work before it starts.
+	// ShedAll rejects all work requests before the work starts.
 	ShedAll bool `json:"shed-all,omitempty"`
-	// Load replaces the reported load if it is set, so that the report lies.
+	// Load, if set, is reported instead of the real load.
 	Load *float64 `json:"load,omitempty"`
-	// Leaving announces that the target drains.
+	// Leaving announces in each response that the target is leaving the service.
 	Leaving bool `json:"leaving,omitempty"`
-	// Hang holds work until the caller gives up.
+	// Hang leaves work requests without a response until the caller gives up.
 	Hang bool `json:"hang,omitempty"`
-	// FlapEvery alternates between the faults above and good health.
+	// FlapEvery turns all other faults except Leaving off and on again in turn, each
+	// time for this period.
 	FlapEvery time.Duration `json:"flap-every-ns,omitempty"`
 }
 
-// Run is one execution of an order.
-type Run struct {
+// Execution records that the work of an order was executed.
+type Execution struct {
 	Key       string
 	RequestID string
 	At        time.Time
 }
 
-// Target is a stand-in for one target of a service.
+// Target is a fake target of a service. It works on a limited number of requests at
+// once (slots), queues a limited number and sheds the others.
 type Target struct {
-	id        string
-	work      time.Duration
-	probeCost time.Duration
-	coldUntil time.Time
-	coldDelay time.Duration
-	queueMax  int64
-	slots     chan struct{}
-	waiting   atomic.Int64
-	served    atomic.Int64
-	faults    atomic.Pointer[Faults]
-	started   time.Time
+	id             string
+	workDuration   time.Duration
+	probeDuration  time.Duration
+	coldStartEnd   time.Time
+	coldStartDelay time.Duration
+	maxQueueLength int64
+	slots          chan struct{}
+	waiting        atomic.Int64
+	served         atomic.Int64
+	faults         atomic.Pointer[Faults]
+	started        time.Time
 
-	mu   sync.Mutex
-	runs []Run
+	mu         sync.Mutex
+	executions []Execution
 }
 
-// TargetOption changes a stand-in target.
+// TargetOption configures a Target.
 type TargetOption func(*Target)
 
 const (
-	defaultWork      = 2 * time.Millisecond
-	defaultProbeCost = 25 * time.Millisecond
-	defaultSlots     = 2
-	defaultQueueMax  = 16
+	defaultWorkDuration  = 2 * time.Millisecond
+	defaultProbeDuration = 25 * time.Millisecond
+	defaultSlots         = 2
+	defaultQueueLength   = 16
 )
 
 // WithSlots sets how many requests the target works on at once.
@@ -90,33 +94,35 @@
 	return func(t *Target) { t.slots = make(chan struct{}, n) }
 }
 
-// WithWork sets how long one request takes.
+// WithWork sets how long the work of a request takes.
 func WithWork(d time.Duration) TargetOption {
-	return func(t *Target) { t.work = d }
+	return func(t *Target) { t.workDuration = d }
 }
 
-// WithQueue sets how many requests wait for a slot before the target sheds.
-func WithQueue(n int) TargetOption {
-	return func(t *Target) { t.queueMax = int64(n) }
+// WithQueueLength sets how many requests may wait for a slot. The target sheds
+// further work requests and fails further probes.
+func WithQueueLength(n int) TargetOption {
+	return func(t *Target) { t.maxQueueLength = int64(n) }
 }
 
-// WithColdStart adds delay to each request for the given time after the start.
+// WithColdStart adds a delay to each work request during the given period after the
+// target was created.
 func WithColdStart(period, delay time.Duration) TargetOption {
 	return func(t *Target) {
-		t.coldUntil = t.started.Add(period)
-		t.coldDelay = delay
+		t.coldStartEnd = t.started.Add(period)
+		t.coldStartDelay = delay
 	}
 }
 
-// NewTarget returns a healthy target with 2 slots.
+// NewTarget returns a target without faults, with 2 slots unless an option changes that.
 func NewTarget(id string, opts ...TargetOption) *Target {
 	t := &Target{
-		id:        id,
-		work:      defaultWork,
-		probeCost: defaultProbeCost,
-		queueMax:  defaultQueueMax,
-		slots:     make(chan struct{}, defaultSlots),
-		started:   time.Now(),
+		id:             id,
+		workDuration:   defaultWorkDuration,
+		probeDuration:  defaultProbeDuration,
+		maxQueueLength: defaultQueueLength,
+		slots:          make(chan struct{}, defaultSlots),
+		started:        time.Now(),
 	}
 	t.faults.Store(&Faults{})
 	for _, o := range opts {
@@ -130,19 +136,22 @@
 	t.faults.Store(&f)
 }
 
-// Served returns the number of requests for work that the target answered or ran.
+// Served returns the number of work requests that got a slot, including those that
+// then failed because of a fault.
 func (t *Target) Served() int64 {
 	return t.served.Load()
 }
 
-// Runs returns the orders that the target executed, in order.
-func (t *Target) Runs() []Run {
+// Runs returns the executed orders in the sequence of their execution.
+func (t *Target) Runs() []Execution {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return append([]Run(nil), t.runs...)
+	return append([]Execution(nil), t.executions...)
 }
 
-func (t *Target) current() Faults {
+// activeFaults returns the faults that apply now. With FlapEvery they are turned off
+// in every second period.
+func (t *Target) activeFaults() Faults {
 	f := *t.faults.Load()
 	if f.FlapEvery > 0 && int64(time.Since(t.started)/f.FlapEvery)%2 == 1 {
 		return Faults{Leaving: f.Leaving}
@@ -150,9 +159,10 @@
 	return f
 }
 
-// ServeHTTP answers probes on /health, load on /load and work on any other path.
+// ServeHTTP serves health probes on /health, the load on /load and work requests on
+// all other paths.
 func (t *Target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f := t.current()
+	f := t.activeFaults()
 	w.Header().Set(HeaderLoad, strconv.FormatFloat(t.load(f), 'f', 2, 64))
 	if f.Leaving {
 		w.Header().Set(HeaderLeaving, "true")
@@ -167,6 +177,7 @@
 	}
 }
 
+// load returns the share of slots in use, or the load that the faults set.
 func (t *Target) load(f Faults) float64 {
 	if f.Load != nil {
 		return *f.Load
@@ -179,23 +190,23 @@
 		http.Error(w, "unhealthy", http.StatusServiceUnavailable)
 		return
 	}
-	if !t.acquire(r.Context()) {
+	if !t.acquireSlot(r.Context()) {
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return
 	}
-	defer t.release()
-	pause(r.Context(), t.probeCost)
+	defer t.releaseSlot()
+	sleep(r.Context(), t.probeDuration)
 	fmt.Fprintln(w, `{"status":"ok"}`)
 }
 
 func (t *Target) serveWork(w http.ResponseWriter, r *http.Request, f Faults) {
-	if f.ShedAll || !t.acquire(r.Context()) {
+	if f.ShedAll || !t.acquireSlot(r.Context()) {
 		w.Header().Set(HeaderShed, "true")
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "shed", http.StatusServiceUnavailable)
 		return
 	}
-	defer t.release()
+	defer t.releaseSlot()
 	t.served.Add(1)
 	if f.Hang {
 		<-r.Context().Done()
@@ -208,28 +219,29 @@
 		http.Error(w, "failed before start", http.StatusInternalServerError)
 		return
 	}
-	delay := t.work + f.Delay
-	if time.Now().Before(t.coldUntil) {
-		delay += t.coldDelay
+	delay := t.workDuration + f.Delay
+	if time.Now().Before(t.coldStartEnd) {
+		delay += t.coldStartDelay
 	}
-	if !pause(r.Context(), delay) {
+	if !sleep(r.Context(), delay) {
 		return
 	}
-	t.execute(r)
-	t.answer(w, r, f)
+	t.recordExecution(r)
+	t.respond(w, r, f)
 }
 
-func (t *Target) execute(r *http.Request) {
+// recordExecution records POST requests, which are orders.
+func (t *Target) recordExecution(r *http.Request) {
 	if r.Method != http.MethodPost {
 		return
 	}
-	run := Run{Key: r.Header.Get(HeaderKey), RequestID: r.Header.Get(HeaderID), At: time.Now()}
+	execution := Execution{Key: r.Header.Get(HeaderIdempotencyKey), RequestID: r.Header.Get(HeaderRequestID), At: time.Now()}
 	t.mu.Lock()
-	t.runs = append(t.runs, run)
+	t.executions = append(t.executions, execution)
 	t.mu.Unlock()
 }
 
-// WorkAnswer is the body of a target's good answer.
+// WorkAnswer is the body of a successful response to a work request.
 type WorkAnswer struct {
 	Target    string `json:"target"`
 	Method    string `json:"method"`
@@ -238,7 +250,7 @@
 	Key       string `json:"key,omitempty"`
 }
 
-func (t *Target) answer(w http.ResponseWriter, r *http.Request, f Faults) {
+func (t *Target) respond(w http.ResponseWriter, r *http.Request, f Faults) {
 	switch {
 	case f.CutAfter:
 		panic(http.ErrAbortHandler)
@@ -246,7 +258,7 @@
 		http.Error(w, "failed after the work", http.StatusInternalServerError)
 		return
 	}
-	a := WorkAnswer{Target: t.id, Method: r.Method, Path: r.URL.Path, RequestID: r.Header.Get(HeaderID), Key: r.Header.Get(HeaderKey)}
+	a := WorkAnswer{Target: t.id, Method: r.Method, Path: r.URL.Path, RequestID: r.Header.Get(HeaderRequestID), Key: r.Header.Get(HeaderIdempotencyKey)}
 	body, err := json.Marshal(a)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -265,13 +277,15 @@
 	_, _ = w.Write(body)
 }
 
-func (t *Target) acquire(ctx context.Context) bool {
+// acquireSlot waits in the queue for a slot. It returns false if the queue is full or
+// ctx ends first.
+func (t *Target) acquireSlot(ctx context.Context) bool {
 	select {
 	case t.slots <- struct{}{}:
 		return true
 	default:
 	}
-	if t.waiting.Add(1) > t.queueMax {
+	if t.waiting.Add(1) > t.maxQueueLength {
 		t.waiting.Add(-1)
 		return false
 	}
@@ -284,12 +298,12 @@
 	}
 }
 
-func (t *Target) release() {
+func (t *Target) releaseSlot() {
 	<-t.slots
 }
 
-// pause waits for d and returns false if ctx ends first.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d. It returns false if ctx ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
--- a/core/tree/catalog.go
+++ b/core/tree/catalog.go
@@ -29,7 +29,7 @@
 	region      *node
 	workspace   *node
 	dataCentres *nodeIndex
-	service     *serviceSubtree
+	subtree     *serviceSubtree
 }
 
 // Service returns the compiled service.
--- a/core/tree/compile.go
+++ b/core/tree/compile.go
@@ -48,7 +48,7 @@
 		region:      d.regions.nodes[string(d.regionOf(key))],
 		workspace:   d.workspaces.find(key.workspace),
 		dataCentres: d.dataCentres,
-		service:     d.services[key],
+		subtree:     d.services[key],
 	}
 }
 
@@ -72,8 +72,8 @@
 	}
 	svc.Targets = d.compileTargets(chain)
 	check.checkService(chain, svc)
-	svc.Routes = make([]fleet.Route, 0, len(from.service.routes))
-	for _, r := range from.service.routes {
+	svc.Routes = make([]fleet.Route, 0, len(from.subtree.routes))
+	for _, r := range from.subtree.routes {
 		if r.node.hasInvalidValue() {
 			continue
 		}
--- a/core/tree/document.go
+++ b/core/tree/document.go
@@ -48,7 +48,7 @@
 		}
 		return nil
 	default:
-		return d.services[loc.serviceKey()].routeNode(loc.route)
+		return d.services[loc.serviceKey()].findRoute(loc.route)
 	}
 }
 
--- a/core/tree/node.go
+++ b/core/tree/node.go
@@ -149,7 +149,7 @@
 	})
 }
 
-func (s *serviceSubtree) routeNode(name string) *node {
+func (s *serviceSubtree) findRoute(name string) *node {
 	if s == nil {
 		return nil
 	}
