--- a/core/stand/platform_test.go
+++ b/core/stand/platform_test.go
@@ -132,14 +132,14 @@
 		Expect(all.Full).To(BeTrue())
 		Expect(all.Live).To(HaveLen(3))
 		Expect(p.RemoveVM(ctx, "1")).To(Succeed())
-		some, _ := p.VMList().Since(ctx, all.Version)
-		Expect(some).To(Equal(store.VMChanges{Version: 4, Live: []fleet.VM{}, Gone: []fleet.VMID{"1"}}))
+		changed, _ := p.VMList().Since(ctx, all.Version)
+		Expect(changed).To(Equal(store.VMChanges{Version: 4, Live: []fleet.VM{}, Gone: []fleet.VMID{"1"}}))
 		for range 4 {
 			Expect(p.PutVM(ctx, fleet.VM{ID: "9"})).To(Succeed())
 		}
-		late, _ := p.VMList().Since(ctx, all.Version)
-		Expect(late.Full).To(BeTrue())
-		Expect(late.Live).To(HaveLen(3))
+		full, _ := p.VMList().Since(ctx, all.Version)
+		Expect(full.Full).To(BeTrue())
+		Expect(full.Live).To(HaveLen(3))
 	})
 })
 
--- a/core/tree/apply.go
+++ b/core/tree/apply.go
@@ -16,8 +16,9 @@
 	copiedServices   bool
 	copiedWorkspaces bool
 	copiedShards     [shardCount]bool
-	changed          map[Path]location
-	problems         []Problem
+	// changed holds the paths of all applied ops.
+	changed  map[Path]location
+	problems []Problem
 }
 
 func newDocBuilder(d *Doc) *docBuilder {
@@ -63,6 +64,8 @@
 	}
 }
 
+// applyOp applies one op. A problem does not stop the ops that follow, so that the
+// problems of all ops are found.
 func (b *docBuilder) applyOp(o Op) {
 	if p, isInvalid := o.findProblem(); isInvalid {
 		b.problems = append(b.problems, p)
@@ -175,7 +178,8 @@
 	}
 }
 
-// putWorkspace copies the shard of the workspace before the first change in it.
+// putWorkspace stores the node of a workspace. Before the first change of a shard
+// it copies the shard.
 func (b *docBuilder) putWorkspace(w fleet.WorkspaceID, n *node) {
 	if !b.copiedWorkspaces {
 		copied := *b.doc.workspaces
--- a/core/tree/catalog.go
+++ b/core/tree/catalog.go
@@ -9,9 +9,9 @@
 // Catalog holds the compiled services and the workspaces of a document. It is
 // immutable.
 type Catalog struct {
-	byID       map[fleet.ServiceID]compiledService
-	sorted     []*fleet.Service
-	workspaces *workspaceIndex
+	servicesByID   map[fleet.ServiceID]compiledService
+	sortedServices []*fleet.Service
+	workspaces     *workspaceIndex
 }
 
 // compiledService is a service with the parts of the document that it was
@@ -34,12 +34,12 @@
 
 // Service returns the compiled service.
 func (c *Catalog) Service(id fleet.ServiceID) (*fleet.Service, bool) {
-	s, found := c.byID[id]
+	s, found := c.servicesByID[id]
 	return s.service, found
 }
 
 // Services returns all services sorted by id. The caller must not modify the slice.
-func (c *Catalog) Services() []*fleet.Service { return c.sorted }
+func (c *Catalog) Services() []*fleet.Service { return c.sortedServices }
 
 // HasWorkspace reports whether the workspace exists.
 func (c *Catalog) HasWorkspace(w fleet.WorkspaceID) bool { return c.workspaces.find(w) != nil }
@@ -59,12 +59,12 @@
 // previous catalog that are equal. It is needed for a document decoded from a
 // snapshot, which shares no parts with the previous document.
 func (d *Doc) Relate(previous *Catalog) *Doc {
-	c := &Catalog{byID: make(map[fleet.ServiceID]compiledService, len(d.catalog.byID)), workspaces: d.workspaces}
-	for _, svc := range d.catalog.sorted {
-		entry := d.catalog.byID[svc.ID]
-		entry.service = reuseIfEqual(previous, entry.service)
-		c.byID[svc.ID] = entry
-		c.sorted = append(c.sorted, entry.service)
+	c := &Catalog{servicesByID: make(map[fleet.ServiceID]compiledService, len(d.catalog.servicesByID)), workspaces: d.workspaces}
+	for _, svc := range d.catalog.sortedServices {
+		cs := d.catalog.servicesByID[svc.ID]
+		cs.service = reuseIfEqual(previous, cs.service)
+		c.servicesByID[svc.ID] = cs
+		c.sortedServices = append(c.sortedServices, cs.service)
 	}
 	related := *d
 	related.catalog = c
@@ -74,7 +74,7 @@
 // reuseIfEqual returns the service of the previous catalog if it equals svc, and
 // svc otherwise. A service's pointer thus changes only if a value changed.
 func reuseIfEqual(previous *Catalog, svc *fleet.Service) *fleet.Service {
-	if old, found := previous.byID[svc.ID]; found && reflect.DeepEqual(old.service, svc) {
+	if old, found := previous.servicesByID[svc.ID]; found && reflect.DeepEqual(old.service, svc) {
 		return old.service
 	}
 	return svc
--- a/core/tree/check.go
+++ b/core/tree/check.go
@@ -91,9 +91,9 @@
 	for i := range svc.Routes {
 		r := &svc.Routes[i]
 		for _, other := range byPrefix[r.PathPrefix] {
-			if both := commonMethod(r.Methods, other.Methods); both != "" && r.PathPrefix != "" {
+			if method := commonMethod(r.Methods, other.Methods); method != "" && r.PathPrefix != "" {
 				path := RoutePath(svc.Workspace, svc.ID, r.Name)
-				allowed := fmt.Sprintf("another prefix or other methods: route %s also takes %s", other.Name, both)
+				allowed := fmt.Sprintf("another prefix or other methods: route %s also takes %s", other.Name, method)
 				c.problems = append(c.problems, Problem{Path: path, Key: keyPathPrefix.Name, Value: quote(r.PathPrefix), Allowed: allowed})
 			}
 		}
--- a/core/tree/compile.go
+++ b/core/tree/compile.go
@@ -11,34 +11,34 @@
 // services. It reuses a service of the previous catalog if its inputs did not change.
 func (d *Doc) compile(previous *Catalog) (*Catalog, []Problem) {
 	c := &Catalog{
-		byID:       make(map[fleet.ServiceID]compiledService, len(d.services)),
-		sorted:     make([]*fleet.Service, 0, len(d.services)),
-		workspaces: d.workspaces,
+		servicesByID:   make(map[fleet.ServiceID]compiledService, len(d.services)),
+		sortedServices: make([]*fleet.Service, 0, len(d.services)),
+		workspaces:     d.workspaces,
 	}
 	var problems []Problem
 	for _, key := range d.serviceKeys() {
-		from := d.inputsOf(key)
-		if first, found := c.byID[key.id]; found {
+		inputs := d.inputsOf(key)
+		if first, found := c.servicesByID[key.id]; found {
 			problems = append(problems, Problem{Path: key.path(), Value: string(key.id), Allowed: "a service id that is unique in the deployment; it also stands at " + string(first.inputs.key.path())})
 			continue
 		}
-		if old, found := previous.byID[key.id]; found && old.inputs == from {
+		if old, found := previous.servicesByID[key.id]; found && old.inputs == inputs {
 			c.add(old)
 			continue
 		}
-		svc, found := d.compileService(key, from)
-		problems = append(problems, found...)
+		svc, serviceProblems := d.compileService(key, inputs)
+		problems = append(problems, serviceProblems...)
 		if svc == nil {
 			svc = &fleet.Service{ID: key.id}
 		}
-		c.add(compiledService{service: reuseIfEqual(previous, svc), inputs: from})
+		c.add(compiledService{service: reuseIfEqual(previous, svc), inputs: inputs})
 	}
 	return c, problems
 }
 
 func (c *Catalog) add(s compiledService) {
-	c.byID[s.service.ID] = s
-	c.sorted = append(c.sorted, s.service)
+	c.servicesByID[s.service.ID] = s
+	c.sortedServices = append(c.sortedServices, s.service)
 }
 
 func (d *Doc) inputsOf(key serviceKey) compileInputs {
@@ -55,14 +55,14 @@
 // compileService returns no service if a value in the inheritance chain did not
 // parse. The problem of that value is reported by the docBuilder, and the errors
 // that follow from it would only hide it.
-func (d *Doc) compileService(key serviceKey, from compileInputs) (*fleet.Service, []Problem) {
-	check := serviceChecker{doc: d, path: key.path()}
-	if from.workspace == nil {
-		check.addProblem("", "", "a declared workspace; an op without a key declares it")
+func (d *Doc) compileService(key serviceKey, inputs compileInputs) (*fleet.Service, []Problem) {
+	checker := serviceChecker{doc: d, path: key.path()}
+	if inputs.workspace == nil {
+		checker.addProblem("", "", "a declared workspace; an op without a key declares it")
 	}
 	chain := d.chainOf(location{level: LevelService, name: string(key.workspace), service: key.id})
 	if chain.hasInvalidValue() {
-		return nil, check.problems
+		return nil, checker.problems
 	}
 	svc := &fleet.Service{
 		ID:        key.id,
@@ -71,21 +71,23 @@
 		Policy:    compilePolicy(chain),
 	}
 	svc.Targets = d.compileTargets(chain)
-	check.checkService(chain, svc)
-	svc.Routes = make([]fleet.Route, 0, len(from.subtree.routes))
-	for _, r := range from.subtree.routes {
+	checker.checkService(chain, svc)
+	svc.Routes = make([]fleet.Route, 0, len(inputs.subtree.routes))
+	for _, r := range inputs.subtree.routes {
 		if r.node.hasInvalidValue() {
 			continue
 		}
 		routeChain := chain.prepend(LevelRoute, RoutePath(key.workspace, key.id, r.name), r.node)
 		route := compileRoute(routeChain, r.name)
-		check.checkRoute(routeChain, &route)
+		checker.checkRoute(routeChain, &route)
 		svc.Routes = append(svc.Routes, route)
 	}
-	check.checkAmbiguousRoutes(svc)
-	return svc, check.problems
+	checker.checkAmbiguousRoutes(svc)
+	return svc, checker.problems
 }
 
+// compileTargets returns the targets of a service with their effective values. A
+// target is drained if the service lists it as drained or its data centre is drained.
 func (d *Doc) compileTargets(chain inheritanceChain) []fleet.Target {
 	entries := effective[[]TargetEntry](chain, keyTargets)
 	drained := effective[[]fleet.TargetID](chain, keyDrained)
--- a/core/tree/diff.go
+++ b/core/tree/diff.go
@@ -125,6 +125,7 @@
 	return out
 }
 
+// findName returns the entry of the key with the name. It accepts a nil node.
 func (n *node) findName(name string) (entry, bool) {
 	k, found := KeyByName(name)
 	if !found {
--- a/core/tree/document.go
+++ b/core/tree/document.go
@@ -27,7 +27,7 @@
 		workspaces:  &workspaceIndex{},
 		services:    map[serviceKey]*serviceSubtree{},
 	}
-	d.catalog = &Catalog{workspaces: d.workspaces, byID: map[fleet.ServiceID]compiledService{}}
+	d.catalog = &Catalog{workspaces: d.workspaces, servicesByID: map[fleet.ServiceID]compiledService{}}
 	return d
 }
 
--- a/core/tree/effective.go
+++ b/core/tree/effective.go
@@ -30,6 +30,8 @@
 	nodes []chainNode
 }
 
+// find returns the entry of the most specific node that sets the key, and the path
+// of that node.
 func (c inheritanceChain) find(k *Key) (entry, Path, bool) {
 	for _, n := range c.nodes {
 		if e, found := n.node.findKey(k); found {
@@ -84,6 +86,7 @@
 	return chain
 }
 
+// appendNode adds a more general node at the end; a nil node is skipped.
 func (c *inheritanceChain) appendNode(p Path, n *node) {
 	if n != nil {
 		c.nodes = append(c.nodes, chainNode{path: p, node: n})
@@ -177,6 +180,7 @@
 	return loc, k, nil
 }
 
+// effectiveWithOrigin returns the effective value of a key and its origin.
 func (c inheritanceChain) effectiveWithOrigin(k *Key) (Value, Origin) {
 	if e, p, found := c.find(k); found {
 		level, _ := p.Level()
--- a/core/tree/fuzz_test.go
+++ b/core/tree/fuzz_test.go
@@ -51,11 +51,11 @@
 	if err != nil {
 		t.Fatalf("encode: %v", err)
 	}
-	again, err := Decode(raw)
+	decoded, err := Decode(raw)
 	if err != nil {
 		t.Fatalf("decode of %s: %v", raw, err)
 	}
-	if ops := Changes(doc, again); len(ops) > 0 {
+	if ops := Changes(doc, decoded); len(ops) > 0 {
 		t.Fatalf("%s changed by encoding: %v", raw, ops)
 	}
 }
--- a/core/tree/keys.go
+++ b/core/tree/keys.go
@@ -29,8 +29,8 @@
 	presetCareful = "careful"
 )
 
-// presets are the trade-offs between a short time to detection (fast) and few
-// false ejections (careful).
+// presets are the defaults of the detection values. The fast preset detects faulty
+// targets sooner; the careful preset ejects fewer healthy targets by mistake.
 var presets = map[string]fleet.Detection{
 	presetFast:    {Window: 4 * time.Second, MinRequests: 4, FailureRatio: 0.4, SlowFactor: 3, MinObservers: 2},
 	presetCareful: {Window: 12 * time.Second, MinRequests: 10, FailureRatio: 0.6, SlowFactor: 5, MinObservers: 3},
@@ -43,7 +43,8 @@
 	minTimeout        = time.Millisecond
 	maxProbeInterval  = time.Hour
 	maxEjectionPeriod = 24 * time.Hour
-	maxTimeout        = 10 * time.Minute
+	// maxTimeout bounds timeouts, deadlines, hedging delays and the detection window.
+	maxTimeout = 10 * time.Minute
 )
 
 // Bounds of counts.
@@ -51,7 +52,7 @@
 	maxSlots       = 1024
 	maxConnections = 100_000
 	maxCarriers    = 64
-	maxRequests    = 100_000
+	maxMinRequests = 100_000
 	maxSlowFactor  = 100
 	maxQueueLength = 100_000
 	maxAttempts    = 10
@@ -72,7 +73,7 @@
 
 	keyDetection             = newKey("detection", serviceLevels, presetFast, "preset of the detection values", `"fast" or "careful"`, parseOneOf(presetFast, presetCareful), presetFast)
 	keyDetectionWindow       = presetKey("detection-window", durationRange(minPeriod, maxTimeout), "time over which evidence is weighed", func(d fleet.Detection) any { return d.Window })
-	keyDetectionMinRequests  = presetKey("detection-min-requests", intRange(1, maxRequests), "fewest requests in a window that give a verdict", func(d fleet.Detection) any { return d.MinRequests })
+	keyDetectionMinRequests  = presetKey("detection-min-requests", intRange(1, maxMinRequests), "fewest requests in a window that give a verdict", func(d fleet.Detection) any { return d.MinRequests })
 	keyDetectionFailureRatio = presetKey("detection-failure-ratio", floatRange(0.01, 1), "share of failed requests at which a target is suspect", func(d fleet.Detection) any { return d.FailureRatio })
 	keyDetectionSlowFactor   = presetKey("detection-slow-factor", floatRange(1.01, maxSlowFactor), "ratio to the median latency of the other targets above which a target is slow", func(d fleet.Detection) any { return d.SlowFactor })
 	keyDetectionMinObservers = presetKey("detection-min-observers", intRange(1, maxCarriers), "distinct observers that must agree before an ejection", func(d fleet.Detection) any { return d.MinObservers })
@@ -127,12 +128,13 @@
 	return computedDefaultKey(name, levels, defaultText, description, allowed, parse, func(inheritanceChain) any { return defaultValue })
 }
 
-// computedDefaultKey returns a key whose default depends on other values of the
-// same chain.
+// computedDefaultKey returns a key whose default depends on the level or on other
+// values of the inheritance chain.
 func computedDefaultKey(name string, levels []Level, defaultText, description, allowed string, parse parseFunc, defaultValue func(chain inheritanceChain) any) *Key {
 	return &Key{Name: name, Levels: levels, Allowed: allowed, Default: defaultText, Description: description, parse: parse, defaultValue: defaultValue}
 }
 
+// rangeKey returns a key that accepts a range of values.
 func rangeKey(name string, levels []Level, values valueRange, defaultValue any, description string) *Key {
 	return newKey(name, levels, fmt.Sprint(defaultValue), description, values.allowed, values.parse, defaultValue)
 }
--- a/core/tree/node.go
+++ b/core/tree/node.go
@@ -29,6 +29,7 @@
 // most of the 24,000 workspaces.
 var emptyNode = &node{}
 
+// findKey returns the entry of a key. It accepts a nil node, which has no entries.
 func (n *node) findKey(k *Key) (entry, bool) {
 	if n == nil {
 		return entry{}, false
@@ -41,12 +42,15 @@
 	return entry{}, false
 }
 
+// searchName returns the index of the entry with the key name, or the index at
+// which such an entry is to be inserted.
 func (n *node) searchName(name string) (int, bool) {
 	return slices.BinarySearchFunc(n.entries, name, func(e entry, name string) int {
 		return strings.Compare(e.key.Name, name)
 	})
 }
 
+// withEntry returns a copy of the node in which the entry is added or replaced.
 func (n *node) withEntry(e entry) *node {
 	i, found := n.searchName(e.key.Name)
 	if found {
@@ -60,6 +64,7 @@
 	return &node{entries: append(entries, n.entries[i:]...)}
 }
 
+// withoutKey returns a copy of the node without the key, and whether the key was set.
 func (n *node) withoutKey(name string) (*node, bool) {
 	i, found := n.searchName(name)
 	if !found {
@@ -81,6 +86,8 @@
 	nodes map[string]*node
 }
 
+// withNode returns a copy of the index in which the node is added or replaced, or
+// removed if n is nil.
 func (x *nodeIndex) withNode(name string, n *node) *nodeIndex {
 	nodes := maps.Clone(x.nodes)
 	if n == nil {
@@ -104,11 +111,11 @@
 
 func shardOf(w fleet.WorkspaceID) int { return int(xxhash.Sum64String(string(w)) % shardCount) }
 
-func (s *workspaceIndex) find(w fleet.WorkspaceID) *node { return s.shards[shardOf(w)][w] }
+func (x *workspaceIndex) find(w fleet.WorkspaceID) *node { return x.shards[shardOf(w)][w] }
 
-func (s *workspaceIndex) sortedIDs() []fleet.WorkspaceID {
-	ids := make([]fleet.WorkspaceID, 0, s.count)
-	for _, shard := range s.shards {
+func (x *workspaceIndex) sortedIDs() []fleet.WorkspaceID {
+	ids := make([]fleet.WorkspaceID, 0, x.count)
+	for _, shard := range x.shards {
 		ids = slices.AppendSeq(ids, maps.Keys(shard))
 	}
 	slices.Sort(ids)
@@ -149,6 +156,7 @@
 	})
 }
 
+// findRoute returns the node of a route, or nil. It accepts a nil subtree.
 func (s *serviceSubtree) findRoute(name string) *node {
 	if s == nil {
 		return nil
@@ -159,10 +167,13 @@
 	return nil
 }
 
+// withNode returns a copy of the subtree with another node of the service.
 func (s *serviceSubtree) withNode(n *node) *serviceSubtree {
 	return &serviceSubtree{node: n, routes: s.routes}
 }
 
+// withRoute returns a copy of the subtree in which the node of the route is added
+// or replaced, or removed if n is nil.
 func (s *serviceSubtree) withRoute(name string, n *node) *serviceSubtree {
 	i, found := s.searchRoute(name)
 	routes := slices.Clone(s.routes)
--- a/core/tree/parse.go
+++ b/core/tree/parse.go
@@ -28,6 +28,7 @@
 	DataCentre fleet.DataCentre `json:"data-centre"`
 }
 
+// Limits of values, and the texts that state the limits to operators.
 const (
 	maxTargets         = 1024
 	ownerCount         = 2
@@ -172,6 +173,8 @@
 	return list, nil
 }
 
+// parseDrained accepts a list of target ids at a service, and true or false at a
+// data centre.
 func parseDrained(raw json.RawMessage, level Level) (any, error) {
 	if level == LevelDataCentre {
 		return parseAs[bool](raw, level)
@@ -194,6 +197,7 @@
 	return true
 }
 
+// parseFloor accepts a number of targets or a percentage such as "50%".
 func parseFloor(raw json.RawMessage, level Level) (any, error) {
 	if count, err := parseWithin(0, maxTargets)(raw, level); err == nil {
 		return fleet.Floor{Count: count.(int)}, nil
@@ -264,6 +268,8 @@
 	return nil, errNotAllowed
 }
 
+// parseBodyFailure accepts null, which turns an inherited rule off, or a rule whose
+// text fits into the part of the body that is searched.
 func parseBodyFailure(raw json.RawMessage, _ Level) (any, error) {
 	v, err := decodeStrictJSON[*fleet.BodyFailure](raw)
 	if err != nil || v == nil {
@@ -275,6 +281,8 @@
 	return v, nil
 }
 
+// parseRefusal accepts null, which turns an inherited rule off, or a rule with an
+// error status.
 func parseRefusal(raw json.RawMessage, _ Level) (any, error) {
 	v, err := decodeStrictJSON[*fleet.Refusal](raw)
 	if err != nil || v == nil {
--- a/core/tree/tree_test.go
+++ b/core/tree/tree_test.go
@@ -243,9 +243,9 @@
 		doc := sampleDoc()
 		raw, err := json.Marshal(doc)
 		Expect(err).NotTo(HaveOccurred())
-		var again Doc
-		Expect(json.Unmarshal(raw, &again)).To(Succeed())
-		Expect(Changes(doc, &again)).To(BeEmpty())
+		var decoded Doc
+		Expect(json.Unmarshal(raw, &decoded)).To(Succeed())
+		Expect(Changes(doc, &decoded)).To(BeEmpty())
 		_, err = Decode([]byte(`{"/":{"floor":1,"floor":2},"/region/a":{},"/region/a":{}}`))
 		Expect(problemTexts(err)).To(ConsistOf(ContainSubstring("each key once"), ContainSubstring("each path once")))
 		_, err = Decode([]byte(`{"/":{}} {}`))
