--- a/core/stand/platform_vms.go
+++ b/core/stand/platform_vms.go
@@ -28,6 +28,7 @@
 	changes         []vmChange
 }
 
+// add appends a change with the next version and the current time.
 func (l *vmLog) add(c vmChange) {
 	l.version++
 	c.version, c.changedAt = l.version, time.Now()
@@ -67,6 +68,8 @@
 			removed[c.vm.ID] = c.removed
 		}
 	}
+	// With a greater lag than before, the caller may know a version that is not
+	// visible now. The returned version never goes back.
 	if !full && visible < version {
 		visible = version
 	}
