--- a/core/proxy/attempt.go
+++ b/core/proxy/attempt.go
@@ -20,72 +20,80 @@
 	"wisteriarelay.example/core/retry"
 )
 
-// answer is what one attempt yielded: a response, or an error.
-type answer struct {
-	target  fleet.TargetID
-	ending  retry.Ending
-	result  detect.Result
+// attemptResult is the response to one attempt, or the error if err is set.
+type attemptResult struct {
+	target fleet.TargetID
+	ending retry.Ending
+	// targetResult is what the attempt says about the health of the target.
+	targetResult detect.Result
+	// latency is the time to the response head, or to the failure.
 	latency time.Duration
+	// outcome is the outcome of the attempt, and that of the request once no further
+	// attempt follows.
 	outcome fault.Outcome
 	err     *fault.Error
 	status  int
 	header  http.Header
 	// body holds the whole body, or its start if rest is set.
 	body []byte
+	// rest is the part of the body that has not been read yet; it is nil if there is none.
 	rest io.ReadCloser
-	// settle frees the slot of the target; it is called once the body has ended.
-	settle func(limit.Result)
-	// ended is told how the streaming of the body ended; it may be nil.
-	ended  func(error)
-	cancel context.CancelFunc
+	// releaseSlot frees the slot of the target. It is called when the body has ended;
+	// further calls have no effect.
+	releaseSlot func(limit.Result)
+	// onStreamEnd is called with the error, if any, with which the streaming of
+	// the body ended; it may be nil.
+	onStreamEnd func(error)
+	cancel      context.CancelFunc
 }
 
-// whole reports whether the response is in memory and known to be complete.
-func (a *answer) whole() bool {
-	return a.err == nil && a.rest == nil
+// buffered reports whether the whole response is in memory and known to be complete.
+func (res *attemptResult) buffered() bool {
+	return res.err == nil && res.rest == nil
 }
 
-// discard ends an answer that is not passed on.
-func (a *answer) discard() {
-	if a.rest != nil {
-		_ = a.rest.Close()
+// discard releases the resources of a result that is not passed to the caller.
+func (res *attemptResult) discard() {
+	if res.rest != nil {
+		_ = res.rest.Close()
 	}
-	a.settle(limit.Failed)
-	a.cancel()
+	res.releaseSlot(limit.Failed)
+	res.cancel()
 }
 
-// attempt is one request to one target.
+// attempt is one try of a caller's request at one target.
 type attempt struct {
-	carrier *Carrier
-	in      *inbound
-	grant   *limit.Grant
-	pool    *link.Pool
-	target  fleet.Target
-	started time.Time
-	limit   time.Duration
+	upstream *Carrier
+	in       *inboundRequest
+	grant    *limit.Grant
+	pool     *link.Pool
+	target   fleet.Target
+	started  time.Time
+	timeout  time.Duration
 }
 
-// run sends the request and reads as much of the response as has to be checked
-// before the caller may see it.
-func (t *attempt) run(ctx context.Context) *answer {
-	ctx, cancel := context.WithTimeout(ctx, t.limit)
-	a := &answer{target: t.target.ID, settle: t.grant.Release, cancel: cancel}
-	t.started = time.Now()
-	resp, err := t.pool.Do(ctx, t.request(ctx), !t.in.route.Idempotent)
-	latency := time.Since(t.started)
+// run sends the request and reads the part of the response that must be checked
+// before any of it is passed to the caller.
+func (a *attempt) run(ctx context.Context) *attemptResult {
+	ctx, cancel := context.WithTimeout(ctx, a.timeout)
+	res := &attemptResult{target: a.target.ID, releaseSlot: a.grant.Release, cancel: cancel}
+	a.started = time.Now()
+	resp, err := a.pool.Do(ctx, a.targetRequest(ctx), !a.in.route.Idempotent)
+	latency := time.Since(a.started)
 	if err != nil {
-		t.fail(a, err)
+		a.classifyError(res, err)
 	} else {
-		t.read(a, resp)
+		a.readResponse(res, resp)
 	}
-	t.record(a, latency)
-	return a
+	a.record(res, latency)
+	return res
 }
 
-func (t *attempt) request(ctx context.Context) *http.Request {
-	in := t.in
+// targetRequest returns the request to the target.
+func (a *attempt) targetRequest(ctx context.Context) *http.Request {
+	in := a.in
 	body, length := in.targetBody()
-	u := &url.URL{Scheme: "http", Host: t.target.Address, Path: in.request.URL.Path, RawPath: in.request.URL.RawPath, RawQuery: in.request.URL.RawQuery}
+	u := &url.URL{Scheme: "http", Host: a.target.Address, Path: in.request.URL.Path, RawPath: in.request.URL.RawPath, RawQuery: in.request.URL.RawQuery}
 	deadline, _ := ctx.Deadline()
 	req := &http.Request{
 		Method:        in.request.Method,
@@ -99,22 +107,23 @@
 		ProtoMinor:    1,
 	}
 	if in.buffered && length > 0 {
-		// link takes GetBody as the sign that the body is in memory.
+		// Package link treats a request with GetBody as one whose body is in memory.
 		req.GetBody = func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(in.body)), nil }
 	}
 	return req
 }
 
-// fail classifies an attempt without a response.
-func (t *attempt) fail(a *answer, err error) {
-	a.ending = endingOf(err)
-	row := a.ending.Row()
-	a.err = fault.Wrap(err, row.Kind, "target %s: %s", t.target.ID, row.Name).WithOutcome(row.Outcome)
+// classifyError sets the ending and the error of an attempt without a complete response.
+func (a *attempt) classifyError(res *attemptResult, err error) {
+	res.ending = endingOf(err)
+	info := res.ending.Row()
+	res.err = fault.Wrap(err, info.Kind, "target %s: %s", a.target.ID, info.Name).WithOutcome(info.Outcome)
 	if errors.Is(err, errBodyTooLarge) {
-		a.err = fault.New(fault.RequestTooLarge, "body is larger than %d bytes", t.in.route.MaxBody).WithOutcome(fault.Unknown)
+		res.err = fault.New(fault.RequestTooLarge, "body is larger than %d bytes", a.in.route.MaxBody).WithOutcome(fault.Unknown)
 	}
 }
 
+// endingOf returns the ending of an attempt that failed with err.
 func endingOf(err error) retry.Ending {
 	var f *link.Failure
 	if !errors.As(err, &f) {
@@ -140,67 +149,73 @@
 	}
 }
 
-// read checks the response head against the route's rules and reads a small
-// body whole.
-func (t *attempt) read(a *answer, resp *http.Response) {
-	a.status = resp.StatusCode
-	a.header = resp.Header
-	t.carrier.onLeaving(t.target.ID, resp.Header.Get(HeaderLeaving) == "true")
-	a.rest = resp.Body
-	if err := t.readAhead(a, resp); err != nil {
+// readResponse buffers the start of the body, or the whole of a small one, and
+// classifies the response by the rules of the route.
+func (a *attempt) readResponse(res *attemptResult, resp *http.Response) {
+	res.status = resp.StatusCode
+	res.header = resp.Header
+	a.upstream.onLeaving(a.target.ID, resp.Header.Get(HeaderLeaving) == "true")
+	res.rest = resp.Body
+	if err := a.bufferBody(res, resp); err != nil {
 		_ = resp.Body.Close()
-		a.rest = nil
-		t.fail(a, err)
+		res.rest = nil
+		a.classifyError(res, err)
 		return
 	}
-	t.classify(a, resp)
+	a.classifyResponse(res, resp)
 }
 
-// readAhead fills the start of the body. A small body of known length, and
-// every small response to an order, is read whole, so that a truncated one is
-// noticed while another target can still be tried or the outcome be told.
-func (t *attempt) readAhead(a *answer, resp *http.Response) error {
-	want := int64(0)
-	if rule := t.in.route.BodyFailure; rule != nil {
-		want = min(int64(rule.Within), bufferLimit)
+// bufferBody reads the start of the body into memory, as far as the body-failure
+// rule of the route needs it. A body of known length up to maxBufferedBody, and
+// every body up to that size in response to an order, is read whole, so that a
+// truncated response is detected while another target can still be tried or the
+// outcome can still be reported to the caller. The empty body of a response to
+// HEAD is read to its end as well, since its Content-Length may be large.
+func (a *attempt) bufferBody(res *attemptResult, resp *http.Response) error {
+	readLimit := int64(0)
+	if rule := a.in.route.BodyFailure; rule != nil {
+		readLimit = min(int64(rule.Within), maxBufferedBody)
 	}
-	small := resp.ContentLength >= 0 && resp.ContentLength <= bufferLimit
-	if small || !t.in.route.Idempotent || t.in.request.Method == http.MethodHead {
-		want = bufferLimit + 1
+	small := resp.ContentLength >= 0 && resp.ContentLength <= maxBufferedBody
+	if small || !a.in.route.Idempotent || a.in.request.Method == http.MethodHead {
+		readLimit = maxBufferedBody + 1
 	}
-	if want == 0 {
+	if readLimit == 0 {
 		return nil
 	}
 	var buffer bytes.Buffer
 	if small {
 		buffer.Grow(int(resp.ContentLength) + bytes.MinRead)
 	}
-	n, err := buffer.ReadFrom(io.LimitReader(resp.Body, want))
+	n, err := buffer.ReadFrom(io.LimitReader(resp.Body, readLimit))
 	if err != nil {
 		return err
 	}
-	a.body = buffer.Bytes()
-	if n < want {
-		a.rest = nil
+	res.body = buffer.Bytes()
+	if n < readLimit {
+		res.rest = nil
 	}
 	return nil
 }
 
-func (t *attempt) classify(a *answer, resp *http.Response) {
-	route := t.in.route
+// classifyResponse sets the ending and the outcome of an attempt with a response.
+func (a *attempt) classifyResponse(res *attemptResult, resp *http.Response) {
+	route := a.in.route
 	switch {
 	case route.Refusal != nil && matchesRefusal(route.Refusal, resp):
-		a.ending = retry.RefusedBeforeStart
+		res.ending = retry.RefusedBeforeStart
 	case resp.StatusCode >= http.StatusInternalServerError || resp.StatusCode == http.StatusTooManyRequests:
-		a.ending = retry.FailedStatus
-	case route.BodyFailure != nil && matchesBodyFailure(route.BodyFailure, resp, a.body):
-		a.ending = retry.BodyFailure
+		res.ending = retry.FailedStatus
+	case route.BodyFailure != nil && matchesBodyFailure(route.BodyFailure, resp, res.body):
+		res.ending = retry.BodyFailure
 	default:
-		a.ending = retry.OK
+		res.ending = retry.OK
 	}
-	a.outcome = a.ending.Row().Outcome
+	res.outcome = res.ending.Row().Outcome
 }
 
+// matchesRefusal reports whether the target refused the request before it
+// started to process it.
 func matchesRefusal(rule *fleet.Refusal, resp *http.Response) bool {
 	if resp.StatusCode != rule.Status {
 		return false
@@ -208,11 +223,12 @@
 	return rule.Header == "" || resp.Header.Get(rule.Header) != ""
 }
 
-// matchesBodyFailure recognises a failure inside a success status. Servers
-// that commit to a 200 before the work is done report the failure in the body,
-// which layers that decide from the status line miss (s3proxy-python PR #138,
-// "retry CompleteMultipartUpload on transient backend errors"; measured in
-// docs/policy.md, cases body-failure-rule and body-failure-no-rule).
+// matchesBodyFailure reports whether a response with a success status reports a
+// failure in its body. A server that sends the status 200 before the work is
+// done can report a failure only there, and a proxy that checks the status line
+// alone misses it. An example is s3proxy-python PR #138, "retry
+// CompleteMultipartUpload on transient backend errors"; docs/policy.md has
+// measurements in the cases body-failure-rule and body-failure-no-rule.
 func matchesBodyFailure(rule *fleet.BodyFailure, resp *http.Response, body []byte) bool {
 	if resp.StatusCode < http.StatusOK || resp.StatusCode >= http.StatusMultipleChoices {
 		return false
@@ -226,21 +242,23 @@
 	return bytes.Contains(body[:min(len(body), rule.Within)], []byte(rule.Contains))
 }
 
-// record tells the evidence and the gate how the attempt ended.
-func (t *attempt) record(a *answer, latency time.Duration) {
-	result := t.result(a, latency)
-	a.result = result
-	a.latency = latency
-	t.carrier.recorder.Record(t.target.ID, result, latency)
-	if a.rest != nil {
+// record counts the result in the statistics of the target. If no body is left
+// to be streamed, it also releases the slot and the context.
+func (a *attempt) record(res *attemptResult, latency time.Duration) {
+	targetResult := a.targetResult(res, latency)
+	res.targetResult = targetResult
+	res.latency = latency
+	a.upstream.recorder.Record(a.target.ID, targetResult, latency)
+	if res.rest != nil {
 		return
 	}
-	a.settle(gateResult(a, result))
-	a.cancel()
+	res.releaseSlot(grantResult(res, targetResult))
+	res.cancel()
 }
 
-func (t *attempt) result(a *answer, latency time.Duration) detect.Result {
-	switch a.ending {
+// targetResult returns what the attempt says about the health of the target.
+func (a *attempt) targetResult(res *attemptResult, latency time.Duration) detect.Result {
+	switch res.ending {
 	case retry.OK:
 		return detect.OK
 	case retry.RefusedBeforeStart:
@@ -252,40 +270,45 @@
 	case retry.NotDialled, retry.DialRefused, retry.DialTimeout:
 		return detect.Unreachable
 	case retry.TimedOut:
-		return t.timeoutResult(latency)
+		return a.timeoutResult(latency)
 	case retry.CallerGone:
 		return detect.Cancelled
 	case retry.FailedStatus:
-		return statusResult(a)
+		return statusResult(res)
 	default:
 		return detect.Failed
 	}
 }
 
-// patience is the multiple of the usual service time after which a timeout
-// speaks against the target. A caller that allows less time than the work
-// usually takes says nothing about the target.
-const patience = 3
+// timeoutFailureFactor is the multiple of the expected service time from which
+// on a timeout counts as a failure of the target. If the deadline of the caller
+// leaves less time than the work usually takes, a timeout says nothing about
+// the target.
+const timeoutFailureFactor = 3
 
-func (t *attempt) timeoutResult(latency time.Duration) detect.Result {
-	expected := t.carrier.gate.Expected(t.in.route.Kind)
-	if expected > 0 && latency < patience*expected {
+// timeoutResult returns TimedOut, or Cancelled if the attempt had too little time
+// to count as a failure of the target.
+func (a *attempt) timeoutResult(latency time.Duration) detect.Result {
+	expected := a.upstream.limiter.Expected(a.in.route.Kind)
+	if expected > 0 && latency < timeoutFailureFactor*expected {
 		return detect.Cancelled
 	}
 	return detect.TimedOut
 }
 
-// statusResult takes 429, and 503 with advice when to come back, as load
-// shedding, which is no sign of sickness.
-func statusResult(a *answer) detect.Result {
-	retryAfter := a.header.Get("Retry-After") != ""
-	if a.status == http.StatusTooManyRequests || a.status == http.StatusServiceUnavailable && retryAfter {
+// statusResult returns Shed for the status 429, and for 503 with Retry-After:
+// the target sheds load, which does not mean that it is unhealthy. Any other
+// failure status is Failed.
+func statusResult(res *attemptResult) detect.Result {
+	retryAfter := res.header.Get("Retry-After") != ""
+	if res.status == http.StatusTooManyRequests || res.status == http.StatusServiceUnavailable && retryAfter {
 		return detect.Shed
 	}
 	return detect.Failed
 }
 
-func gateResult(a *answer, r detect.Result) limit.Result {
+// grantResult returns the result with which the slot of the target is released.
+func grantResult(res *attemptResult, r detect.Result) limit.Result {
 	switch {
 	case r == detect.Shed:
 		return limit.Shed
--- a/core/proxy/address.go
+++ b/core/proxy/endpoints.go
@@ -9,7 +9,7 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// serveAddresses tells a caller which addresses to use for a service.
+// serveAddresses responds with the addresses of the daemons that carry a service.
 func (rl *Relay) serveAddresses(w http.ResponseWriter, r *http.Request) {
 	id := requestID(r)
 	w.Header().Set(HeaderRequestID, id)
@@ -31,15 +31,16 @@
 	writeJSON(w, list)
 }
 
+// serveReady responds with a success status while the daemon accepts requests.
 func (rl *Relay) serveReady(w http.ResponseWriter, r *http.Request) {
 	if rl.fleet.Leaving() || !rl.fleet.Ready() {
 		newProblem(rl.notReady(), requestID(r)).write(w)
 		return
 	}
-	writeJSON(w, readyReply{VM: rl.self.ID, Ready: true})
+	writeJSON(w, readyResponse{VM: rl.self.ID, Ready: true})
 }
 
-// notReady returns the refusal of a daemon that leaves or does not serve yet.
+// notReady returns the error of a daemon that is shutting down or has no settings yet.
 func (rl *Relay) notReady() *fault.Error {
 	if rl.fleet.Leaving() {
 		return fault.New(fault.NotReady, "this daemon is shutting down")
@@ -47,15 +48,19 @@
 	return fault.New(fault.NotReady, "this daemon has no settings yet")
 }
 
-type readyReply struct {
+// readyResponse is the response to a readiness check.
+type readyResponse struct {
 	VM    fleet.VMID `json:"vm"`
 	Ready bool       `json:"ready"`
 }
 
-func (rl *Relay) serveUnnamed(w http.ResponseWriter, r *http.Request) {
+// refuseMissingService refuses a request that names no service and matches no
+// endpoint of the daemon.
+func (rl *Relay) refuseMissingService(w http.ResponseWriter, r *http.Request) {
 	newProblem(fault.New(fault.BadRequest, "name the service in the %s header", HeaderService), requestID(r)).write(w)
 }
 
+// writeJSON responds with v as JSON and the status 200.
 func writeJSON(w http.ResponseWriter, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
--- a/core/proxy/headers.go
+++ b/core/proxy/headers.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// The header fields of wisteriarelay's own protocol towards callers and targets.
+// The header fields that the daemon exchanges with callers and targets.
 const (
 	HeaderService    = "Wisteria-Service"
 	HeaderWorkspace  = "Wisteria-Workspace"
@@ -27,22 +27,24 @@
 
 const headerForwarded = "Forwarded"
 
-// hopByHop lists the fields that concern one connection only (RFC 9110,
-// section 7.6.1). Trailers are dropped with their announcement.
+// hopByHop lists the fields that apply to a single connection (RFC 9110,
+// section 7.6.1). Trailer fields are not forwarded, so Trailer, which announces
+// them, is removed as well.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// ownRequestFields are fields for the daemon itself; a target never sees the
-// caller's values.
-var ownRequestFields = []string{HeaderService, HeaderWorkspace, HeaderDeadline, HeaderOrderToken, "Expect"}
+// daemonRequestFields lists the fields that a caller sends to the daemon itself.
+// The caller's values are not forwarded to targets.
+var daemonRequestFields = []string{HeaderService, HeaderWorkspace, HeaderDeadline, HeaderOrderToken, "Expect"}
 
-// ownResponseFields are fields that only the daemon may set; a target's values
-// would be taken for statements of the daemon.
-var ownResponseFields = []string{HeaderOutcome, HeaderOrderToken, HeaderLeaving}
+// daemonResponseFields lists the fields that only the daemon sets in a response.
+// They are removed from the responses of targets, because callers would take
+// them for statements of the daemon.
+var daemonResponseFields = []string{HeaderOutcome, HeaderOrderToken, HeaderLeaving}
 
-// removeHopByHop deletes the hop-by-hop fields and those that Connection names.
+// removeHopByHop deletes the hop-by-hop fields and the fields named in Connection.
 func removeHopByHop(h http.Header) {
 	for _, line := range h["Connection"] {
 		for token := range strings.SplitSeq(line, ",") {
@@ -57,30 +59,32 @@
 }
 
 // targetHeader returns the header of the request to a target.
-func (in *inbound) targetHeader(deadline time.Time) http.Header {
+func (in *inboundRequest) targetHeader(deadline time.Time) http.Header {
 	h := in.request.Header.Clone()
 	removeHopByHop(h)
-	for _, name := range ownRequestFields {
+	for _, name := range daemonRequestFields {
 		delete(h, name)
 	}
-	// One array holds the values of all fields that are set.
+	// One slice backs the values of all fields, which saves allocations.
 	values := []string{in.requestID, strconv.FormatInt(remainingMillis(deadline), 10), forwarded(h, in.request), ""}
 	h[HeaderRequestID] = values[0:1:1]
 	h[HeaderDeadline] = values[1:2:2]
 	h[headerForwarded] = values[2:3:3]
 	if _, ok := h["User-Agent"]; !ok {
-		// An explicit empty value keeps net/http from adding its own.
+		// An empty value prevents net/http from adding its own User-Agent.
 		h["User-Agent"] = values[3:4:4]
 	}
 	return h
 }
 
-// remainingMillis rounds down, so that a target never gets more time than is left.
+// remainingMillis returns the milliseconds until the deadline, at least 1. It
+// rounds down, so that a target is not told more time than is left.
 func remainingMillis(deadline time.Time) int64 {
 	return max(1, time.Until(deadline).Milliseconds())
 }
 
-// forwarded returns the Forwarded field with this hop added (RFC 7239).
+// forwarded returns the value of the Forwarded field, with an element for this hop
+// added (RFC 7239).
 func forwarded(h http.Header, r *http.Request) string {
 	proto := "http"
 	if r.TLS != nil {
@@ -96,6 +100,8 @@
 	return element
 }
 
+// forwardedNode returns the address of the caller in the form for the "for"
+// parameter: without the port, and with IPv6 in brackets and quotes.
 func forwardedNode(remote string) string {
 	a, err := netip.ParseAddrPort(remote)
 	if err != nil {
@@ -112,8 +118,8 @@
 	maxRequestIDLen = 128
 )
 
-// requestID returns the caller's request id if it is short and printable, and
-// a new one otherwise.
+// requestID returns the request id sent by the caller if it has at most
+// maxRequestIDLen printable characters, and a new random one otherwise.
 func requestID(r *http.Request) string {
 	if id := r.Header.Get(HeaderRequestID); id != "" && len(id) <= maxRequestIDLen && printable(id) {
 		return id
@@ -123,6 +129,7 @@
 	return hex.EncodeToString(b[:])
 }
 
+// printable reports whether s consists of printable ASCII characters without spaces.
 func printable(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
@@ -132,10 +139,11 @@
 	return true
 }
 
-// copyResponseHeader copies the end-to-end fields of a target's response.
+// copyResponseHeader copies the end-to-end fields of a target's response, without
+// daemonResponseFields. It modifies from.
 func copyResponseHeader(to, from http.Header) {
 	removeHopByHop(from)
-	for _, name := range ownResponseFields {
+	for _, name := range daemonResponseFields {
 		delete(from, name)
 	}
 	for name, values := range from {
@@ -143,7 +151,8 @@
 	}
 }
 
-// serviceFromHost returns the service of a host name of the form <service>.<domain>.
+// serviceFromHost returns the service in a host name of the form
+// <service>.<domain>, or "" if the host name has another form.
 func serviceFromHost(host, domain string) string {
 	if domain == "" {
 		return ""
@@ -158,10 +167,12 @@
 	return service
 }
 
-// deadlineFrom returns the earlier of the caller's deadline and the route's limit.
-func deadlineFrom(ctx context.Context, now time.Time, limit, asked time.Duration) time.Time {
-	if asked > 0 {
-		limit = min(limit, asked)
+// requestDeadline returns the deadline of a request that may take the limit of its
+// route, or the requested time if that is shorter; 0 means that the caller
+// requested none. An earlier deadline of ctx takes precedence.
+func requestDeadline(ctx context.Context, now time.Time, limit, requested time.Duration) time.Time {
+	if requested > 0 {
+		limit = min(limit, requested)
 	}
 	deadline := now.Add(limit)
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
--- a/core/proxy/hedge.go
+++ b/core/proxy/hedge.go
@@ -7,127 +7,136 @@
 	"wisteriarelay.example/core/retry"
 )
 
-// racer is one of the copies of a hedged request.
-type racer struct {
+// hedgedAttempt is one of the concurrent attempts of a hedged request.
+type hedgedAttempt struct {
 	index   int
 	attempt *attempt
-	done    chan<- finishMsg
+	results chan<- hedgeResult
 }
 
-// finishMsg says that a copy has ended.
-type finishMsg struct {
+// hedgeResult is the result of the hedged attempt with the given index.
+type hedgeResult struct {
 	index  int
-	answer *answer
+	result *attemptResult
 }
 
-func (r *racer) run(ctx context.Context) {
-	r.done <- finishMsg{index: r.index, answer: r.attempt.run(ctx)}
+// run makes the attempt and sends its result.
+func (h *hedgedAttempt) run(ctx context.Context) {
+	h.results <- hedgeResult{index: h.index, result: h.attempt.run(ctx)}
 }
 
-// hedge runs the attempt and, if it is slow, a second copy on another target;
-// the first good answer wins and the other copy is cancelled.
-func (x *exchange) hedge(ctx context.Context, first *attempt) *answer {
-	r := &race{exchange: x, done: make(chan finishMsg, maxCopies), started: time.Now()}
+// runHedged runs the attempt and, if it is slow, a second one at another target.
+// It returns the first success and cancels the other attempt.
+func (f *forwarder) runHedged(ctx context.Context, first *attempt) *attemptResult {
+	r := &hedgedRequest{forwarder: f, results: make(chan hedgeResult, maxHedgedAttempts), started: time.Now()}
 	r.start(ctx, first)
 	return r.wait(ctx)
 }
 
-const maxCopies = 2
+// maxHedgedAttempts is the number of concurrent attempts of a hedged request.
+const maxHedgedAttempts = 2
 
-// race is a hedged request with its copies.
-type race struct {
-	exchange *exchange
-	done     chan finishMsg
-	cancels  []context.CancelFunc
-	returned int
-	started  time.Time
+// hedgedRequest is a request with its concurrent attempts.
+type hedgedRequest struct {
+	forwarder *forwarder
+	results   chan hedgeResult
+	// cancels holds the cancel function of each started attempt, by index.
+	cancels []context.CancelFunc
+	// ended is the number of attempts that have ended.
+	ended   int
+	started time.Time
 }
 
-func (r *race) start(ctx context.Context, t *attempt) {
-	copyCtx, cancel := context.WithCancel(ctx)
+// start runs the attempt in a goroutine.
+func (r *hedgedRequest) start(ctx context.Context, a *attempt) {
+	attemptCtx, cancel := context.WithCancel(ctx)
 	index := len(r.cancels)
 	r.cancels = append(r.cancels, cancel)
-	go (&racer{index: index, attempt: t, done: r.done}).run(copyCtx)
+	go (&hedgedAttempt{index: index, attempt: a, results: r.results}).run(attemptCtx)
 }
 
-// wait returns the first good answer, or the last one if all copies failed.
-func (r *race) wait(ctx context.Context) *answer {
-	timer := time.NewTimer(r.exchange.in.route.HedgeAfter)
+// wait returns the result of the first successful attempt, or of the last one if
+// all failed.
+func (r *hedgedRequest) wait(ctx context.Context) *attemptResult {
+	timer := time.NewTimer(r.forwarder.in.route.HedgeAfter)
 	defer timer.Stop()
 	for {
 		select {
-		case m := <-r.done:
-			r.returned++
-			if m.answer.ending == retry.OK || r.returned == len(r.cancels) {
-				return r.settle(m)
+		case done := <-r.results:
+			r.ended++
+			if done.result.ending == retry.OK || r.ended == len(r.cancels) {
+				return r.finish(done)
 			}
-			m.answer.discard()
-			r.cancels[m.index]()
+			done.result.discard()
+			r.cancels[done.index]()
 		case <-timer.C:
-			if again := r.consider(ctx); again > 0 {
-				timer.Reset(again)
+			if delay := r.startSecond(ctx); delay > 0 {
+				timer.Reset(delay)
 			}
 		}
 	}
 }
 
-// settle cancels the other copies and leaves them to be drained in the background.
-func (r *race) settle(winner finishMsg) *answer {
+// finish returns the winning result. It cancels the other attempts, whose results
+// are discarded in the background.
+func (r *hedgedRequest) finish(winner hedgeResult) *attemptResult {
 	for i, cancel := range r.cancels {
 		if i != winner.index {
 			cancel()
 		}
 	}
-	if left := len(r.cancels) - r.returned; left > 0 {
-		go (&drain{done: r.done, count: left}).run()
+	if pending := len(r.cancels) - r.ended; pending > 0 {
+		go (&resultDiscarder{results: r.results, count: pending}).run()
 	}
-	a := winner.answer
-	release := a.cancel
-	a.cancel = func() {
-		release()
+	res := winner.result
+	cancelAttempt := res.cancel
+	res.cancel = func() {
+		cancelAttempt()
 		r.cancels[winner.index]()
 	}
-	if a.rest == nil {
-		a.cancel()
+	if res.rest == nil {
+		res.cancel()
 	}
-	return a
+	return res
 }
 
-// consider sends a second copy if the retry budget and a free slot allow it,
-// and returns the time after which to ask again.
-func (r *race) consider(ctx context.Context) time.Duration {
-	x := r.exchange
-	h := retry.DecideHedge(x.in.route, retry.Pending{
+// startSecond starts a second attempt if the retry budget allows it and a slot
+// is free. It returns the delay after which to call it again; 0 means never.
+func (r *hedgedRequest) startSecond(ctx context.Context) time.Duration {
+	f := r.forwarder
+	h := retry.DecideHedge(f.in.route, retry.Pending{
 		Started:  r.started,
 		Copies:   len(r.cancels),
-		Deadline: x.in.deadline,
-		Expected: x.carrier.gate.Expected(x.in.route.Kind),
-	}, x.carrier.budget, time.Now())
+		Deadline: f.in.deadline,
+		Expected: f.upstream.limiter.Expected(f.in.route.Kind),
+	}, f.upstream.budget, time.Now())
 	if !h.Send {
 		return h.Wait
 	}
-	ask := x.ask()
-	ask.NoWait = true
-	grant, err := x.carrier.gate.Acquire(ctx, ask)
+	req := f.slotRequest()
+	req.NoWait = true
+	grant, err := f.upstream.limiter.Acquire(ctx, req)
 	if err != nil {
-		x.carrier.budget.Return()
+		f.upstream.budget.Return()
 		return 0
 	}
-	if t, ok := x.attempt(grant); ok {
-		t.limit = time.Until(x.in.deadline)
-		r.start(ctx, t)
+	if a, ok := f.newAttempt(grant); ok {
+		a.timeout = time.Until(f.in.deadline)
+		r.start(ctx, a)
 	}
 	return 0
 }
 
-// drain ends the copies that lost and frees what they hold.
-type drain struct {
-	done  <-chan finishMsg
-	count int
+// resultDiscarder waits for the other attempts and discards their results, which
+// releases their slots and connections.
+type resultDiscarder struct {
+	results <-chan hedgeResult
+	count   int
 }
 
-func (d *drain) run() {
+// run ends after the last result.
+func (d *resultDiscarder) run() {
 	for range d.count {
-		(<-d.done).answer.discard()
+		(<-d.results).result.discard()
 	}
 }
--- a/core/proxy/inbound.go
+++ b/core/proxy/inbound.go
@@ -13,13 +13,13 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// bufferLimit is the largest body that is held in memory: request bodies up to
-// it can be sent again to another target, response bodies up to it are checked
-// to be whole before the caller sees a byte.
-const bufferLimit = 64 << 10
+// maxBufferedBody is the size in bytes up to which a body is kept in memory. A
+// request body up to this size can be sent again to another target. A response
+// body up to this size is checked to be complete before the caller gets a byte.
+const maxBufferedBody = 64 << 10
 
-// inbound is one request of a caller with what the daemon found out about it.
-type inbound struct {
+// inboundRequest is a request of a caller with its route, workspace and deadline.
+type inboundRequest struct {
 	request   *http.Request
 	requestID string
 	arrived   time.Time
@@ -33,9 +33,10 @@
 	buffered bool
 }
 
-// newInbound checks the request against the service's routes.
-func newInbound(w http.ResponseWriter, r *http.Request, service *fleet.Service, id string, now time.Time) (*inbound, error) {
-	in := &inbound{request: r, requestID: id, arrived: now, service: service}
+// newInboundRequest matches the request to a route of the service, determines its
+// deadline and reads its body if it is small enough to be kept in memory.
+func newInboundRequest(w http.ResponseWriter, r *http.Request, service *fleet.Service, id string, now time.Time) (*inboundRequest, error) {
+	in := &inboundRequest{request: r, requestID: id, arrived: now, service: service}
 	route, found, allowed := service.RouteFor(r.Method, r.URL.Path)
 	switch {
 	case !found:
@@ -48,23 +49,24 @@
 	if in.workspace == "" {
 		in.workspace = service.Workspace
 	}
-	asked, err := askedDeadline(r)
+	requested, err := requestedTimeout(r)
 	if err != nil {
 		return nil, err
 	}
-	in.deadline = deadlineFrom(r.Context(), now, route.Deadline, asked)
-	return in, in.readInTime(http.NewResponseController(w))
+	in.deadline = requestDeadline(r.Context(), now, route.Deadline, requested)
+	return in, in.readBodyBeforeDeadline(http.NewResponseController(w))
 }
 
-// writeGrace is the time after a request's deadline in which its caller has to
-// take the rest of the response. A caller that stops reading would hold the
-// slot of the target for ever.
+// writeGrace is the time after the deadline of a request within which the caller
+// has to read the rest of the response. Without this limit, a caller that stops
+// reading would hold the slot of the target forever.
 const writeGrace = 5 * time.Second
 
-// readInTime reads the body before the deadline. The deadline of the connection
-// is lifted afterwards, because net/http watches the connection for the end of
-// the caller while the request is handled.
-func (in *inbound) readInTime(control *http.ResponseController) error {
+// readBodyBeforeDeadline reads the body with the deadline of the request as the
+// read deadline of the connection. Once the body has been read, the read deadline
+// is removed, because net/http continues to read from the connection to detect
+// that the caller disconnects while the request is handled.
+func (in *inboundRequest) readBodyBeforeDeadline(control *http.ResponseController) error {
 	_ = control.SetWriteDeadline(in.deadline.Add(writeGrace))
 	if in.request.ContentLength == 0 {
 		return in.readBody()
@@ -77,7 +79,9 @@
 	return err
 }
 
-func askedDeadline(r *http.Request) (time.Duration, error) {
+// requestedTimeout returns the time that the caller allows for its request, 0 if it
+// states none.
+func requestedTimeout(r *http.Request) (time.Duration, error) {
 	text := r.Header.Get(HeaderDeadline)
 	if text == "" {
 		return 0, nil
@@ -90,8 +94,10 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// readBody takes a small body into memory and leaves a larger one to be streamed.
-func (in *inbound) readBody() error {
+// readBody reads a body of up to maxBufferedBody bytes into memory and leaves a
+// larger one to be streamed. The body of an order is always read whole and is
+// limited to maxOrderBody bytes.
+func (in *inboundRequest) readBody() error {
 	r := in.request
 	if r.ContentLength > in.route.MaxBody {
 		return fault.New(fault.RequestTooLarge, "body of %d bytes is larger than %d", r.ContentLength, in.route.MaxBody)
@@ -100,14 +106,14 @@
 		in.buffered = true
 		return nil
 	}
-	buffer := int64(bufferLimit)
+	maxBuffer := int64(maxBufferedBody)
 	if !in.route.Idempotent {
-		buffer = maxOrderBody
+		maxBuffer = maxOrderBody
 	}
-	if r.ContentLength > buffer && in.route.Idempotent {
+	if r.ContentLength > maxBuffer && in.route.Idempotent {
 		return nil
 	}
-	limit := min(buffer, in.route.MaxBody)
+	limit := min(maxBuffer, in.route.MaxBody)
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	switch {
 	case err != nil:
@@ -123,33 +129,35 @@
 	return nil
 }
 
-var errBodyTooLarge = errors.New("request body is larger than the route admits")
+// errBodyTooLarge is the error of a streamed request body that exceeds the limit
+// of its route.
+var errBodyTooLarge = errors.New("request body is larger than the route allows")
 
-// targetBody returns the body for one request to a target, its length (-1 if
-// unknown), and whether it is in memory.
-func (in *inbound) targetBody() (io.ReadCloser, int64) {
+// targetBody returns the body for one request to a target and its length, which
+// is -1 if unknown.
+func (in *inboundRequest) targetBody() (io.ReadCloser, int64) {
 	if in.buffered {
 		if len(in.body) == 0 {
 			return http.NoBody, 0
 		}
 		return io.NopCloser(bytes.NewReader(in.body)), int64(len(in.body))
 	}
-	rest := &limitedBody{inner: in.request.Body, left: in.route.MaxBody - int64(len(in.body))}
+	rest := &limitedBody{source: in.request.Body, remaining: in.route.MaxBody - int64(len(in.body))}
 	stream := io.MultiReader(bytes.NewReader(in.body), rest)
 	return io.NopCloser(stream), in.request.ContentLength
 }
 
-// limitedBody fails a streamed request body that grows over the route's limit.
+// limitedBody is a streamed request body that must not exceed the limit of its route.
 type limitedBody struct {
-	inner io.Reader
-	left  int64
+	source    io.Reader
+	remaining int64
 }
 
-// Read fails once more than the limit was read.
+// Read returns errBodyTooLarge as soon as more bytes arrive than are allowed.
 func (b *limitedBody) Read(p []byte) (int, error) {
-	n, err := b.inner.Read(p)
-	b.left -= int64(n)
-	if b.left < 0 {
+	n, err := b.source.Read(p)
+	b.remaining -= int64(n)
+	if b.remaining < 0 {
 		return 0, errBodyTooLarge
 	}
 	return n, err
--- a/core/proxy/order.go
+++ b/core/proxy/order.go
@@ -11,43 +11,48 @@
 	"wisteriarelay.example/core/order"
 )
 
-// HeaderReplayed marks the first response to an order that is given again to a repeat.
+// HeaderReplayed is set in a response to a repeat of an order if it is a copy of
+// the first response.
 const HeaderReplayed = "Wisteria-Replayed"
 
 const (
-	// maxOrderBody bounds the body of a non-idempotent request. It is read whole
-	// before anything is sent, because its digest ties the key to the request.
+	// maxOrderBody is the maximum body size of a non-idempotent request in bytes. The
+	// body is read whole before anything is sent to a target, because its digest
+	// binds the order key to the request.
 	maxOrderBody = 1 << 20
-	// maxOrderBytes bounds the memory of all such bodies over bufferLimit at one daemon.
-	maxOrderBytes = 64 << 20
+	// maxOrderMemory is the maximum total size in bytes, at one daemon, of the bodies
+	// of orders that are larger than maxBufferedBody.
+	maxOrderMemory = 64 << 20
 )
 
-// orderBodies bounds the memory of large order bodies.
-type orderBodies struct {
+// orderBodyMemory limits the memory for large bodies of orders.
+type orderBodyMemory struct {
 	bytes *semaphore.Weighted
 }
 
-func newOrderBodies() orderBodies {
-	return orderBodies{bytes: semaphore.NewWeighted(maxOrderBytes)}
+// newOrderBodyMemory returns a limiter of maxOrderMemory bytes.
+func newOrderBodyMemory() orderBodyMemory {
+	return orderBodyMemory{bytes: semaphore.NewWeighted(maxOrderMemory)}
 }
 
-// reserve returns a function that frees the memory again.
-func (o orderBodies) reserve(r *http.Request) (func(), error) {
+// reserve reserves memory for the body of an order and returns a function that
+// releases it. A body of unknown length counts as maxOrderBody.
+func (o orderBodyMemory) reserve(r *http.Request) (func(), error) {
 	size := r.ContentLength
-	if size >= 0 && size <= bufferLimit {
+	if size >= 0 && size <= maxBufferedBody {
 		return func() {}, nil
 	}
 	if size < 0 || size > maxOrderBody {
 		size = maxOrderBody
 	}
 	if !o.bytes.TryAcquire(size) {
-		return nil, fault.New(fault.QueueFull, "orders with large bodies take up %d bytes already", int64(maxOrderBytes))
+		return nil, fault.New(fault.QueueFull, "orders with large bodies take up %d bytes already", int64(maxOrderMemory))
 	}
 	return func() { o.bytes.Release(size) }, nil
 }
 
-// reserveFor reserves memory if the request belongs to a non-idempotent route.
-func (o orderBodies) reserveFor(service *fleet.Service, r *http.Request) (func(), error) {
+// reserveFor reserves memory if the route of the request is not idempotent.
+func (o orderBodyMemory) reserveFor(service *fleet.Service, r *http.Request) (func(), error) {
 	route, _, allowed := service.RouteFor(r.Method, r.URL.Path)
 	if !allowed || route.Idempotent {
 		return func() {}, nil
@@ -55,24 +60,27 @@
 	return o.reserve(r)
 }
 
-// serveOrder runs a non-idempotent request if the manager allows it.
-func (c *call) serveOrder(ctx context.Context, carrier *Carrier) {
+// serveOrder sends a non-idempotent request to a target if the order manager
+// permits it.
+func (c *call) serveOrder(ctx context.Context, upstream *Carrier) {
 	c.offerToken()
 	decision := c.relay.manager.Begin(ctx, c.orderRequest(true))
-	if c.settled(decision) {
+	if c.respondWithoutRun(decision) {
 		return
 	}
 	if c.request.Header.Get(HeaderOrderKey) != "" {
-		// The response is kept for a repeat, so the work goes on although the
-		// caller may have gone.
+		// The response is kept for repeats, so the request continues even if the
+		// caller disconnects.
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(context.WithoutCancel(ctx), c.in.deadline)
 		defer cancel()
 	}
-	a := (&exchange{carrier: carrier, in: c.in}).run(ctx)
-	c.finishOrder(a, decision.Ticket)
+	res := (&forwarder{upstream: upstream, in: c.in}).run(ctx)
+	c.finishOrder(res, decision.Ticket)
 }
 
+// orderRequest describes the request to the order manager; carried says whether
+// this daemon may run it.
 func (c *call) orderRequest(carried bool) order.Request {
 	digest := order.NewDigester(c.in.workspace, c.request.Method, c.request.URL.RequestURI())
 	_, _ = digest.Write(c.in.body)
@@ -86,9 +94,10 @@
 	}
 }
 
-// settled answers a copy of an order that is not to be run, and reports
-// whether it did.
-func (c *call) settled(d order.Decision) bool {
+// respondWithoutRun responds to a copy of an order that the manager does not
+// permit to run: with the first response if that is kept, else with a problem.
+// It reports whether it responded.
+func (c *call) respondWithoutRun(d order.Decision) bool {
 	if d.Verdict == order.VerdictRun {
 		return false
 	}
@@ -103,66 +112,70 @@
 	}
 	h.Set(HeaderReplayed, "true")
 	h.Set(HeaderOutcome, string(fault.Run))
-	c.writeWhole(&answer{status: d.Response.Status, body: d.Response.Body})
+	c.writeBuffered(&attemptResult{status: d.Response.Status, body: d.Response.Body})
 	return true
 }
 
-// finishOrder records the outcome before the caller sees it, so that a repeat
-// can never learn less than the first copy did.
-func (c *call) finishOrder(a *answer, t order.Ticket) {
+// finishOrder records the outcome of the order and responds to the caller. The
+// outcome is recorded before the response is complete, so that a repeat never
+// learns less than the first copy did.
+func (c *call) finishOrder(res *attemptResult, t order.Ticket) {
 	switch {
-	case a.err != nil:
-		t.Finish(a.err.Outcome, nil)
-		if a.err.Outcome == fault.NotRun && c.request.Header.Get(HeaderOrderKey) != "" {
-			a.err = a.err.WithRetry(fault.RetryNewKey)
+	case res.err != nil:
+		t.Finish(res.err.Outcome, nil)
+		if res.err.Outcome == fault.NotRun && c.request.Header.Get(HeaderOrderKey) != "" {
+			res.err = res.err.WithRetry(fault.RetryNewKey)
 		}
-	case a.whole():
-		t.Finish(a.outcome, keptResponse(a))
+	case res.buffered():
+		t.Finish(res.outcome, keptResponse(res))
 	default:
-		a.ended = func(err error) { t.Finish(streamedOutcome(a, err), nil) }
+		res.onStreamEnd = func(err error) { t.Finish(streamedOutcome(res, err), nil) }
 	}
-	c.respond(a)
+	c.respond(res)
 }
 
-// streamedOutcome is the outcome of an order whose response was too large to
-// keep. A response that was cut may belong to an order that failed half-way.
-func streamedOutcome(a *answer, err error) fault.Outcome {
+// streamedOutcome returns the outcome of an order whose response was too large to
+// be kept. If the response was truncated, the outcome is unknown, since the order
+// may have failed before it was complete.
+func streamedOutcome(res *attemptResult, err error) fault.Outcome {
 	if err != nil {
 		return fault.Unknown
 	}
-	return a.outcome
+	return res.outcome
 }
 
-func keptResponse(a *answer) *order.Response {
-	res := &order.Response{Status: a.status, Body: a.body}
-	header := a.header.Clone()
+// keptResponse returns the part of the response that is replayed to repeats.
+func keptResponse(res *attemptResult) *order.Response {
+	kept := &order.Response{Status: res.status, Body: res.body}
+	header := res.header.Clone()
 	removeHopByHop(header)
-	for _, name := range ownResponseFields {
+	for _, name := range daemonResponseFields {
 		delete(header, name)
 	}
 	delete(header, "Date")
 	for name, values := range header {
 		for _, value := range values {
-			res.Header = append(res.Header, order.Field{Name: name, Value: value})
+			kept.Header = append(kept.Header, order.Field{Name: name, Value: value})
 		}
 	}
-	return res
+	return kept
 }
 
-// closeElsewhere closes the key of an order that reached a daemon which does
-// not carry its service, and reports whether it answered. Without that, a copy
-// that is still under way could run after the caller was told "not run".
-func (c *call) closeElsewhere(service *fleet.Service) bool {
+// closeOrderNotCarried closes the key of an order whose service this daemon does
+// not carry, and reports whether it responded to the caller. If the key were left
+// open, another copy that is still in flight could run after the caller was told
+// that the order had not run.
+func (c *call) closeOrderNotCarried(service *fleet.Service) bool {
 	if c.request.Header.Get(HeaderOrderKey) == "" {
 		return false
 	}
-	release, err := c.relay.bodies.reserveFor(service, c.request)
+	release, err := c.relay.orderMemory.reserveFor(service, c.request)
 	if err != nil {
 		c.refuse(fault.From(err))
 		return true
 	}
 	defer release()
-	in, err := newInbound(c.writer, c.request, service, c.requestID, c.arrived)
+	in, err := newInboundRequest(c.writer, c.request, service, c.requestID, c.arrived)
 	if err != nil {
 		c.refuse(fault.From(err))
 		return true
@@ -173,10 +186,10 @@
 	c.in = in
 	ctx, cancel := context.WithDeadline(c.request.Context(), in.deadline)
 	defer cancel()
-	return c.settled(c.relay.manager.Close(ctx, c.orderRequest(false)))
+	return c.respondWithoutRun(c.relay.manager.Close(ctx, c.orderRequest(false)))
 }
 
-// offerToken sends the caller a token for its next order.
+// offerToken adds a token for the next order of the caller to the response header.
 func (c *call) offerToken() {
 	token, err := c.relay.manager.Token(c.serviceID, order.ModeHome)
 	if err == nil {
@@ -184,14 +197,14 @@
 	}
 }
 
-// tokenReply is the response to a request for an order token.
-type tokenReply struct {
+// tokenResponse is the response to a request for an order token.
+type tokenResponse struct {
 	Service fleet.ServiceID `json:"service"`
 	Token   string          `json:"token"`
 	VM      fleet.VMID      `json:"vm"`
 }
 
-// serveToken issues a token under which a caller names its orders.
+// serveToken issues a token from which a caller forms the keys of its orders.
 func (rl *Relay) serveToken(w http.ResponseWriter, r *http.Request) {
 	id := requestID(r)
 	w.Header().Set(HeaderRequestID, id)
@@ -209,5 +222,5 @@
 		return
 	}
 	w.Header().Set("Cache-Control", "no-store")
-	writeJSON(w, tokenReply{Service: service, Token: token, VM: rl.self.ID})
+	writeJSON(w, tokenResponse{Service: service, Token: token, VM: rl.self.ID})
 }
--- a/core/proxy/relay.go
+++ b/core/proxy/relay.go
@@ -16,47 +16,52 @@
 	"wisteriarelay.example/core/stats"
 )
 
-// Fleet is what the relay reads about the fleet; each function returns from an
-// immutable snapshot and never blocks.
+// Fleet provides the state of the fleet that a Relay needs. Its functions read
+// immutable snapshots and never block.
 type Fleet struct {
-	// Carrier returns the state of a service that this daemon carries or winds down.
+	// Carrier returns the state of a service that this daemon carries, or that it
+	// no longer carries but still serves for a while.
 	Carrier func(fleet.ServiceID) (*Carrier, bool)
-	// Service returns a service of the settings.
+	// Service returns the settings of a service.
 	Service func(fleet.ServiceID) (*fleet.Service, bool)
-	// HasWorkspace reports whether a workspace stands in the settings.
+	// HasWorkspace reports whether the settings contain a workspace.
 	HasWorkspace func(fleet.WorkspaceID) bool
-	// Addresses returns the carriers of a service for a caller in a data centre.
+	// Addresses returns the daemons that carry a service, in the order for a caller
+	// in the data centre. The string is hashed to spread callers over the daemons.
 	Addresses func(fleet.ServiceID, fleet.DataCentre, string) AddressList
-	// Ready reports whether the daemon has settings and targets to serve from.
+	// Ready reports whether the daemon has the settings and targets to serve requests.
 	Ready func() bool
 	// Leaving reports whether the daemon is shutting down.
 	Leaving func() bool
 }
 
-// maxActive bounds the requests in progress at one daemon, and with
-// bufferLimit the memory that their bodies take.
-const maxActive = 2048
+// maxActiveRequests is the maximum number of requests in progress at one daemon.
+// Together with maxBufferedBody it limits the memory for their bodies.
+const maxActiveRequests = 2048
 
-// endpointTimeout bounds the sending of the daemon's own responses.
-const endpointTimeout = 10 * time.Second
+// endpointWriteTimeout is the timeout for writing a response of the daemon's own
+// endpoints.
+const endpointWriteTimeout = 10 * time.Second
 
-// Relay serves the callers' port.
+// Relay is the HTTP handler of the port for callers.
 type Relay struct {
-	self    fleet.VM
-	domain  string
-	fleet   Fleet
-	manager *order.Manager
-	bodies  orderBodies
-	logger  log.Logger
-	meters  *stats.Set
-	router  http.Handler
-	active  atomic.Int64
-}
-
-// RelayOption changes a Relay.
+	self        fleet.VM
+	domain      string
+	fleet       Fleet
+	manager     *order.Manager
+	orderMemory orderBodyMemory
+	logger      log.Logger
+	metrics     *stats.Set
+	router      http.Handler
+	// active is the number of requests in progress.
+	active atomic.Int64
+}
+
+// RelayOption configures a Relay.
 type RelayOption func(*Relay)
 
-// WithDomain accepts host names of the form <service>.<domain>.
+// WithDomain sets the domain of the host names <service>.<domain> by which a
+// request can name its service instead of the header.
 func WithDomain(domain string) RelayOption {
 	return func(rl *Relay) { rl.domain = domain }
 }
@@ -68,13 +73,13 @@
 
 // WithStats sets the metrics.
 func WithStats(s *stats.Set) RelayOption {
-	return func(rl *Relay) { rl.meters = s }
+	return func(rl *Relay) { rl.metrics = s }
 }
 
-// NewRelay returns the handler of the callers' port of the daemon self; manager
-// decides which orders may run.
+// NewRelay returns a Relay for the daemon self. The manager decides which orders
+// may run.
 func NewRelay(self fleet.VM, f Fleet, manager *order.Manager, opts ...RelayOption) *Relay {
-	rl := &Relay{self: self, fleet: f, manager: manager, bodies: newOrderBodies(), logger: log.NewNopLogger(), meters: stats.New()}
+	rl := &Relay{self: self, fleet: f, manager: manager, orderMemory: newOrderBodyMemory(), logger: log.NewNopLogger(), metrics: stats.New()}
 	for _, o := range opts {
 		o(rl)
 	}
@@ -82,12 +87,13 @@
 	return rl
 }
 
+// endpoints returns the handler of the daemon's own endpoints.
 func (rl *Relay) endpoints() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/v1/addresses", rl.serveAddresses).Methods(http.MethodGet)
 	r.HandleFunc("/v1/order-tokens", rl.serveToken).Methods(http.MethodPost)
 	r.HandleFunc("/v1/ready", rl.serveReady).Methods(http.MethodGet)
-	r.NotFoundHandler = http.HandlerFunc(rl.serveUnnamed)
+	r.NotFoundHandler = http.HandlerFunc(rl.refuseMissingService)
 	return r
 }
 
@@ -96,42 +102,45 @@
 	return rl.active.Load()
 }
 
-// ServeHTTP relays a request that names a service, and serves the daemon's own
-// endpoints otherwise.
+// ServeHTTP forwards a request that names a service, in a header or by its host
+// name, to a target. Other requests are for the daemon's own endpoints.
 func (rl *Relay) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	service := r.Header.Get(HeaderService)
 	if service == "" {
 		service = serviceFromHost(r.Host, rl.domain)
 	}
 	if service == "" {
-		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(endpointTimeout))
+		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(endpointWriteTimeout))
 		rl.router.ServeHTTP(w, r)
 		return
 	}
 	n := rl.active.Add(1)
 	defer rl.active.Add(-1)
-	rl.relay(w, r, fleet.ServiceID(service), n)
+	rl.serveCall(w, r, fleet.ServiceID(service), n)
 }
 
-func (rl *Relay) relay(w http.ResponseWriter, r *http.Request, id fleet.ServiceID, active int64) {
+// serveCall handles a request for a service; active is the number of requests in
+// progress including this one.
+func (rl *Relay) serveCall(w http.ResponseWriter, r *http.Request, id fleet.ServiceID, active int64) {
 	c := &call{relay: rl, writer: w, request: r, serviceID: id, requestID: requestID(r), arrived: time.Now()}
 	w.Header().Set(HeaderRequestID, c.requestID)
 	if r.ProtoMajor == 1 && len(r.TransferEncoding) > 0 {
-		// net/http lets chunked framing override a Content-Length; closing the
-		// connection drops whatever such a request tried to hide behind itself.
+		// If a body is chunked, net/http ignores and hides a Content-Length, which
+		// another proxy may have used. Closing the connection prevents request
+		// smuggling: bytes after the body are not read as a further request.
 		w.Header().Set("Connection", "close")
 	}
 	if rl.fleet.Leaving() {
 		w.Header().Set("Connection", "close")
 	}
-	if active > maxActive {
-		c.refuse(fault.New(fault.QueueFull, "%d requests are in progress at this daemon", maxActive))
+	if active > maxActiveRequests {
+		c.refuse(fault.New(fault.QueueFull, "%d requests are in progress at this daemon", maxActiveRequests))
 		return
 	}
 	c.serve()
 }
 
-// call is one request on the callers' port.
+// call handles one request for a service.
 type call struct {
 	relay     *Relay
 	writer    http.ResponseWriter
@@ -139,29 +148,32 @@
 	serviceID fleet.ServiceID
 	requestID string
 	arrived   time.Time
-	in        *inbound
+	// in is nil until the request has been validated.
+	in *inboundRequest
 }
 
+// serve validates the request, sends it to a target and responds to the caller.
 func (c *call) serve() {
 	rl := c.relay
-	carrier, ok := rl.fleet.Carrier(c.serviceID)
+	upstream, ok := rl.fleet.Carrier(c.serviceID)
 	if !ok {
-		c.serveElsewhere()
+		c.refuseNotCarried()
 		return
 	}
-	release, err := rl.bodies.reserveFor(carrier.Service(), c.request)
+	release, err := rl.orderMemory.reserveFor(upstream.Service(), c.request)
 	if err != nil {
 		c.refuse(fault.From(err))
 		return
 	}
 	defer release()
-	in, err := newInbound(c.writer, c.request, carrier.Service(), c.requestID, c.arrived)
+	in, err := newInboundRequest(c.writer, c.request, upstream.Service(), c.requestID, c.arrived)
 	if err != nil {
 		c.refuse(fault.From(err))
 		return
 	}
 	if !rl.fleet.HasWorkspace(in.workspace) {
-		// A made-up workspace would get a turn of its own in the queue.
+		// The queue for slots is fair among workspaces, so a caller that invents
+		// workspaces would get more than its share.
 		c.refuse(fault.New(fault.BadRequest, "no workspace %q", in.workspace))
 		return
 	}
@@ -169,14 +181,15 @@
 	ctx, cancel := context.WithDeadline(c.request.Context(), in.deadline)
 	defer cancel()
 	if in.route.Idempotent {
-		c.respond((&exchange{carrier: carrier, in: in}).run(ctx))
+		c.respond((&forwarder{upstream: upstream, in: in}).run(ctx))
 		return
 	}
-	c.serveOrder(ctx, carrier)
+	c.serveOrder(ctx, upstream)
 }
 
-// serveElsewhere refuses a request for a service that this daemon does not carry.
-func (c *call) serveElsewhere() {
+// refuseNotCarried refuses a request for a service that this daemon does not carry
+// and lists the daemons that do. The key of an order is closed first.
+func (c *call) refuseNotCarried() {
 	rl := c.relay
 	if !rl.fleet.Ready() {
 		c.refuse(rl.notReady())
@@ -187,17 +200,19 @@
 		c.refuse(fault.New(fault.UnknownService, "no service %q", c.serviceID))
 		return
 	}
-	if c.closeElsewhere(service) {
+	if c.closeOrderNotCarried(service) {
 		return
 	}
 	c.refuse(fault.New(fault.NotCarried, "service %s is carried by the daemons listed", c.serviceID))
 }
 
-// refuse answers with a problem and logs the reason.
+// refuse responds with a problem and logs the reason. If the caller has gone, it
+// aborts the connection instead.
 func (c *call) refuse(e *fault.Error) {
 	rl := c.relay
 	if c.in == nil && c.request.Header.Get(HeaderOrderKey) != "" && e.Outcome == fault.NotRun {
-		// An earlier copy under the key may have run; nobody has asked yet.
+		// An earlier copy with this key may have run; the order manager has not been
+		// asked yet.
 		e = e.WithOutcome(fault.Unknown)
 	}
 	rl.count("refused", e.Kind.String())
@@ -213,6 +228,7 @@
 	p.write(c.writer)
 }
 
+// logRefusal logs a refused request, as an error only if the daemon itself failed.
 func (rl *Relay) logRefusal(c *call, e *fault.Error) {
 	l := level.Info(rl.logger)
 	if e.Kind == fault.Internal {
@@ -222,6 +238,7 @@
 		"kind", e.Kind, "outcome", e.Outcome, "detail", e.Error(), "took", time.Since(c.arrived))
 }
 
+// count increments the counter wisteria_requests_<metric> with the label kind.
 func (rl *Relay) count(metric, kind string) {
-	rl.meters.Counter(stats.Label("wisteria_requests_"+metric, "kind", kind)).Inc(1)
+	rl.metrics.Counter(stats.Label("wisteria_requests_"+metric, "kind", kind)).Inc(1)
 }
--- a/core/proxy/respond.go
+++ b/core/proxy/respond.go
@@ -14,78 +14,86 @@
 	"wisteriarelay.example/core/limit"
 )
 
+// copyBufferBytes is the size of the buffers for streaming response bodies.
 const copyBufferBytes = 32 << 10
 
+// copyBuffers holds buffers for reuse.
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
 
-// respond passes an answer to the caller.
-func (c *call) respond(a *answer) {
-	if a.err != nil {
-		c.refuse(a.err)
+// respond passes the result to the caller.
+func (c *call) respond(res *attemptResult) {
+	if res.err != nil {
+		c.refuse(res.err)
 		return
 	}
 	rl := c.relay
-	copyResponseHeader(c.writer.Header(), a.header)
+	copyResponseHeader(c.writer.Header(), res.header)
 	if c.writer.Header().Get(HeaderRequestID) == "" {
 		c.writer.Header().Set(HeaderRequestID, c.requestID)
 	}
-	if a.outcome != "" {
-		c.writer.Header().Set(HeaderOutcome, string(a.outcome))
+	if res.outcome != "" {
+		c.writer.Header().Set(HeaderOutcome, string(res.outcome))
 	}
-	if a.whole() {
-		c.writeWhole(a)
+	if res.buffered() {
+		c.writeBuffered(res)
 	} else {
-		c.stream(a)
+		c.streamBody(res)
 	}
-	rl.count("answered", a.ending.String())
-	rl.meters.Histogram("wisteria_request_micros").Update(time.Since(c.arrived).Microseconds())
+	rl.count("answered", res.ending.String())
+	rl.metrics.Histogram("wisteria_request_micros").Update(time.Since(c.arrived).Microseconds())
 }
 
-func (c *call) writeWhole(a *answer) {
-	if bodyAllowed(c.request.Method, a.status) {
-		c.writer.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
+// writeBuffered writes a response whose whole body is in memory.
+func (c *call) writeBuffered(res *attemptResult) {
+	if bodyAllowed(c.request.Method, res.status) {
+		c.writer.Header().Set("Content-Length", strconv.Itoa(len(res.body)))
 	}
-	c.writer.WriteHeader(a.status)
-	_, _ = c.writer.Write(a.body)
+	c.writer.WriteHeader(res.status)
+	_, _ = c.writer.Write(res.body)
 }
 
+// bodyAllowed reports whether a response to the method with the status has a body.
 func bodyAllowed(method string, status int) bool {
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// stream passes a body on as it comes. If the body is truncated, the caller's
-// stream is aborted, so that it cannot be taken for a whole one.
-func (c *call) stream(a *answer) {
-	c.writer.WriteHeader(a.status)
-	err := c.copy(a)
-	if a.ended != nil {
-		a.ended(err)
+// streamBody passes the body to the caller as it arrives. If the body is truncated,
+// the response to the caller is aborted, so that the caller cannot take it for a
+// complete one.
+func (c *call) streamBody(res *attemptResult) {
+	c.writer.WriteHeader(res.status)
+	err := c.copyBody(res)
+	if res.onStreamEnd != nil {
+		res.onStreamEnd(err)
 	}
-	_ = a.rest.Close()
-	a.settle(c.streamResult(err))
-	a.cancel()
+	_ = res.rest.Close()
+	res.releaseSlot(c.streamResult(err))
+	res.cancel()
 	if err == nil {
 		return
 	}
 	_ = level.Info(c.relay.logger).Log("msg", "response aborted", "request-id", c.requestID, "service", c.serviceID,
-		"target", a.target, "detail", err)
+		"target", res.target, "detail", err)
 	c.relay.count("aborted", "stream")
 	panic(http.ErrAbortHandler)
 }
 
+// errCallerWrite marks the errors of writing to the caller.
 var errCallerWrite = errors.New("caller stopped reading")
 
-func (c *call) copy(a *answer) error {
-	if _, err := c.writer.Write(a.body); err != nil {
+// copyBody copies the body to the caller. A failure to write is marked with
+// errCallerWrite; any other error means that the response is truncated.
+func (c *call) copyBody(res *attemptResult) error {
+	if _, err := c.writer.Write(res.body); err != nil {
 		return errors.Mark(err, errCallerWrite)
 	}
 	buffer := copyBuffers.Get().(*[copyBufferBytes]byte)
 	defer copyBuffers.Put(buffer)
-	flush := a.header.Get("Content-Length") == ""
+	flush := res.header.Get("Content-Length") == ""
 	for {
-		n, err := a.rest.Read(buffer[:])
+		n, err := res.rest.Read(buffer[:])
 		if n > 0 {
-			if writeErr := c.pass(buffer[:n], flush); writeErr != nil {
+			if writeErr := c.writeChunk(buffer[:n], flush); writeErr != nil {
 				return errors.Mark(writeErr, errCallerWrite)
 			}
 		}
@@ -93,15 +101,15 @@
 			return nil
 		}
 		if err != nil {
-			c.recordCut(a)
+			c.recordTruncation(res)
 			return err
 		}
 	}
 }
 
-// pass writes a part of the body; parts of a body of unknown length are
-// flushed at once, because the caller may wait for them.
-func (c *call) pass(p []byte, flush bool) error {
+// writeChunk writes a part of the body. With flush the part is sent at once, which
+// is used for a body of unknown length, because the caller may wait for the part.
+func (c *call) writeChunk(p []byte, flush bool) error {
 	if _, err := c.writer.Write(p); err != nil {
 		return err
 	}
@@ -111,15 +119,18 @@
 	return http.NewResponseController(c.writer).Flush()
 }
 
-func (c *call) recordCut(a *answer) {
+// recordTruncation counts a truncated response in the statistics of the target,
+// unless the caller disconnected.
+func (c *call) recordTruncation(res *attemptResult) {
 	if c.request.Context().Err() != nil {
 		return
 	}
-	if carrier, ok := c.relay.fleet.Carrier(c.serviceID); ok {
-		carrier.recorder.Record(a.target, detect.Short, 0)
+	if upstream, ok := c.relay.fleet.Carrier(c.serviceID); ok {
+		upstream.recorder.Record(res.target, detect.Short, 0)
 	}
 }
 
+// streamResult returns the result with which the slot of the target is released.
 func (c *call) streamResult(err error) limit.Result {
 	switch {
 	case err == nil:
--- a/core/proxy/carrier.go
+++ b/core/proxy/upstream.go
@@ -15,102 +15,111 @@
 	"wisteriarelay.example/core/retry"
 )
 
-// Carrier is the run-time state of one service that this daemon carries.
+// Carrier is the run-time state that this daemon keeps to forward the requests
+// of one service to its targets: the connection pools, the concurrency limiter,
+// the retry budget and the recorder of the target statistics.
 type Carrier struct {
 	self     fleet.VM
-	routing  atomic.Pointer[routing]
-	gate     *limit.Gate
+	routing  atomic.Pointer[routingSnapshot]
+	limiter  *limit.Gate
 	recorder *detect.Recorder
 	budget   *retry.Budget
 	dial     func(ctx context.Context, network, address string) (net.Conn, error)
-	// onLeaving is told with each response whether its target announces that it leaves.
+	// onLeaving is called for each response, with true if its target announces
+	// that it is leaving.
 	onLeaving func(fleet.TargetID, bool)
-	sink      RouteSink
+	// onAttempt is called after each attempt.
+	onAttempt RouteSink
 }
 
-// RouteSink receives the end of each attempt, for metrics and logs.
+// RouteSink is a function that is called after each attempt, for metrics and logs.
 type RouteSink func(AttemptMsg)
 
-// AttemptMsg describes one attempt on a target that has ended.
+// AttemptMsg describes an attempt at a target that has ended. Of the concurrent
+// attempts of a hedged request, only the one whose result is used is reported.
 type AttemptMsg struct {
 	RequestID string
 	Service   fleet.ServiceID
 	Route     string
 	Target    fleet.TargetID
-	Number    int
-	Ending    retry.Ending
-	// Result is what the attempt says about the target.
-	Result   detect.Result
+	// Number is the number of the attempt within its request, from 1.
+	Number int
+	Ending retry.Ending
+	// Result is what the attempt says about the health of the target.
+	Result detect.Result
+	// Decision says whether the attempt is followed by a retry.
 	Decision retry.Decision
 	// Latency is the time to the response head, or to the failure.
 	Latency time.Duration
 }
 
-// routing is the immutable snapshot that requests read.
-type routing struct {
+// routingSnapshot holds the settings of a service with its targets and their
+// connection pools. It is immutable: Carrier.Update stores a new one.
+type routingSnapshot struct {
 	service *fleet.Service
 	pools   map[fleet.TargetID]*link.Pool
 	targets map[fleet.TargetID]fleet.Target
 }
 
-// CarrierOption changes a Carrier.
+// CarrierOption configures a Carrier.
 type CarrierOption func(*Carrier)
 
-// WithTargetDial replaces the function that opens connections to targets.
+// WithTargetDial sets the function that opens connections to targets.
 func WithTargetDial(dial func(ctx context.Context, network, address string) (net.Conn, error)) CarrierOption {
 	return func(c *Carrier) { c.dial = dial }
 }
 
-// WithLeavingSign sets the function that is told with each response whether its
-// target announces that it leaves.
+// WithLeavingSign sets the function that is called for each response; leaving is
+// true if its target announces that it is leaving.
 func WithLeavingSign(f func(id fleet.TargetID, leaving bool)) CarrierOption {
 	return func(c *Carrier) { c.onLeaving = f }
 }
 
-// WithAttempts sets the function that receives the end of each attempt.
-func WithAttempts(sink RouteSink) CarrierOption {
-	return func(c *Carrier) { c.sink = sink }
+// WithAttempts sets the function that is called after each attempt.
+func WithAttempts(f RouteSink) CarrierOption {
+	return func(c *Carrier) { c.onAttempt = f }
 }
 
 // NewCarrier returns the state of a service that the daemon self starts to
-// carry. It has no usable target until Update is called.
+// carry. It has no target until Update is called.
 func NewCarrier(self fleet.VM, service *fleet.Service, opts ...CarrierOption) *Carrier {
 	c := &Carrier{
 		self:      self,
-		gate:      limit.New(self.ID),
+		limiter:   limit.New(self.ID),
 		recorder:  detect.NewRecorder(service),
 		budget:    retry.NewBudget(service.Policy.RetryBudget, time.Now()),
 		dial:      (&net.Dialer{}).DialContext,
 		onLeaving: func(fleet.TargetID, bool) {},
-		sink:      func(AttemptMsg) {},
+		onAttempt: func(AttemptMsg) {},
 	}
 	for _, o := range opts {
 		o(c)
 	}
-	c.routing.Store(&routing{service: service})
+	c.routing.Store(&routingSnapshot{service: service})
 	return c
 }
 
-// Gate returns the gate of the service.
+// Gate returns the concurrency limiter of the service.
 func (c *Carrier) Gate() *limit.Gate {
-	return c.gate
+	return c.limiter
 }
 
-// Recorder returns the recorder of the service's evidence.
+// Recorder returns the recorder of the target statistics.
 func (c *Carrier) Recorder() *detect.Recorder {
 	return c.recorder
 }
 
-// Service returns the settings that requests use now.
+// Service returns the current settings of the service.
 func (c *Carrier) Service() *fleet.Service {
 	return c.routing.Load().service
 }
 
-// Update takes over new settings, target states and the daemons that share the
-// targets; one goroutine at a time may call it. Requests in progress keep the connections that they use.
+// Update replaces the settings, the target states and the data centres of the
+// daemons that share the targets. Requests in progress keep the connections that
+// they use. Concurrent calls are not allowed.
 func (c *Carrier) Update(service *fleet.Service, states []limit.Target, members map[fleet.VMID]fleet.DataCentre) {
 	old := c.routing.Load()
-	next := &routing{
+	next := &routingSnapshot{
 		service: service,
 		pools:   make(map[fleet.TargetID]*link.Pool, len(service.Targets)),
 		targets: make(map[fleet.TargetID]fleet.Target, len(service.Targets)),
@@ -124,22 +133,26 @@
 		c.budget.SetRatio(service.Policy.RetryBudget)
 	}
 	c.routing.Store(next)
-	c.gate.Update(&limit.Snapshot{Targets: states, QueueLength: service.Policy.QueueLength, Members: members})
+	c.limiter.Update(&limit.Snapshot{Targets: states, QueueLength: service.Policy.QueueLength, Members: members})
 	old.closeUnused(next)
 }
 
-// idlePerSlot leaves room for a connection that is being replaced while all
-// slots are busy.
-const idlePerSlot = 2
+// maxIdlePerSlot is the number of idle connections kept for each slot of a
+// target. The second one allows for a connection that is being replaced while all
+// slots are in use.
+const maxIdlePerSlot = 2
 
-func (c *Carrier) poolFor(old *routing, t fleet.Target) *link.Pool {
+// poolFor returns the pool of the target in the old snapshot, or a new one if the
+// target is new or has another address.
+func (c *Carrier) poolFor(old *routingSnapshot, t fleet.Target) *link.Pool {
 	if pool, ok := old.pools[t.ID]; ok && old.targets[t.ID].Address == t.Address {
 		return pool
 	}
-	return link.NewPool(t.Address, link.WithDial(c.dial), link.WithMaxIdle(idlePerSlot*max(1, t.Slots)))
+	return link.NewPool(t.Address, link.WithDial(c.dial), link.WithMaxIdle(maxIdlePerSlot*max(1, t.Slots)))
 }
 
-func (r *routing) closeUnused(next *routing) {
+// closeUnused closes the pools that next does not use any more.
+func (r *routingSnapshot) closeUnused(next *routingSnapshot) {
 	kept := slices.Collect(maps.Values(next.pools))
 	for _, pool := range r.pools {
 		if !slices.Contains(kept, pool) {
@@ -148,7 +161,7 @@
 	}
 }
 
-// Prune closes connections that were idle for too long.
+// Prune closes connections that have been idle for too long.
 func (c *Carrier) Prune(now time.Time) {
 	for _, pool := range c.routing.Load().pools {
 		pool.Prune(now)
@@ -162,19 +175,19 @@
 	}
 }
 
-// CarrierState is the state of a carried service for the dump.
+// CarrierState is the state of a Carrier for the state dump.
 type CarrierState struct {
 	Connections map[fleet.TargetID]link.Counts `json:"connections"`
 	Gate        limit.Stats                    `json:"gate"`
 	Retries     retry.BudgetStats              `json:"retries"`
 }
 
-// State returns the state for the dump.
+// State returns the current state for the state dump.
 func (c *Carrier) State() CarrierState {
 	pools := c.routing.Load().pools
 	s := CarrierState{
 		Connections: make(map[fleet.TargetID]link.Counts, len(pools)),
-		Gate:        c.gate.Stats(),
+		Gate:        c.limiter.Stats(),
 		Retries:     c.budget.Stats(),
 	}
 	for id, pool := range pools {
