--- a/core/proxy/bench_test.go
+++ b/core/proxy/bench_test.go
@@ -17,7 +17,7 @@
 	"wisteriarelay.example/core/limit"
 )
 
-// benchTarget answers with a body of a fixed size and no delay of its own.
+// benchTarget responds at once with a body of a fixed size.
 type benchTarget struct{ body []byte }
 
 func (t benchTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -27,7 +27,7 @@
 	_, _ = w.Write(t.body)
 }
 
-func benchServe(b *testing.B, h http.Handler) string {
+func startBenchServer(b *testing.B, h http.Handler) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -45,7 +45,7 @@
 
 func (s *benchServer) run() { _ = s.server.Serve(s.listener) }
 
-func benchRelay(b *testing.B, target string) string {
+func startBenchRelay(b *testing.B, target string) string {
 	const targets = 10
 	service := &fleet.Service{ID: "disponible", Routes: []fleet.Route{lookupRoute()}}
 	service.Policy = fleet.Policy{RetryBudget: 0.1, QueueLength: 4096}
@@ -64,10 +64,10 @@
 		Ready:        func() bool { return true },
 		Leaving:      func() bool { return false },
 	}, nil)
-	return benchServe(b, relay)
+	return startBenchServer(b, relay)
 }
 
-// benchCaller sends requests over one connection of its own.
+// benchCaller sends requests one after the other over its own connection.
 type benchCaller struct {
 	client  *http.Client
 	url     string
@@ -77,19 +77,19 @@
 	err     error
 }
 
-func (c *benchCaller) run(done *sync.WaitGroup) {
-	defer done.Done()
+func (c *benchCaller) run(running *sync.WaitGroup) {
+	defer running.Done()
 	for range c.count {
 		time.Sleep(c.pause)
 		started := time.Now()
-		if c.err = c.once(); c.err != nil {
+		if c.err = c.sendRequest(); c.err != nil {
 			return
 		}
 		c.elapsed = append(c.elapsed, time.Since(started))
 	}
 }
 
-func (c *benchCaller) once() error {
+func (c *benchCaller) sendRequest() error {
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, c.url, nil)
 	if err != nil {
 		return err
@@ -107,17 +107,17 @@
 	return err
 }
 
-func load(b *testing.B, address string, callers, each int, pause time.Duration) []time.Duration {
-	var done sync.WaitGroup
+func runCallers(b *testing.B, address string, callers, requestsPerCaller int, pause time.Duration) []time.Duration {
+	var running sync.WaitGroup
 	all := make([]*benchCaller, callers)
 	for i := range all {
 		transport := &http.Transport{MaxIdleConnsPerHost: 1, MaxConnsPerHost: 1}
 		defer transport.CloseIdleConnections()
-		all[i] = &benchCaller{client: &http.Client{Transport: transport}, url: "http://" + address + "/stock", count: each, pause: pause}
-		done.Add(1)
-		go all[i].run(&done)
+		all[i] = &benchCaller{client: &http.Client{Transport: transport}, url: "http://" + address + "/stock", count: requestsPerCaller, pause: pause}
+		running.Add(1)
+		go all[i].run(&running)
 	}
-	done.Wait()
+	running.Wait()
 	var elapsed []time.Duration
 	for _, c := range all {
 		if c.err != nil {
@@ -133,25 +133,26 @@
 	return float64(sorted[int(q*float64(len(sorted)-1))].Microseconds())
 }
 
-// BenchmarkAddedLatency compares a request through the daemon with the same
-// request straight to the target, in one run. The difference is what the
-// daemon adds; "ratio" is the median through the daemon over the direct one.
+// BenchmarkAddedLatency measures the latency that the daemon adds: it compares
+// requests through the daemon with the same requests sent directly to the target,
+// in one run. The metric "ratio-p50" is the median latency through the daemon
+// divided by the direct one.
 func BenchmarkAddedLatency(b *testing.B) {
 	for _, size := range []int{200, 1 << 20} {
 		for _, callers := range []int{1, 100, 1000} {
 			b.Run(fmt.Sprintf("body=%d/callers=%d", size, callers), func(b *testing.B) {
-				target := benchServe(b, benchTarget{body: make([]byte, size)})
-				relay := benchRelay(b, target)
-				each := max(b.N/callers, 3)
-				load(b, target, callers, 2, 0)
-				load(b, relay, callers, 2, 0)
-				compare(b, load(b, target, callers, each, 0), load(b, relay, callers, each, 0))
+				target := startBenchServer(b, benchTarget{body: make([]byte, size)})
+				relay := startBenchRelay(b, target)
+				requestsPerCaller := max(b.N/callers, 3)
+				runCallers(b, target, callers, 2, 0)
+				runCallers(b, relay, callers, 2, 0)
+				reportLatencies(b, runCallers(b, target, callers, requestsPerCaller, 0), runCallers(b, relay, callers, requestsPerCaller, 0))
 			})
 		}
 	}
 }
 
-func compare(b *testing.B, direct, through []time.Duration) {
+func reportLatencies(b *testing.B, direct, through []time.Duration) {
 	b.ReportMetric(quantile(direct, 0.5), "direct-p50-us")
 	b.ReportMetric(quantile(through, 0.5), "relay-p50-us")
 	b.ReportMetric(quantile(direct, 0.99), "direct-p99-us")
@@ -160,25 +161,27 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkPlannedRate compares at the rate planned for one daemon at the peak,
-// 97 requests/s, and at ten times that rate, from 100 callers.
+// BenchmarkPlannedRate makes the same comparison as BenchmarkAddedLatency with 100
+// callers, at the peak rate planned for one daemon, 97 requests/s, and at ten
+// times that rate.
 func BenchmarkPlannedRate(b *testing.B) {
 	const callers = 100
 	for _, rate := range []int{97, 970} {
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
-			target := benchServe(b, benchTarget{body: make([]byte, 200)})
-			relay := benchRelay(b, target)
+			target := startBenchServer(b, benchTarget{body: make([]byte, 200)})
+			relay := startBenchRelay(b, target)
 			pause := time.Second * callers / time.Duration(rate)
-			each := max(b.N/callers, 3)
-			compare(b, load(b, target, callers, each, pause), load(b, relay, callers, each, pause))
+			requestsPerCaller := max(b.N/callers, 3)
+			reportLatencies(b, runCallers(b, target, callers, requestsPerCaller, pause), runCallers(b, relay, callers, requestsPerCaller, pause))
 		})
 	}
 }
 
-// BenchmarkRelayAllocs counts the allocations of the daemon for one request,
-// without a caller's and a target's own.
+// BenchmarkRelayAllocs measures the allocations of a Relay for one request. It
+// calls the handler directly, so that no HTTP client of a caller is included; the
+// target's server runs in the same process and is.
 func BenchmarkRelayAllocs(b *testing.B) {
-	target := benchServe(b, benchTarget{body: make([]byte, 200)})
+	target := startBenchServer(b, benchTarget{body: make([]byte, 200)})
 	service := &fleet.Service{ID: "disponible", Routes: []fleet.Route{lookupRoute()}}
 	service.Targets = []fleet.Target{{ID: "t1", Address: target, Slots: 2}}
 	carrier := NewCarrier(fleet.VM{ID: "vm1"}, service)
@@ -192,7 +195,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		r := benchRequest()
-		relay.ServeHTTP(&nullWriter{header: http.Header{}}, r)
+		relay.ServeHTTP(&discardWriter{header: http.Header{}}, r)
 	}
 }
 
@@ -203,8 +206,8 @@
 	return r
 }
 
-type nullWriter struct{ header http.Header }
+type discardWriter struct{ header http.Header }
 
-func (w *nullWriter) Header() http.Header         { return w.header }
-func (w *nullWriter) Write(p []byte) (int, error) { return len(p), nil }
-func (w *nullWriter) WriteHeader(int)             {}
+func (w *discardWriter) Header() http.Header         { return w.header }
+func (w *discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (w *discardWriter) WriteHeader(int)             {}
--- a/core/proxy/proxy_test.go
+++ b/core/proxy/proxy_test.go
@@ -28,8 +28,8 @@
 	RunSpecs(t, "proxy")
 }
 
-// rig is a relay before stand-in targets on loopback.
-type rig struct {
+// testRelay is a Relay with stand-in targets on the loopback interface.
+type testRelay struct {
 	service *fleet.Service
 	carrier *Carrier
 	targets []*stand.Target
@@ -41,25 +41,25 @@
 	return fleet.Route{Name: "stock", Methods: []string{"GET", "HEAD"}, PathPrefix: "/stock", Kind: fleet.Lookup, Idempotent: true, Deadline: 5 * time.Second, Attempts: 3, MaxBody: 1 << 20}
 }
 
-func newRig(n int, routes ...fleet.Route) *rig {
-	rg := &rig{service: &fleet.Service{ID: "disponible", Workspace: "cortavientos", Routes: routes}}
-	rg.service.Policy = fleet.Policy{RetryBudget: 1, QueueLength: 16, AddressTTL: 30 * time.Second}
+func newTestRelay(n int, routes ...fleet.Route) *testRelay {
+	tr := &testRelay{service: &fleet.Service{ID: "disponible", Workspace: "cortavientos", Routes: routes}}
+	tr.service.Policy = fleet.Policy{RetryBudget: 1, QueueLength: 16, AddressTTL: 30 * time.Second}
 	var states []limit.Target
 	for i := range n {
 		t := stand.NewTarget(fmt.Sprintf("t%d", i+1), stand.WithWork(0))
 		s := httptest.NewServer(t)
 		DeferCleanup(s.Close)
-		rg.targets = append(rg.targets, t)
+		tr.targets = append(tr.targets, t)
 		id := fleet.TargetID(fmt.Sprintf("t%d", i+1))
-		rg.service.Targets = append(rg.service.Targets, fleet.Target{ID: id, Address: s.Listener.Addr().String(), Slots: 2})
+		tr.service.Targets = append(tr.service.Targets, fleet.Target{ID: id, Address: s.Listener.Addr().String(), Slots: 2})
 		states = append(states, limit.Target{ID: id, Slots: 2, State: choose.Ready, Weight: 1, SameDataCentre: true})
 	}
-	rg.carrier = NewCarrier(fleet.VM{ID: "vm1"}, rg.service)
-	rg.carrier.Update(rg.service, states, nil)
-	rg.relay = NewRelay(fleet.VM{ID: "vm1"}, Fleet{
-		Carrier: func(id fleet.ServiceID) (*Carrier, bool) { return rg.carrier, id == rg.service.ID },
+	tr.carrier = NewCarrier(fleet.VM{ID: "vm1"}, tr.service)
+	tr.carrier.Update(tr.service, states, nil)
+	tr.relay = NewRelay(fleet.VM{ID: "vm1"}, Fleet{
+		Carrier: func(id fleet.ServiceID) (*Carrier, bool) { return tr.carrier, id == tr.service.ID },
 		Service: func(id fleet.ServiceID) (*fleet.Service, bool) {
-			return rg.service, id == rg.service.ID || id == "reservas"
+			return tr.service, id == tr.service.ID || id == "reservas"
 		},
 		Addresses: func(id fleet.ServiceID, dc fleet.DataCentre, _ string) AddressList {
 			return AddressList{Service: id, TTLSeconds: 30, Addresses: []Address{{VM: "vm1", DataCentre: dc, Address: "127.0.0.1:1"}}}
@@ -67,20 +67,20 @@
 		HasWorkspace: func(id fleet.WorkspaceID) bool { return id != "nowhere" },
 		Ready:        func() bool { return true },
 		Leaving:      func() bool { return false },
-	}, newManager())
-	rg.server = httptest.NewServer(rg.relay)
-	DeferCleanup(rg.server.Close)
-	return rg
+	}, newOrderManager())
+	tr.server = httptest.NewServer(tr.relay)
+	DeferCleanup(tr.server.Close)
+	return tr
 }
 
-func newManager() *order.Manager {
+func newOrderManager() *order.Manager {
 	signer, err := order.NewSigner([]byte("0123456789abcdef"))
 	Expect(err).NotTo(HaveOccurred())
 	return order.NewManager(fleet.NewIncarnation("vm1"), signer)
 }
 
-func (rg *rig) do(method, path string, header http.Header, body io.Reader) *http.Response {
-	req, err := http.NewRequestWithContext(context.Background(), method, rg.server.URL+path, body)
+func (tr *testRelay) do(method, path string, header http.Header, body io.Reader) *http.Response {
+	req, err := http.NewRequestWithContext(context.Background(), method, tr.server.URL+path, body)
 	Expect(err).NotTo(HaveOccurred())
 	for k, v := range header {
 		req.Header[k] = v
@@ -94,7 +94,7 @@
 	return resp
 }
 
-func problemOf(resp *http.Response) Problem {
+func decodeProblem(resp *http.Response) Problem {
 	var p Problem
 	Expect(resp.Header.Get("Content-Type")).To(Equal("application/problem+json"))
 	Expect(json.NewDecoder(resp.Body).Decode(&p)).To(Succeed())
@@ -104,10 +104,10 @@
 
 var _ = Describe("Relay", func() {
 	It("gives each caller the whole response to its own request", func() {
-		rg := newRig(3, lookupRoute())
+		tr := newTestRelay(3, lookupRoute())
 		for i := range 20 {
 			id := fmt.Sprintf("caller-%d", i)
-			resp := rg.do("GET", "/stock/azul", http.Header{HeaderRequestID: {id}}, nil)
+			resp := tr.do("GET", "/stock/azul", http.Header{HeaderRequestID: {id}}, nil)
 			var a stand.WorkAnswer
 			Expect(json.NewDecoder(resp.Body).Decode(&a)).To(Succeed())
 			Expect(a.RequestID).To(Equal(id))
@@ -115,12 +115,12 @@
 		}
 	})
 
-	DescribeTable("tries another target for an idempotent request, so that one bad target is not seen by callers",
+	DescribeTable("tries another target for an idempotent request, so that callers do not notice one faulty target",
 		func(f stand.Faults) {
-			rg := newRig(3, lookupRoute())
-			rg.targets[0].Misbehave(f)
+			tr := newTestRelay(3, lookupRoute())
+			tr.targets[0].Misbehave(f)
 			for range 12 {
-				Expect(rg.do("GET", "/stock", nil, nil).StatusCode).To(Equal(http.StatusOK))
+				Expect(tr.do("GET", "/stock", nil, nil).StatusCode).To(Equal(http.StatusOK))
 			}
 		},
 		Entry("failing work", stand.Faults{FailWork: true}),
@@ -130,45 +130,45 @@
 		Entry("shedding", stand.Faults{ShedAll: true}),
 	)
 
-	It("finds a failure inside a success status by the route's rule", func() {
+	It("detects a failure in the body of a success response by the route's rule", func() {
 		route := lookupRoute()
 		route.BodyFailure = &fleet.BodyFailure{ContentType: "application/json", Contains: `"error":`, Within: 512}
-		rg := newRig(2, route)
-		rg.targets[0].Misbehave(stand.Faults{BodyFailure: true})
+		tr := newTestRelay(2, route)
+		tr.targets[0].Misbehave(stand.Faults{BodyFailure: true})
 		for range 8 {
-			resp := rg.do("GET", "/stock", nil, nil)
+			resp := tr.do("GET", "/stock", nil, nil)
 			Expect(io.ReadAll(resp.Body)).NotTo(ContainSubstring("error"))
 		}
 	})
 
-	It("reports a truncated response that no other target can replace", func() {
-		rg := newRig(1, lookupRoute())
-		rg.targets[0].Misbehave(stand.Faults{CutShort: true})
-		resp := rg.do("GET", "/stock", nil, nil)
+	It("reports a truncated response as an error if there is no other target", func() {
+		tr := newTestRelay(1, lookupRoute())
+		tr.targets[0].Misbehave(stand.Faults{CutShort: true})
+		resp := tr.do("GET", "/stock", nil, nil)
 		Expect(resp.StatusCode).To(Equal(http.StatusBadGateway))
-		Expect(problemOf(resp).Kind).To(Equal("target-short"))
+		Expect(decodeProblem(resp).Kind).To(Equal("target-short"))
 	})
 
-	DescribeTable("refuses with a kind and an outcome",
+	DescribeTable("refuses an invalid request with the kind of the error and the outcome not-run",
 		func(method, path string, header http.Header, status int, kind string) {
-			rg := newRig(1, lookupRoute())
-			resp := rg.do(method, path, header, nil)
+			tr := newTestRelay(1, lookupRoute())
+			resp := tr.do(method, path, header, nil)
 			Expect(resp.StatusCode).To(Equal(status))
-			p := problemOf(resp)
+			p := decodeProblem(resp)
 			Expect(p.Kind).To(Equal(kind))
 			Expect(p.Outcome).To(BeEquivalentTo("not-run"))
 		},
 		Entry("unknown path", "GET", "/stocks", nil, 404, "unknown-route"),
 		Entry("method", "DELETE", "/stock", nil, 405, "method-not-allowed"),
 		Entry("unknown service", "GET", "/stock", http.Header{HeaderService: {"nope"}}, 404, "unknown-service"),
-		Entry("service of other daemons", "GET", "/stock", http.Header{HeaderService: {"reservas"}}, 421, "not-carried"),
-		Entry("made-up workspace", "GET", "/stock", http.Header{HeaderWorkspace: {"nowhere"}}, 400, "bad-request"),
-		Entry("bad deadline", "GET", "/stock", http.Header{HeaderDeadline: {"-5"}}, 400, "bad-request"),
+		Entry("service carried by other daemons only", "GET", "/stock", http.Header{HeaderService: {"reservas"}}, 421, "not-carried"),
+		Entry("unknown workspace", "GET", "/stock", http.Header{HeaderWorkspace: {"nowhere"}}, 400, "bad-request"),
+		Entry("invalid deadline", "GET", "/stock", http.Header{HeaderDeadline: {"-5"}}, 400, "bad-request"),
 	)
 
-	It("passes deadline and addresses on by the book and hides hop-by-hop fields", func() {
+	It("forwards the deadline, the Forwarded field and trace headers, and removes hop-by-hop fields", func() {
 		seen := make(chan *http.Request, 1)
-		rg := newRig(1, lookupRoute())
+		tr := newTestRelay(1, lookupRoute())
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			seen <- r
 			w.Header().Set(HeaderOutcome, "not-run")
@@ -177,10 +177,10 @@
 			fmt.Fprint(w, "ok")
 		}))
 		DeferCleanup(s.Close)
-		moved := *rg.service
+		moved := *tr.service
 		moved.Targets = []fleet.Target{{ID: "t1", Address: s.Listener.Addr().String(), Slots: 2}}
-		rg.carrier.Update(&moved, []limit.Target{{ID: "t1", Slots: 2, State: choose.Ready, Weight: 1}}, nil)
-		resp := rg.do("GET", "/stock?x=1%2F2", http.Header{
+		tr.carrier.Update(&moved, []limit.Target{{ID: "t1", Slots: 2, State: choose.Ready, Weight: 1}}, nil)
+		resp := tr.do("GET", "/stock?x=1%2F2", http.Header{
 			"Connection": {"X-Private"}, "X-Private": {"1"}, HeaderDeadline: {"900"}, "Traceparent": {"00-a-b-01"},
 			"Forwarded": {"for=10.0.0.9"},
 		}, nil)
@@ -198,49 +198,49 @@
 		Expect(resp.Header.Get(HeaderOutcome)).NotTo(Equal("not-run"))
 	})
 
-	It("drops what a request with two framings hides behind itself", func() {
-		rg := newRig(1, fleet.Route{Name: "any", Methods: []string{"POST", "GET"}, PathPrefix: "/", Idempotent: true, Deadline: time.Second, Attempts: 1, MaxBody: 100})
-		c, err := net.Dial("tcp", rg.server.Listener.Addr().String())
+	It("does not process a request smuggled behind one with both Content-Length and chunked encoding", func() {
+		tr := newTestRelay(1, fleet.Route{Name: "any", Methods: []string{"POST", "GET"}, PathPrefix: "/", Idempotent: true, Deadline: time.Second, Attempts: 1, MaxBody: 100})
+		c, err := net.Dial("tcp", tr.server.Listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
 		defer c.Close()
 		head := "POST /a HTTP/1.1\r\nHost: x\r\nWisteria-Service: disponible\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
-		hidden := "GET /hidden HTTP/1.1\r\nHost: x\r\nWisteria-Service: disponible\r\n\r\n"
-		_, err = io.WriteString(c, head+"0\r\n\r\n"+hidden)
+		smuggled := "GET /hidden HTTP/1.1\r\nHost: x\r\nWisteria-Service: disponible\r\n\r\n"
+		_, err = io.WriteString(c, head+"0\r\n\r\n"+smuggled)
 		Expect(err).NotTo(HaveOccurred())
 		all, err := io.ReadAll(bufio.NewReader(c))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(strings.Count(string(all), "HTTP/1.1 ")).To(Equal(1))
-		Expect(rg.targets[0].Served()).To(BeEquivalentTo(1))
+		Expect(tr.targets[0].Served()).To(BeEquivalentTo(1))
 	})
 
-	It("aborts the caller's stream when a large response is cut, so that it is not taken for whole", func() {
+	It("aborts the response to the caller if a large response is truncated, so that it is not taken for a complete one", func() {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", fmt.Sprint(1<<20))
 			_, _ = w.Write(make([]byte, 1<<19))
 			panic(http.ErrAbortHandler)
 		}))
 		DeferCleanup(s.Close)
-		rg := newRig(1, lookupRoute())
-		moved := *rg.service
+		tr := newTestRelay(1, lookupRoute())
+		moved := *tr.service
 		moved.Targets = []fleet.Target{{ID: "t1", Address: s.Listener.Addr().String(), Slots: 2}}
-		rg.carrier.Update(&moved, []limit.Target{{ID: "t1", Slots: 2, State: choose.Ready, Weight: 1}}, nil)
-		resp := rg.do("GET", "/stock", nil, nil)
+		tr.carrier.Update(&moved, []limit.Target{{ID: "t1", Slots: 2, State: choose.Ready, Weight: 1}}, nil)
+		resp := tr.do("GET", "/stock", nil, nil)
 		_, err := io.ReadAll(resp.Body)
 		Expect(err).To(MatchError(io.ErrUnexpectedEOF))
-		Eventually(func() int { return len(rg.carrier.Gate().InFlight()) }).WithTimeout(10 * time.Second).Should(BeZero())
+		Eventually(func() int { return len(tr.carrier.Gate().InFlight()) }).WithTimeout(10 * time.Second).Should(BeZero())
 	})
 
 	It("streams a large request body and refuses one that is too large", func() {
 		route := fleet.Route{Name: "up", Methods: []string{"PUT"}, PathPrefix: "/", Idempotent: true, Deadline: 5 * time.Second, Attempts: 2, MaxBody: 1 << 20}
-		rg := newRig(1, route)
-		Expect(rg.do("PUT", "/x", nil, strings.NewReader(strings.Repeat("a", 1<<19))).StatusCode).To(Equal(200))
-		Expect(rg.do("PUT", "/x", nil, strings.NewReader(strings.Repeat("a", 2<<20))).StatusCode).To(Equal(413))
+		tr := newTestRelay(1, route)
+		Expect(tr.do("PUT", "/x", nil, strings.NewReader(strings.Repeat("a", 1<<19))).StatusCode).To(Equal(200))
+		Expect(tr.do("PUT", "/x", nil, strings.NewReader(strings.Repeat("a", 2<<20))).StatusCode).To(Equal(413))
 	})
 
-	It("refuses a request whose body does not arrive before the deadline, so that slow callers hold nothing", func() {
+	It("refuses a request whose body does not arrive before the deadline, so that slow callers do not hold slots", func() {
 		route := fleet.Route{Name: "any", Methods: []string{"GET", "PUT"}, PathPrefix: "/", Idempotent: true, Deadline: 50 * time.Millisecond, Attempts: 1, MaxBody: 100}
-		rg := newRig(1, route)
-		c, err := net.Dial("tcp", rg.server.Listener.Addr().String())
+		tr := newTestRelay(1, route)
+		c, err := net.Dial("tcp", tr.server.Listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
 		defer c.Close()
 		_, err = io.WriteString(c, "PUT /a HTTP/1.1\r\nHost: x\r\nWisteria-Service: disponible\r\nContent-Length: 4\r\n\r\nab")
@@ -249,25 +249,25 @@
 		Expect(err).NotTo(HaveOccurred())
 		defer resp.Body.Close()
 		Expect(resp.StatusCode).To(Equal(http.StatusBadRequest))
-		Expect(rg.carrier.Gate().InFlight()).To(BeEmpty())
+		Expect(tr.carrier.Gate().InFlight()).To(BeEmpty())
 	})
 
-	It("hedges a slow request within the budget", func() {
+	It("hedges a slow request within the retry budget", func() {
 		route := lookupRoute()
 		route.HedgeAfter = 20 * time.Millisecond
-		rg := newRig(2, route)
-		rg.targets[0].Misbehave(stand.Faults{Hang: true})
-		rg.targets[1].Misbehave(stand.Faults{})
+		tr := newTestRelay(2, route)
+		tr.targets[0].Misbehave(stand.Faults{Hang: true})
+		tr.targets[1].Misbehave(stand.Faults{})
 		for range 4 {
-			resp := rg.do("GET", "/stock", nil, nil)
+			resp := tr.do("GET", "/stock", nil, nil)
 			Expect(resp.StatusCode).To(Equal(200))
 		}
-		Eventually(func() int { return len(rg.carrier.Gate().InFlight()) }).WithTimeout(10 * time.Second).Should(BeZero())
+		Eventually(func() int { return len(tr.carrier.Gate().InFlight()) }).WithTimeout(10 * time.Second).Should(BeZero())
 	})
 
-	It("tells which addresses to use", func() {
-		rg := newRig(1, lookupRoute())
-		resp, err := http.Get(rg.server.URL + "/v1/addresses?service=disponible&data-centre=mdp")
+	It("responds with the addresses of a service", func() {
+		tr := newTestRelay(1, lookupRoute())
+		resp, err := http.Get(tr.server.URL + "/v1/addresses?service=disponible&data-centre=mdp")
 		Expect(err).NotTo(HaveOccurred())
 		defer resp.Body.Close()
 		var list AddressList
