--- a/core/proxy/bench_test.go
+++ b/core/proxy/bench_test.go
@@ -27,6 +27,7 @@
 	_, _ = w.Write(t.body)
 }
 
+// startBenchServer serves h on a loopback address, which it returns.
 func startBenchServer(b *testing.B, h http.Handler) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -45,6 +46,8 @@
 
 func (s *benchServer) run() { _ = s.server.Serve(s.listener) }
 
+// startBenchRelay starts a Relay for 10 targets that all have the given address, and
+// returns its own.
 func startBenchRelay(b *testing.B, target string) string {
 	const targets = 10
 	service := &fleet.Service{ID: "disponible", Routes: []fleet.Route{lookupRoute()}}
@@ -107,6 +110,8 @@
 	return err
 }
 
+// runCallers sends the requests of all callers to the address and returns their
+// latencies in ascending order.
 func runCallers(b *testing.B, address string, callers, requestsPerCaller int, pause time.Duration) []time.Duration {
 	var running sync.WaitGroup
 	all := make([]*benchCaller, callers)
@@ -129,6 +134,7 @@
 	return elapsed
 }
 
+// quantile returns the q-quantile of the sorted durations in microseconds.
 func quantile(sorted []time.Duration, q float64) float64 {
 	return float64(sorted[int(q*float64(len(sorted)-1))].Microseconds())
 }
@@ -152,6 +158,8 @@
 	}
 }
 
+// reportLatencies reports the latencies of requests sent directly to the target and
+// through the daemon.
 func reportLatencies(b *testing.B, direct, through []time.Duration) {
 	b.ReportMetric(quantile(direct, 0.5), "direct-p50-us")
 	b.ReportMetric(quantile(through, 0.5), "relay-p50-us")
@@ -206,6 +214,7 @@
 	return r
 }
 
+// discardWriter is an http.ResponseWriter that discards the response.
 type discardWriter struct{ header http.Header }
 
 func (w *discardWriter) Header() http.Header         { return w.header }
--- a/core/proxy/headers.go
+++ b/core/proxy/headers.go
@@ -167,9 +167,10 @@
 	return service
 }
 
-// requestDeadline returns the deadline of a request that may take the limit of its
-// route, or the requested time if that is shorter; 0 means that the caller
-// requested none. An earlier deadline of ctx takes precedence.
+// requestDeadline returns the deadline of a request that arrived at now: it may
+// take the limit of its route or the time that the caller requested, whichever is
+// shorter. requested is 0 if the caller states no time. An earlier deadline of ctx
+// takes precedence.
 func requestDeadline(ctx context.Context, now time.Time, limit, requested time.Duration) time.Time {
 	if requested > 0 {
 		limit = min(limit, requested)
--- a/core/proxy/proxy_test.go
+++ b/core/proxy/proxy_test.go
@@ -41,6 +41,7 @@
 	return fleet.Route{Name: "stock", Methods: []string{"GET", "HEAD"}, PathPrefix: "/stock", Kind: fleet.Lookup, Idempotent: true, Deadline: 5 * time.Second, Attempts: 3, MaxBody: 1 << 20}
 }
 
+// newTestRelay starts a testRelay with n targets of 2 slots each.
 func newTestRelay(n int, routes ...fleet.Route) *testRelay {
 	tr := &testRelay{service: &fleet.Service{ID: "disponible", Workspace: "cortavientos", Routes: routes}}
 	tr.service.Policy = fleet.Policy{RetryBudget: 1, QueueLength: 16, AddressTTL: 30 * time.Second}
@@ -79,6 +80,7 @@
 	return order.NewManager(fleet.NewIncarnation("vm1"), signer)
 }
 
+// do sends a request to the relay, by default for the service disponible.
 func (tr *testRelay) do(method, path string, header http.Header, body io.Reader) *http.Response {
 	req, err := http.NewRequestWithContext(context.Background(), method, tr.server.URL+path, body)
 	Expect(err).NotTo(HaveOccurred())
@@ -94,6 +96,8 @@
 	return resp
 }
 
+// decodeProblem decodes the problem in a response and expects its outcome in the
+// header as well.
 func decodeProblem(resp *http.Response) Problem {
 	var p Problem
 	Expect(resp.Header.Get("Content-Type")).To(Equal("application/problem+json"))
--- a/core/proxy/relay.go
+++ b/core/proxy/relay.go
@@ -206,8 +206,8 @@
 	c.refuse(fault.New(fault.NotCarried, "service %s is carried by the daemons listed", c.serviceID))
 }
 
-// refuse responds with a problem and logs the reason. If the caller has gone, it
-// aborts the connection instead.
+// refuse responds with a problem and logs the reason. If the caller has
+// disconnected, it aborts the connection instead.
 func (c *call) refuse(e *fault.Error) {
 	rl := c.relay
 	if c.in == nil && c.request.Header.Get(HeaderOrderKey) != "" && e.Outcome == fault.NotRun {
--- a/core/proxy/upstream.go
+++ b/core/proxy/upstream.go
@@ -168,7 +168,8 @@
 	}
 }
 
-// Close closes the idle connections of a service that is no longer carried.
+// Close closes the idle connections to all targets. It is called when the service
+// is no longer carried.
 func (c *Carrier) Close() {
 	for _, pool := range c.routing.Load().pools {
 		pool.Close()
