--- a/core/proxy/exchange.go
+++ b/core/proxy/exchange.go
@@ -11,173 +11,185 @@
 	"wisteriarelay.example/core/retry"
 )
 
-// exchange is the handling of one request over all its attempts.
-type exchange struct {
-	carrier *Carrier
-	in      *inbound
-	tried   []fleet.TargetID
-	number  int
+// forwarder sends one request of a caller to targets, in one or more attempts.
+type forwarder struct {
+	upstream *Carrier
+	in       *inboundRequest
+	// tried names the targets of the attempts so far.
+	tried []fleet.TargetID
+	// attempts is the number of attempts so far; hedged attempts count.
+	attempts int
+	// outcome is the merged outcome of the attempts so far.
 	outcome fault.Outcome
-	last    *answer
+	// lastResult is the result of the last attempt while the next slot is awaited.
+	lastResult *attemptResult
 }
 
-// run tries targets until one answer stands or nothing more is allowed.
-func (x *exchange) run(ctx context.Context) *answer {
-	x.carrier.budget.Request()
+// run makes attempts until one is not to be retried or no slot is granted, and
+// returns the result for the caller.
+func (f *forwarder) run(ctx context.Context) *attemptResult {
+	f.upstream.budget.Request()
 	for {
-		grant, err := x.carrier.gate.Acquire(ctx, x.ask())
+		grant, err := f.upstream.limiter.Acquire(ctx, f.slotRequest())
 		if err != nil {
-			return x.withoutGrant(err)
+			return f.finishWithoutSlot(err)
 		}
-		if x.last != nil {
-			x.last.discard()
+		if f.lastResult != nil {
+			f.lastResult.discard()
 		}
-		a := x.send(ctx, grant)
-		decision := x.decide(a)
+		res := f.send(ctx, grant)
+		decision := f.decide(res)
 		if !decision.Retry {
-			return x.finish(a, decision)
+			return f.finish(res, decision)
 		}
-		x.last = a
-		if !a.whole() && a.err == nil {
-			// The body is not in memory, so keeping it would hold the target's slot.
-			a.discard()
-			x.last = nil
+		f.lastResult = res
+		if !res.buffered() && res.err == nil {
+			// The body is not in memory, so keeping the response would hold the target's slot.
+			res.discard()
+			f.lastResult = nil
 		}
 	}
 }
 
-func (x *exchange) ask() limit.Ask {
+// slotRequest returns the request for a slot at a target that was not tried yet.
+func (f *forwarder) slotRequest() limit.Ask {
 	return limit.Ask{
-		Workspace:  x.in.workspace,
-		Kind:       x.in.route.Kind,
-		Idempotent: x.in.route.Idempotent,
-		Deadline:   x.in.deadline,
-		Exclude:    x.tried,
+		Workspace:  f.in.workspace,
+		Kind:       f.in.route.Kind,
+		Idempotent: f.in.route.Idempotent,
+		Deadline:   f.in.deadline,
+		Exclude:    f.tried,
 	}
 }
 
-// withoutGrant ends the exchange because no target can take the request. An
-// earlier response stands if there is one.
-func (x *exchange) withoutGrant(err error) *answer {
-	if x.number > 0 {
-		x.carrier.budget.Return()
+// finishWithoutSlot returns the result of a request for which no further slot is
+// granted: the last result if there is one, else the error. It gives back the
+// retry that was taken from the budget.
+func (f *forwarder) finishWithoutSlot(err error) *attemptResult {
+	if f.attempts > 0 {
+		f.upstream.budget.Return()
 	}
-	if x.last != nil {
-		return x.finish(x.last, retry.Decision{Outcome: x.outcome})
+	if f.lastResult != nil {
+		return f.finish(f.lastResult, retry.Decision{Outcome: f.outcome})
 	}
 	e := fault.From(err)
-	if x.number > 0 {
-		e = e.WithOutcome(x.outcome)
+	if f.attempts > 0 {
+		e = e.WithOutcome(f.outcome)
 	}
-	return &answer{err: e, outcome: e.Outcome, settle: func(limit.Result) {}, cancel: func() {}}
+	return &attemptResult{err: e, outcome: e.Outcome, releaseSlot: func(limit.Result) {}, cancel: func() {}}
 }
 
-func (x *exchange) send(ctx context.Context, grant *limit.Grant) *answer {
-	t, ok := x.attempt(grant)
+// send makes one attempt, hedged if the route allows it, at the target of the grant.
+func (f *forwarder) send(ctx context.Context, grant *limit.Grant) *attemptResult {
+	a, ok := f.newAttempt(grant)
 	if !ok {
-		return x.gone(grant.Target)
+		return f.targetRemoved(grant.Target)
 	}
-	if x.in.route.HedgeAfter > 0 && x.in.route.Idempotent && x.in.buffered {
-		return x.hedge(ctx, t)
+	if f.in.route.HedgeAfter > 0 && f.in.route.Idempotent && f.in.buffered {
+		return f.runHedged(ctx, a)
 	}
-	return t.run(ctx)
+	return a.run(ctx)
 }
 
-// attempt prepares a request to the target of the grant; ok is false if the
-// target was removed from the settings since the grant.
-func (x *exchange) attempt(grant *limit.Grant) (*attempt, bool) {
-	x.number++
-	x.tried = append(x.tried, grant.Target)
-	r := x.carrier.routing.Load()
+// newAttempt returns an attempt at the target of the grant. It returns false if
+// the target was removed from the settings after the grant.
+func (f *forwarder) newAttempt(grant *limit.Grant) (*attempt, bool) {
+	f.attempts++
+	f.tried = append(f.tried, grant.Target)
+	r := f.upstream.routing.Load()
 	pool, ok := r.pools[grant.Target]
 	if !ok {
 		grant.Release(limit.Unused)
 		return nil, false
 	}
 	return &attempt{
-		carrier: x.carrier,
-		in:      x.in,
-		grant:   grant,
-		pool:    pool,
-		target:  r.targets[grant.Target],
-		limit:   x.attemptTime(),
+		upstream: f.upstream,
+		in:       f.in,
+		grant:    grant,
+		pool:     pool,
+		target:   r.targets[grant.Target],
+		timeout:  f.attemptTimeout(),
 	}, true
 }
 
-// gone is the answer for a target that was removed from the settings between
-// the grant and the attempt.
-func (x *exchange) gone(target fleet.TargetID) *answer {
-	a := &answer{target: target, ending: retry.NotDialled, settle: func(limit.Result) {}, cancel: func() {}}
-	a.err = fault.New(fault.TargetUnreachable, "target %s was removed from the settings", target)
-	return a
+// targetRemoved returns the result for a target that was removed from the settings
+// between the grant and the attempt.
+func (f *forwarder) targetRemoved(target fleet.TargetID) *attemptResult {
+	res := &attemptResult{target: target, ending: retry.NotDialled, releaseSlot: func(limit.Result) {}, cancel: func() {}}
+	res.err = fault.New(fault.TargetUnreachable, "target %s was removed from the settings", target)
+	return res
 }
 
-// expectedMultiple is the multiple of the usual service time that one attempt
+// minTimeoutFactor is the multiple of the expected service time that an attempt
 // gets at least, even if that leaves little time for another one.
-const expectedMultiple = 4
+const minTimeoutFactor = 4
 
-// attemptTime shares the remaining time among the attempts that are left, so
-// that a target that hangs does not use up the whole deadline.
-func (x *exchange) attemptTime() time.Duration {
-	left := time.Until(x.in.deadline)
-	attempts := x.in.route.Attempts - x.number + 1
-	if !x.in.route.Idempotent || attempts <= 1 {
-		return left
+// attemptTimeout returns the timeout of the next attempt. It divides the time
+// that is left among the attempts that are left, so that a target that hangs
+// does not use up the whole deadline.
+func (f *forwarder) attemptTimeout() time.Duration {
+	timeLeft := time.Until(f.in.deadline)
+	attemptsLeft := f.in.route.Attempts - f.attempts + 1
+	if !f.in.route.Idempotent || attemptsLeft <= 1 {
+		return timeLeft
 	}
-	share := max(left/time.Duration(attempts), expectedMultiple*x.carrier.gate.Expected(x.in.route.Kind))
-	return min(left, share)
+	share := max(timeLeft/time.Duration(attemptsLeft), minTimeoutFactor*f.upstream.limiter.Expected(f.in.route.Kind))
+	return min(timeLeft, share)
 }
 
-func (x *exchange) decide(a *answer) retry.Decision {
+// decide returns whether to retry after the result, and reports the attempt to
+// onAttempt.
+func (f *forwarder) decide(res *attemptResult) retry.Decision {
 	now := time.Now()
-	d := retry.Decide(x.in.route, retry.Attempt{
-		Number:   x.number,
-		Ending:   a.ending,
-		Earlier:  x.outcome,
-		Deadline: x.in.deadline,
-		Expected: x.carrier.gate.Expected(x.in.route.Kind),
-	}, x.carrier.budget, now)
-	if d.Retry && !x.in.buffered {
-		// A streamed body has been consumed and cannot be sent again.
-		x.carrier.budget.Return()
+	d := retry.Decide(f.in.route, retry.Attempt{
+		Number:   f.attempts,
+		Ending:   res.ending,
+		Earlier:  f.outcome,
+		Deadline: f.in.deadline,
+		Expected: f.upstream.limiter.Expected(f.in.route.Kind),
+	}, f.upstream.budget, now)
+	if d.Retry && !f.in.buffered {
+		// A streamed body has been read from the caller and cannot be sent again.
+		f.upstream.budget.Return()
 		d.Retry = false
 	}
-	x.outcome = d.Outcome
-	x.carrier.sink(AttemptMsg{
-		RequestID: x.in.requestID,
-		Service:   x.in.service.ID,
-		Route:     x.in.route.Name,
-		Target:    a.target,
-		Number:    x.number,
-		Ending:    a.ending,
-		Result:    a.result,
+	f.outcome = d.Outcome
+	f.upstream.onAttempt(AttemptMsg{
+		RequestID: f.in.requestID,
+		Service:   f.in.service.ID,
+		Route:     f.in.route.Name,
+		Target:    res.target,
+		Number:    f.attempts,
+		Ending:    res.ending,
+		Result:    res.targetResult,
 		Decision:  d,
-		Latency:   a.latency,
+		Latency:   res.latency,
 	})
 	return d
 }
 
-func (x *exchange) finish(a *answer, d retry.Decision) *answer {
-	a.outcome = d.Outcome
-	if a.ending == retry.RefusedBeforeStart && a.err == nil {
-		x.replaceRefusal(a)
+// finish sets the outcome of the request in its final result.
+func (f *forwarder) finish(res *attemptResult, d retry.Decision) *attemptResult {
+	res.outcome = d.Outcome
+	if res.ending == retry.RefusedBeforeStart && res.err == nil {
+		f.replaceRefusal(res)
 	}
-	if a.err != nil {
-		a.err = a.err.WithOutcome(d.Outcome)
+	if res.err != nil {
+		res.err = res.err.WithOutcome(d.Outcome)
 	}
-	return a
+	return res
 }
 
-// replaceRefusal turns a target's refusal into a failure of the daemon, whose
-// problem body says that the request was not run and when to try again.
-func (x *exchange) replaceRefusal(a *answer) {
-	if a.rest != nil {
-		a.discard()
-		a.rest = nil
+// replaceRefusal replaces a target's refusal by an error of the daemon, whose
+// problem details say that the request was not run and when it can be retried.
+func (f *forwarder) replaceRefusal(res *attemptResult) {
+	if res.rest != nil {
+		res.discard()
+		res.rest = nil
 	}
-	e := fault.New(fault.TargetShed, "target %s refused the request before it started it", a.target)
-	if seconds, err := strconv.Atoi(a.header.Get("Retry-After")); err == nil && seconds > 0 {
+	e := fault.New(fault.TargetShed, "target %s refused the request before it started it", res.target)
+	if seconds, err := strconv.Atoi(res.header.Get("Retry-After")); err == nil && seconds > 0 {
 		e = e.WithRetryAfter(time.Duration(seconds) * time.Second)
 	}
-	a.err = e
+	res.err = e
 }
