--- a/core/gossip/beliefs.go
+++ b/core/gossip/beliefs.go
@@ -39,40 +39,40 @@
 	Load int
 }
 
-func encodeBelief(b sched.TargetBelief) encodedBelief {
+func encodeBelief(b sched.TargetEstimate) encodedBelief {
 	scale := func(p float64) uint8 { return uint8(math.Round(p * math.MaxUint8)) }
 	out := encodedBelief{
 		ID:       b.ID,
-		Born:     b.Born,
-		Impaired: scale(b.Snapshot.Impaired),
-		Sick:     scale(b.Snapshot.Sick),
+		Born:     b.StartMillis,
+		Impaired: scale(b.Snapshot.Degraded),
+		Sick:     scale(b.Snapshot.Failing),
 		Age:      b.Snapshot.Age.Milliseconds(),
 		OnsetAge: -1,
 		Load:     b.Load,
 	}
-	if b.Snapshot.OnsetAge >= 0 {
-		out.OnsetAge = b.Snapshot.OnsetAge.Milliseconds()
+	if b.Snapshot.EpisodeAge >= 0 {
+		out.OnsetAge = b.Snapshot.EpisodeAge.Milliseconds()
 	}
 	return out
 }
 
-func (b *encodedBelief) decode() sched.TargetBelief {
+func (b *encodedBelief) decode() sched.TargetEstimate {
 	sick := float64(b.Sick) / math.MaxUint8
 	s := judge.Snapshot{
-		Impaired: min(float64(b.Impaired)/math.MaxUint8, 1-sick),
-		Sick:     sick,
-		Age:      time.Duration(max(b.Age, 0)) * time.Millisecond,
-		OnsetAge: -1,
+		Degraded:   min(float64(b.Impaired)/math.MaxUint8, 1-sick),
+		Failing:    sick,
+		Age:        time.Duration(max(b.Age, 0)) * time.Millisecond,
+		EpisodeAge: -1,
 	}
 	if b.OnsetAge >= 0 {
-		s.OnsetAge = time.Duration(b.OnsetAge) * time.Millisecond
+		s.EpisodeAge = time.Duration(b.OnsetAge) * time.Millisecond
 	}
-	return sched.TargetBelief{ID: b.ID, Born: b.Born, Snapshot: s, Load: b.Load}
+	return sched.TargetEstimate{ID: b.ID, StartMillis: b.Born, Snapshot: s, Load: b.Load}
 }
 
 // TellBeliefs sends a peer this daemon's beliefs about the targets of a service, in as
 // many reports as they need.
-func (n *Node) TellBeliefs(to roster.Member, service string, targets []sched.TargetBelief) {
+func (n *Node) TellBeliefs(to roster.Member, service string, targets []sched.TargetEstimate) {
 	remaining := (len(targets) + maxBeliefs - 1) / maxBeliefs
 	for part := range slices.Chunk(targets, maxBeliefs) {
 		remaining--
@@ -93,7 +93,7 @@
 // whose beliefs it requests.
 func (r *receiver) handleBeliefs(report *Report, from string) {
 	for _, b := range report.Beliefs {
-		targets := make([]sched.TargetBelief, 0, len(b.Targets))
+		targets := make([]sched.TargetEstimate, 0, len(b.Targets))
 		for i := range b.Targets {
 			targets = append(targets, b.Targets[i].decode())
 		}
--- a/core/gossip/events.go
+++ b/core/gossip/events.go
@@ -50,7 +50,7 @@
 	_, _ = d.WriteString(service)
 	_, _ = d.Write([]byte{0})
 	_, _ = d.WriteString(k.ID)
-	_, _ = d.Write(strconv.AppendInt([]byte{0}, k.Born, 10))
+	_, _ = d.Write(strconv.AppendInt([]byte{0}, k.StartMillis, 10))
 	return TargetHash(d.Sum64())
 }
 
--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -37,7 +37,7 @@
 	var queued []queuedEvent
 	for i := range uint64(maxEvents) {
 		queued = append(queued, newQueuedEvent(1<<40+1000*i, sched.Event{
-			Service: "service-with-a-name", Target: sched.Key{ID: "i-0123456789", Born: 1 << 41}, InFlight: 300, Result: judge.Broken, Latency: time.Hour,
+			Service: "service-with-a-name", Target: sched.Key{ID: "i-0123456789", StartMillis: 1 << 41}, InFlight: 300, Result: judge.Broken, Latency: time.Hour,
 		}))
 	}
 	events.EventBatch = newEventBatch(queued)
@@ -58,8 +58,8 @@
 
 	beliefs := Report{VM: "front-lautoka-north-12", Born: 1 << 41, Beliefs: []ServiceBeliefs{{Service: "service-with-a-name"}}}
 	for range maxBeliefs {
-		beliefs.Beliefs[0].Targets = append(beliefs.Beliefs[0].Targets, encodeBelief(sched.TargetBelief{
-			ID: "i-0123456789", Born: 1 << 41, Snapshot: judge.Snapshot{Impaired: 0.123, Sick: 0.456, Age: 1 << 33, OnsetAge: 1 << 33},
+		beliefs.Beliefs[0].Targets = append(beliefs.Beliefs[0].Targets, encodeBelief(sched.TargetEstimate{
+			ID: "i-0123456789", StartMillis: 1 << 41, Snapshot: judge.Snapshot{Degraded: 0.123, Failing: 0.456, Age: 1 << 33, EpisodeAge: 1 << 33},
 		}))
 	}
 	_, err = beliefs.Encode()
@@ -157,8 +157,8 @@
 // same hash, and against losing the results of all other targets as well.
 func TestTargetsWithCollidingHashesAreLeftOut(t *testing.T) {
 	g := NewWithT(t)
-	one := sched.Target{Key: sched.Key{ID: "t1", Born: 1}}
-	again := sched.Target{Key: sched.Key{ID: "t1", Born: 2}}
+	one := sched.Target{Key: sched.Key{ID: "t1", StartMillis: 1}}
+	again := sched.Target{Key: sched.Key{ID: "t1", StartMillis: 2}}
 	index := NewTargetIndex(map[string][]sched.Target{"orders": {one, again, one}, "stock": {one}})
 	g.Expect(index).To(HaveLen(2))
 	g.Expect(index[HashTarget("orders", again.Key)]).To(Equal(TargetRef{Service: "orders", Key: again.Key}))
@@ -173,7 +173,7 @@
 	size := func(count int) int {
 		var events []queuedEvent
 		for i := range uint64(count) {
-			events = append(events, newQueuedEvent(1<<40+i, sched.Event{Service: "reservas", Target: sched.Key{ID: "i-0123456789", Born: 1 << 41}, InFlight: 2, Result: judge.Served, Latency: 400 * time.Millisecond}))
+			events = append(events, newQueuedEvent(1<<40+i, sched.Event{Service: "reservas", Target: sched.Key{ID: "i-0123456789", StartMillis: 1 << 41}, InFlight: 2, Result: judge.Served, Latency: 400 * time.Millisecond}))
 		}
 		data, err := (&Report{VM: "front-mdp-1", Born: 1 << 41, EventBatch: newEventBatch(events)}).Encode()
 		g.Expect(err).NotTo(HaveOccurred())
--- a/core/gossip/node.go
+++ b/core/gossip/node.go
@@ -57,7 +57,7 @@
 	Config func(d Document)
 	// Beliefs is called with a peer's beliefs about targets of a service; left is the
 	// number of reports on the service that follow.
-	Beliefs func(service string, targets []sched.TargetBelief, left int)
+	Beliefs func(service string, targets []sched.TargetEstimate, left int)
 	// Asked is called if a peer requests this daemon's beliefs about a service.
 	Asked func(peer roster.Member, service string)
 }
--- a/core/judge/belief.go
+++ b/core/judge/belief.go
@@ -232,21 +232,21 @@
 // Snapshot is an estimate in a form that can be sent to a peer. It holds ages
 // instead of times, so that it does not depend on the sender's clock.
 type Snapshot struct {
-	// Impaired is the probability of the degraded state.
-	Impaired float64
-	// Sick is the probability of the failing state.
-	Sick float64
+	// Degraded is the probability of the degraded state.
+	Degraded float64
+	// Failing is the probability of the failing state.
+	Failing float64
 	// Age is the time since the last result.
 	Age time.Duration
-	// OnsetAge is the time since the episode started; it is negative without an episode.
-	OnsetAge time.Duration
+	// EpisodeAge is the time since the episode started; it is negative without an episode.
+	EpisodeAge time.Duration
 }
 
 // Snapshot returns the estimate; ok is false if there is no evidence.
 func (e *Estimate) Snapshot(now time.Time) (s Snapshot, ok bool) {
-	s = Snapshot{Impaired: e.probabilities[degraded], Sick: e.probabilities[failing], Age: now.Sub(e.asOf), OnsetAge: -1}
+	s = Snapshot{Degraded: e.probabilities[degraded], Failing: e.probabilities[failing], Age: now.Sub(e.asOf), EpisodeAge: -1}
 	if !e.episodeStart.IsZero() {
-		s.OnsetAge = now.Sub(e.episodeStart)
+		s.EpisodeAge = now.Sub(e.episodeStart)
 	}
 	return s, e.known
 }
@@ -258,8 +258,8 @@
 	if e.known && !asOf.After(e.asOf) {
 		return
 	}
-	*e = Estimate{probabilities: perState{1 - s.Impaired - s.Sick, s.Impaired, s.Sick}, asOf: asOf, known: true}
-	if s.OnsetAge >= 0 {
-		e.episodeStart = now.Add(-s.OnsetAge)
+	*e = Estimate{probabilities: perState{1 - s.Degraded - s.Failing, s.Degraded, s.Failing}, asOf: asOf, known: true}
+	if s.EpisodeAge >= 0 {
+		e.episodeStart = now.Add(-s.EpisodeAge)
 	}
 }
--- a/core/node/health_query_test.go
+++ b/core/node/health_query_test.go
@@ -27,7 +27,7 @@
 	n.self.Inner = n.gossipConn.LocalAddr().String()
 	n.relay.SetTable(route.Compile(&route.Config{Version: 1, Services: []route.Service{{Name: "orders"}}}))
 	n.relay.SetTargets(map[string][]sched.Target{"orders": {
-		{Key: sched.Key{ID: "t0", Born: 1}, DataCentre: "a", Slots: 2}, {Key: sched.Key{ID: "t1", Born: 1}, DataCentre: "a", Slots: 2},
+		{Key: sched.Key{ID: "t0", StartMillis: 1}, DataCentre: "a", Slots: 2}, {Key: sched.Key{ID: "t1", StartMillis: 1}, DataCentre: "a", Slots: 2},
 	}})
 	n.listLoaded.Store(true)
 	n.gossip.Start(t.Context())
@@ -65,11 +65,11 @@
 	g := NewWithT(t)
 	first, second, nonCarrier := newGossipingNode(t, "vm-1", highShare), newGossipingNode(t, "vm-2", highShare), newGossipingNode(t, "vm-3", lowShare)
 	exchangeReports(first, second, nonCarrier)
-	g.Expect(first.relay.Pool("orders").Informed()).To(BeTrue())
-	g.Expect(nonCarrier.relay.Pool("orders").Informed()).To(BeFalse())
+	g.Expect(first.relay.Pool("orders").ReceivesPeerEvents()).To(BeTrue())
+	g.Expect(nonCarrier.relay.Pool("orders").ReceivesPeerEvents()).To(BeFalse())
 	for _, n := range []*Node{first, second} {
 		for range 3 {
-			n.handleEvent("vm-9", sched.Event{Service: "orders", Target: sched.Key{ID: "t0", Born: 1}, Result: judge.Broken})
+			n.handleEvent("vm-9", sched.Event{Service: "orders", Target: sched.Key{ID: "t0", StartMillis: 1}, Result: judge.Broken})
 		}
 	}
 	// On a busy machine an answer may arrive after the request stopped waiting for it;
@@ -103,7 +103,7 @@
 		for _, m := range audience.Strays {
 			g.Expect(m.VM).To(BeElementOf("vm-3", "vm-4"))
 		}
-		g.Expect(n.relay.Pool("orders").Informed()).To(Equal(n.self.VM < "vm-3"))
+		g.Expect(n.relay.Pool("orders").ReceivesPeerEvents()).To(Equal(n.self.VM < "vm-3"))
 	}
 }
 
@@ -130,7 +130,7 @@
 func TestUnansweredHealthQueryTimesOutAndIsReused(t *testing.T) {
 	g := NewWithT(t)
 	n := newGossipingNode(t, "vm-3", lowShare)
-	n.relay.Pool("orders").SetInformed(false)
+	n.relay.Pool("orders").SetReceivesPeerEvents(false)
 	silent := n.self
 	silent.VM, silent.Inner, silent.Cores = "vm-1", "127.0.0.1:1", highShare
 	n.handleReport(silent, &gossip.Report{VM: "vm-1", DataCentre: "a", Ready: true})
--- a/core/node/maintenance.go
+++ b/core/node/maintenance.go
@@ -61,8 +61,8 @@
 	for _, s := range t.Services() {
 		group, cores := plan.Group(s)
 		carries := n.roster.Carries(now, group, cores)
-		n.relay.Pool(s).SetInformed(carries)
-		n.relay.Pool(s).SetTended(n.remotelyMonitored(n.eventAudience(s)))
+		n.relay.Pool(s).SetReceivesPeerEvents(carries)
+		n.relay.Pool(s).SetMonitoredElsewhere(n.remotelyMonitored(n.eventAudience(s)))
 		part := retry.PartOf(1, start)
 		part.Slack = 0
 		if carries {
--- a/core/node/peers.go
+++ b/core/node/peers.go
@@ -187,7 +187,7 @@
 	plan := n.plan()
 	for _, service := range n.services() {
 		if group, _ := plan.Group(service); slices.Contains(groups, group) {
-			n.gossip.TellBeliefs(m, service, n.relay.Pool(service).Beliefs())
+			n.gossip.TellBeliefs(m, service, n.relay.Pool(service).Estimates())
 		}
 	}
 }
@@ -212,11 +212,11 @@
 }
 
 func (n *Node) handleEvent(peer string, e sched.Event) {
-	n.relay.Pool(e.Service).Learn(peer, e)
+	n.relay.Pool(e.Service).ApplyPeerEvent(peer, e)
 }
 
-func (n *Node) handleEstimates(service string, targets []sched.TargetBelief, remaining int) {
-	n.relay.Pool(service).Adopt(targets)
+func (n *Node) handleEstimates(service string, targets []sched.TargetEstimate, remaining int) {
+	n.relay.Pool(service).MergeEstimates(targets)
 	if remaining == 0 {
 		n.healthQueries.complete(service)
 	}
--- a/core/relay/again.go
+++ b/core/relay/again.go
@@ -61,7 +61,7 @@
 	needsHedge := x.slowReported && !x.receivingResponse()
 	for t := range x.inFlight {
 		if t.headDelay.Load() == 0 {
-			needsHedge = t.grant.Report(observation) || needsHedge
+			needsHedge = t.grant.ReportPending(observation) || needsHedge
 		}
 	}
 	if needsHedge {
@@ -71,7 +71,7 @@
 		return 0
 	}
 	x.slowReported = true
-	return max(overdueFactor*x.targetPool.ServiceTime()-x.targetPool.SlowAfter(), time.Millisecond)
+	return max(overdueFactor*x.targetPool.ServiceTime()-x.targetPool.SlowThreshold(), time.Millisecond)
 }
 
 // receivingResponse reports whether the response header of an attempt in flight has
--- a/core/relay/attempt.go
+++ b/core/relay/attempt.go
@@ -21,7 +21,7 @@
 	exchange      *exchange
 	ctx           context.Context
 	cancel        context.CancelFunc
-	acquireParams sched.Ask
+	acquireParams sched.Request
 	results       chan<- *result
 	grant         *sched.Grant
 	startedAt     time.Time
@@ -70,7 +70,7 @@
 // observation. It is called when nothing more is read from the target.
 func (t *attempt) settle(observation judge.Result) {
 	t.cancel()
-	t.grant.Settle(observation, t.latency())
+	t.grant.Complete(observation, t.latency())
 }
 
 // latency returns the time until the response header arrived, or until now if none
--- a/core/relay/exchange.go
+++ b/core/relay/exchange.go
@@ -65,7 +65,7 @@
 	defer x.finish()
 	deadlineTimer := time.NewTimer(time.Until(x.deadline) + deadlineGrace)
 	defer deadlineTimer.Stop()
-	slowTimer := time.NewTimer(x.targetPool.SlowAfter())
+	slowTimer := time.NewTimer(x.targetPool.SlowThreshold())
 	defer slowTimer.Stop()
 	callerDone := ctx.Done()
 	x.start()
@@ -75,7 +75,7 @@
 			x.inFlight[t] = true
 			x.tried = append(x.tried, t.grant.Target.Key)
 			x.slowReported = false
-			slowTimer.Reset(x.targetPool.SlowAfter())
+			slowTimer.Reset(x.targetPool.SlowThreshold())
 		case r := <-x.results:
 			if a := x.handleResult(r); a != nil {
 				return a
@@ -107,14 +107,14 @@
 		cancel:    cancel,
 		startedAt: time.Now(),
 		results:   x.results,
-		acquireParams: sched.Ask{
-			Idempotent: x.route.Idempotent(),
-			Last:       !x.canRetry(),
-			Priority:   x.route.Priority,
-			Deadline:   x.deadline,
-			Objective:  x.objective(),
-			Bytes:      x.relay.sizes.mean(x.route.Name),
-			Tried:      x.tried,
+		acquireParams: sched.Request{
+			Idempotent:   x.route.Idempotent(),
+			FinalAttempt: !x.canRetry(),
+			Priority:     x.route.Priority,
+			Deadline:     x.deadline,
+			Objective:    x.objective(),
+			Bytes:        x.relay.sizes.mean(x.route.Name),
+			Tried:        x.tried,
 		},
 	}
 	x.running[t] = true
--- a/core/relay/large_test.go
+++ b/core/relay/large_test.go
@@ -97,8 +97,8 @@
 	}
 	r.SetTable(route.Compile(c))
 	r.SetTargets(map[string][]sched.Target{"archive": {
-		{Key: sched.Key{ID: "t0", Born: 1}, Address: "10.0.0.1:80", DataCentre: "a", Slots: 6},
-		{Key: sched.Key{ID: "t1", Born: 1}, Address: "10.0.0.2:80", DataCentre: "a", Slots: 6},
+		{Key: sched.Key{ID: "t0", StartMillis: 1}, Address: "10.0.0.1:80", DataCentre: "a", Slots: 6},
+		{Key: sched.Key{ID: "t1", StartMillis: 1}, Address: "10.0.0.2:80", DataCentre: "a", Slots: 6},
 	}})
 	return r
 }
--- a/core/relay/pools.go
+++ b/core/relay/pools.go
@@ -35,7 +35,7 @@
 // connPoolKey returns the key of a target's connection pool. It differs between the
 // incarnations of a target and between targets that use the same address in turn.
 func connPoolKey(t sched.Target) string {
-	return t.Address + " " + t.ID + " " + strconv.FormatInt(t.Born, 10)
+	return t.Address + " " + t.ID + " " + strconv.FormatInt(t.StartMillis, 10)
 }
 
 // get returns the connection pool of a target, creating it on first use.
--- a/core/relay/result.go
+++ b/core/relay/result.go
@@ -84,7 +84,7 @@
 // response must not state that such a request did not run.
 func (x *exchange) expire() *caller.Answer {
 	for t := range x.inFlight {
-		t.grant.Settle(judge.Broken, 0)
+		t.grant.Complete(judge.Broken, 0)
 	}
 	for t := range x.running {
 		t.cancel()
--- a/core/sched/bench_test.go
+++ b/core/sched/bench_test.go
@@ -16,14 +16,14 @@
 	p := NewPool("orders", "a")
 	var all []Target
 	for i := range targets {
-		all = append(all, Target{Key: Key{ID: fmt.Sprint("t", i), Born: 1}, DataCentre: string(rune('a' + i%4)), Slots: 6})
+		all = append(all, Target{Key: Key{ID: fmt.Sprint("t", i), StartMillis: 1}, DataCentre: string(rune('a' + i%4)), Slots: 6})
 	}
 	p.SetTargets(all)
 	for _, t := range all {
-		p.Learn("peer", Event{Target: t.Key, InFlight: 8, Result: judge.Served, Latency: 400 * time.Millisecond})
+		p.ApplyPeerEvent("peer", Event{Target: t.Key, InFlight: 8, Result: judge.Served, Latency: 400 * time.Millisecond})
 	}
 	for range waiting {
-		req := Ask{Last: true, Deadline: time.Now().Add(time.Hour), Objective: time.Now().Add(time.Hour)}
+		req := Request{FinalAttempt: true, Deadline: time.Now().Add(time.Hour), Objective: time.Now().Add(time.Hour)}
 		w, g, err := p.grantOrQueue(req)
 		if w == nil {
 			b.Fatal(g, err)
@@ -38,9 +38,9 @@
 	for _, waiting := range []int{0, 10, 100} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
 			p := fullPool(b, 231, waiting)
-			key := Key{ID: "t7", Born: 1}
+			key := Key{ID: "t7", StartMillis: 1}
 			for b.Loop() {
-				p.Learn("peer", Event{Target: key, InFlight: 8, Result: judge.Served, Latency: 400 * time.Millisecond})
+				p.ApplyPeerEvent("peer", Event{Target: key, InFlight: 8, Result: judge.Served, Latency: 400 * time.Millisecond})
 			}
 		})
 	}
@@ -49,12 +49,12 @@
 // Measures the cost of choosing a target for one request.
 func BenchmarkAcquire(b *testing.B) {
 	p := fullPool(b, 231, 0)
-	p.Learn("peer", Event{Target: Key{ID: "t7", Born: 1}, Result: judge.Served, Latency: 400 * time.Millisecond})
+	p.ApplyPeerEvent("peer", Event{Target: Key{ID: "t7", StartMillis: 1}, Result: judge.Served, Latency: 400 * time.Millisecond})
 	for b.Loop() {
-		g, err := p.Acquire(context.Background(), Ask{Last: true, Deadline: time.Now().Add(time.Second)})
+		g, err := p.Acquire(context.Background(), Request{FinalAttempt: true, Deadline: time.Now().Add(time.Second)})
 		if err != nil {
 			b.Fatal(err)
 		}
-		g.Settle(judge.Served, 400*time.Millisecond)
+		g.Complete(judge.Served, 400*time.Millisecond)
 	}
 }
--- a/core/sched/choice.go
+++ b/core/sched/choice.go
@@ -49,7 +49,7 @@
 // and a target.
 var pathModel = judge.Model{EpisodeDuration: 4 * time.Second, DegradedShare: 0.01, FailingShare: 0.02}
 
-func (req Ask) hasTried(k Key) bool {
+func (req Request) hasTried(k Key) bool {
 	return slices.Contains(req.Tried, k)
 }
 
@@ -74,7 +74,7 @@
 }
 
 // choose returns the target for a request; its member is nil if the request has to wait.
-func (p *Pool) choose(req Ask, now time.Time) choice {
+func (p *Pool) choose(req Request, now time.Time) choice {
 	if len(req.Tried) == 0 {
 		if m, why := p.requiredTarget(req, now); m != nil {
 			return choice{member: m, rate: m.failRate(p.model, now), reason: why}
@@ -99,7 +99,7 @@
 }
 
 // cheapest returns the cheapest target with free capacity and the cheapest one without.
-func (p *Pool) cheapest(req Ask, now time.Time) (free, full candidate) {
+func (p *Pool) cheapest(req Request, now time.Time) (free, full candidate) {
 	for k, m := range p.members {
 		if req.hasTried(k) {
 			continue
@@ -124,7 +124,7 @@
 // request sent to a failing target would most likely be lost, although a healthy one
 // has capacity again within a fraction of a second. A request that would miss its
 // objective does not wait, because it would take the slot of one that can still meet it.
-func (p *Pool) worthWaiting(req Ask, now time.Time, free, full candidate) bool {
+func (p *Pool) worthWaiting(req Request, now time.Time, free, full candidate) bool {
 	if free.member == nil {
 		return true
 	}
@@ -149,9 +149,9 @@
 
 // cost returns the expected delay of a request at the target. All criteria are
 // expressed as time, so that they can be added up and compared.
-func (p *Pool) cost(m *member, req Ask, now time.Time, rate float64) time.Duration {
+func (p *Pool) cost(m *member, req Request, now time.Time, rate float64) time.Duration {
 	penalty := retryPenalty
-	if req.Last {
+	if req.FinalAttempt {
 		penalty = lossPenalty
 	}
 	cost := time.Duration(rate * float64(penalty))
@@ -173,7 +173,7 @@
 }
 
 // remotePenalty returns the cost of sending the request to another data centre.
-func (req Ask) remotePenalty() time.Duration {
+func (req Request) remotePenalty() time.Duration {
 	return min(baseRemotePenalty+time.Duration(req.Bytes)*remotePenaltyPerKB/(1<<10), maxRemotePenalty)
 }
 
--- a/core/sched/contention_test.go
+++ b/core/sched/contention_test.go
@@ -23,7 +23,7 @@
 		before := p.evaluatedCount
 		for i := range events {
 			time.Sleep(time.Millisecond)
-			p.Learn("peer", Event{Target: Key{ID: fmt.Sprint("t", i%targets), Born: 1}, InFlight: 8, Result: judge.Served, Latency: 400 * time.Millisecond})
+			p.ApplyPeerEvent("peer", Event{Target: Key{ID: fmt.Sprint("t", i%targets), StartMillis: 1}, InFlight: 8, Result: judge.Served, Latency: 400 * time.Millisecond})
 		}
 		g.Expect(p.queue.waiters).To(HaveLen(100))
 		// One scan every 25 ms, which evaluates all targets for a few requests.
@@ -36,16 +36,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		p := fullPool(t, 20, 0)
-		urgent := Ask{Last: true, Deadline: time.Now().Add(time.Minute)}
-		later := Ask{Last: true, Priority: 1, Deadline: time.Now().Add(time.Second), Tried: []Key{{ID: "t8", Born: 1}}}
+		urgent := Request{FinalAttempt: true, Deadline: time.Now().Add(time.Minute)}
+		later := Request{FinalAttempt: true, Priority: 1, Deadline: time.Now().Add(time.Second), Tried: []Key{{ID: "t8", StartMillis: 1}}}
 		second, _, _ := p.grantOrQueue(later)
 		first, _, _ := p.grantOrQueue(urgent)
-		p.Learn("peer", Event{Target: Key{ID: "t7", Born: 1}, InFlight: 7, Result: judge.Served, Latency: 400 * time.Millisecond})
+		p.ApplyPeerEvent("peer", Event{Target: Key{ID: "t7", StartMillis: 1}, InFlight: 7, Result: judge.Served, Latency: 400 * time.Millisecond})
 		g.Expect(first.granted).To(Receive(HaveField("Target.ID", "t7")))
 		g.Expect(second.granted).NotTo(Receive())
-		p.Learn("peer", Event{Target: Key{ID: "t8", Born: 1}, InFlight: 0, Result: judge.Served, Latency: 400 * time.Millisecond})
+		p.ApplyPeerEvent("peer", Event{Target: Key{ID: "t8", StartMillis: 1}, InFlight: 0, Result: judge.Served, Latency: 400 * time.Millisecond})
 		g.Expect(second.granted).NotTo(Receive(), "the request was sent to t8 before")
-		p.Learn("peer", Event{Target: Key{ID: "t9", Born: 1}, InFlight: 7, Result: judge.Served, Latency: 400 * time.Millisecond})
+		p.ApplyPeerEvent("peer", Event{Target: Key{ID: "t9", StartMillis: 1}, InFlight: 7, Result: judge.Served, Latency: 400 * time.Millisecond})
 		g.Expect(second.granted).To(Receive(HaveField("Target.ID", "t9")))
 		g.Expect(p.queue.waiters).To(BeEmpty())
 	})
@@ -57,11 +57,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		p := fullPool(t, 1, 0)
-		p.Learn("other", Event{Target: Key{ID: "t0", Born: 1}, InFlight: 3})
-		p.Learn("other", Event{Target: Key{ID: "t0", Born: 1}, InFlight: 2})
+		p.ApplyPeerEvent("other", Event{Target: Key{ID: "t0", StartMillis: 1}, InFlight: 3})
+		p.ApplyPeerEvent("other", Event{Target: Key{ID: "t0", StartMillis: 1}, InFlight: 2})
 		g.Expect(p.State()[0].InFlight).To(Equal(10))
 		time.Sleep(peerLoadTTL - time.Second)
-		p.Learn("other", Event{Target: Key{ID: "t0", Born: 1}, InFlight: 1})
+		p.ApplyPeerEvent("other", Event{Target: Key{ID: "t0", StartMillis: 1}, InFlight: 1})
 		g.Expect(p.State()[0].InFlight).To(Equal(9))
 		time.Sleep(time.Second + peerLoadInterval)
 		g.Expect(p.State()[0].InFlight).To(Equal(1))
--- a/core/sched/estimates.go
+++ b/core/sched/estimates.go
@@ -6,25 +6,25 @@
 	"wisteriarelay.example/core/judge"
 )
 
-// TargetBelief is the state of one target as sent to a peer that needs it, for
+// TargetEstimate is the state of one target as sent to a peer that needs it, for
 // example because the peer starts to handle the service.
-type TargetBelief struct {
-	ID       string
-	Born     int64
-	Snapshot judge.Snapshot
+type TargetEstimate struct {
+	ID          string
+	StartMillis int64
+	Snapshot    judge.Snapshot
 	// Load is the number of requests that the whole fleet has in flight at the target.
 	Load int
 }
 
-// Beliefs returns the state of all targets with evidence about their health.
-func (p *Pool) Beliefs() []TargetBelief {
+// Estimates returns the state of all targets with evidence about their health.
+func (p *Pool) Estimates() []TargetEstimate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	var out []TargetBelief
+	var out []TargetEstimate
 	for k, m := range p.members {
 		if s, ok := m.estimate.Snapshot(now); ok {
-			out = append(out, TargetBelief{ID: k.ID, Born: k.Born, Snapshot: s, Load: m.load(now)})
+			out = append(out, TargetEstimate{ID: k.ID, StartMillis: k.StartMillis, Snapshot: s, Load: m.load(now)})
 		}
 	}
 	return out
@@ -34,14 +34,14 @@
 // stored: the sum over all other daemons.
 const allPeers = "all"
 
-// Adopt merges the state of targets received from a peer. The load is used only
+// MergeEstimates merges the state of targets received from a peer. The load is used only
 // without peer events, because a daemon that receives these counts from them.
-func (p *Pool) Adopt(estimates []TargetBelief) {
+func (p *Pool) MergeEstimates(estimates []TargetEstimate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	for _, e := range estimates {
-		if m := p.members[Key{ID: e.ID, Born: e.Born}]; m != nil {
+		if m := p.members[Key{ID: e.ID, StartMillis: e.StartMillis}]; m != nil {
 			m.estimate.Merge(now, e.Snapshot)
 			m.invalidateFailRate()
 			if p.noPeerEvents {
--- a/core/sched/fleet_test.go
+++ b/core/sched/fleet_test.go
@@ -48,7 +48,7 @@
 	time.Sleep(peerDelay)
 	for i, p := range d.fleet.pools {
 		if i != d.from {
-			p.Learn(string(rune('a'+d.from)), d.event)
+			p.ApplyPeerEvent(string(rune('a'+d.from)), d.event)
 		}
 	}
 }
@@ -105,24 +105,24 @@
 	early := []struct {
 		after  time.Duration
 		result judge.Result
-	}{{o.pool.SlowAfter(), judge.Slow}, {3 * o.pool.ServiceTime(), judge.Overdue}}
+	}{{o.pool.SlowThreshold(), judge.Slow}, {3 * o.pool.ServiceTime(), judge.Overdue}}
 	begin := time.Now()
 	for _, e := range early {
 		if e.after >= length {
 			break
 		}
 		time.Sleep(time.Until(begin.Add(e.after)))
-		grant.Report(e.result)
+		grant.ReportPending(e.result)
 	}
 	time.Sleep(time.Until(begin.Add(length)))
 }
 
 func (o *order) run() {
 	arrived := time.Now()
-	grant, err := o.pool.Acquire(context.Background(), sched.Ask{
-		Last:      true,
-		Deadline:  arrived.Add(orderTimeout),
-		Objective: arrived.Add(orderObjective),
+	grant, err := o.pool.Acquire(context.Background(), sched.Request{
+		FinalAttempt: true,
+		Deadline:     arrived.Add(orderTimeout),
+		Objective:    arrived.Add(orderObjective),
 	})
 	if err != nil {
 		o.collector.ended <- outcome{lost: true, at: time.Since(o.begin)}
@@ -132,13 +132,13 @@
 	switch {
 	case out.lost && o.timesOut:
 		o.await(grant, orderTimeout)
-		grant.Settle(judge.Broken, orderTimeout)
+		grant.Complete(judge.Broken, orderTimeout)
 	case out.lost:
 		time.Sleep(time.Millisecond)
-		grant.Settle(judge.Broken, time.Millisecond)
+		grant.Complete(judge.Broken, time.Millisecond)
 	default:
 		o.await(grant, o.work)
-		grant.Settle(judge.Served, o.work)
+		grant.Complete(judge.Served, o.work)
 	}
 	out.late = time.Since(arrived) > orderObjective
 	o.collector.ended <- out
@@ -269,9 +269,9 @@
 		failing := targets(1)[0].Key
 		for range 10 {
 			for _, target := range targets(3)[1:] {
-				p.Learn("peer", sched.Event{Target: target.Key, Result: judge.Served, Latency: 160 * time.Millisecond})
+				p.ApplyPeerEvent("peer", sched.Event{Target: target.Key, Result: judge.Served, Latency: 160 * time.Millisecond})
 			}
-			p.Learn("peer", sched.Event{Target: failing, Result: judge.Failed, Latency: 10 * time.Millisecond})
+			p.ApplyPeerEvent("peer", sched.Event{Target: failing, Result: judge.Failed, Latency: 10 * time.Millisecond})
 			time.Sleep(100 * time.Millisecond)
 		}
 		collector := &collector{ended: make(chan outcome, 20)}
--- a/core/sched/floor.go
+++ b/core/sched/floor.go
@@ -37,8 +37,8 @@
 // usage floor. Without peer events every target looks new. When hundreds of such daemons
 // get an occasional request each, only retryable requests may go to a new target; the
 // others go where they are most likely served.
-func (p *Pool) requiredTarget(req Ask, now time.Time) (*member, Reason) {
-	if p.noPeerEvents && req.Last {
+func (p *Pool) requiredTarget(req Request, now time.Time) (*member, Reason) {
+	if p.noPeerEvents && req.FinalAttempt {
 		return nil, ""
 	}
 	eligible := p.needsIntroduction
@@ -57,10 +57,10 @@
 
 // floorFilter returns a filter for the targets to which the request may go to reach
 // the usage floor, or nil if the floor is reached.
-func (p *Pool) floorFilter(req Ask, now time.Time) func(*member, time.Time) bool {
+func (p *Pool) floorFilter(req Request, now time.Time) func(*member, time.Time) bool {
 	used := p.usedShare(now)
 	switch {
-	case req.Last:
+	case req.FinalAttempt:
 		if used < p.usageFloor {
 			return p.unused
 		}
@@ -119,7 +119,7 @@
 
 // leastFailing returns the eligible target with a free slot and the lowest expected
 // failure rate, or nil.
-func (p *Pool) leastFailing(req Ask, now time.Time, eligible func(*member, time.Time) bool) *member {
+func (p *Pool) leastFailing(req Request, now time.Time, eligible func(*member, time.Time) bool) *member {
 	var best *member
 	for k, m := range p.members {
 		if !eligible(m, now) || req.hasTried(k) || m.load(now) >= m.target.Slots {
--- a/core/sched/grant.go
+++ b/core/sched/grant.go
@@ -8,12 +8,12 @@
 	"wisteriarelay.example/core/judge"
 )
 
-// Ask describes a request that needs a target.
-type Ask struct {
+// Request describes a request that needs a target.
+type Request struct {
 	Idempotent bool
-	// Last says that the request cannot be retried if it fails: because it is not
+	// FinalAttempt says that the request cannot be retried if it fails: because it is not
 	// idempotent, or because its attempts or the retry budget are used up.
-	Last bool
+	FinalAttempt bool
 	// Priority is the priority of the request; 0 is the highest.
 	Priority int
 	Deadline time.Time
@@ -28,7 +28,7 @@
 	sequence  uint64
 }
 
-func (req Ask) objective() time.Time {
+func (req Request) objective() time.Time {
 	if req.Objective.IsZero() || req.Objective.After(req.Deadline) {
 		return req.Deadline
 	}
@@ -55,7 +55,7 @@
 // Acquire chooses a target and waits for capacity if necessary. It fails with
 // fault.NoTarget if no untried target is left, with fault.QueueFull if the request would
 // wait past its deadline, and with fault.CallerGone if ctx ends first.
-func (p *Pool) Acquire(ctx context.Context, req Ask) (*Grant, error) {
+func (p *Pool) Acquire(ctx context.Context, req Request) (*Grant, error) {
 	w, g, err := p.grantOrQueue(req)
 	if g != nil || err != nil {
 		return g, err
@@ -76,13 +76,13 @@
 
 // latestStart returns the time after which a waiting request is refused, because no
 // target could answer it before its deadline any more.
-func (p *Pool) latestStart(req Ask) time.Time {
+func (p *Pool) latestStart(req Request) time.Time {
 	return req.Deadline.Add(-p.ServiceTime() / 2)
 }
 
 // grantOrQueue returns a grant if a target can be used at once. Otherwise it adds the
 // request to the queue and returns its waiter.
-func (p *Pool) grantOrQueue(req Ask) (*waiter, *Grant, error) {
+func (p *Pool) grantOrQueue(req Request) (*waiter, *Grant, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -112,11 +112,11 @@
 		return
 	}
 	g := <-w.granted
-	g.Settle(judge.Nothing, 0)
+	g.Complete(judge.Nothing, 0)
 }
 
 // tryGrant chooses a target and grants it, or returns nil if the request has to wait.
-func (p *Pool) tryGrant(req Ask, now time.Time) *Grant {
+func (p *Pool) tryGrant(req Request, now time.Time) *Grant {
 	c := p.choose(req, now)
 	if c.member == nil {
 		return nil
@@ -134,9 +134,9 @@
 	return &Grant{Target: m.target, FailRate: c.rate, Load: load, Reason: c.reason, pool: p, member: m}
 }
 
-// Settle ends the grant with the result and the latency of its request. Calls after
+// Complete ends the grant with the result and the latency of its request. Calls after
 // the first have no effect.
-func (g *Grant) Settle(r judge.Result, took time.Duration) {
+func (g *Grant) Complete(r judge.Result, took time.Duration) {
 	p := g.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -154,10 +154,10 @@
 	p.grantWaiting(g.member, now)
 }
 
-// Report records that the request is still pending: judge.Slow first, judge.Overdue
+// ReportPending records that the request is still pending: judge.Slow first, judge.Overdue
 // later. Each result counts once. It returns whether the target is now expected to
 // fail the request.
-func (g *Grant) Report(r judge.Result) (lost bool) {
+func (g *Grant) ReportPending(r judge.Result) (lost bool) {
 	p := g.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/core/sched/peer_events_test.go
+++ b/core/sched/peer_events_test.go
@@ -18,7 +18,7 @@
 func TestDaemonWithoutPeerEventsUsesLocalTargets(t *testing.T) {
 	large := newRequest(true)
 	large.Bytes = 100 << 10
-	for name, occasional := range map[string]sched.Ask{"order": newRequest(false), "large answer": large} {
+	for name, occasional := range map[string]sched.Request{"order": newRequest(false), "large answer": large} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
@@ -28,14 +28,14 @@
 					mixed[1+i].DataCentre = "b"
 				}
 				p.SetTargets(mixed)
-				p.SetInformed(false)
+				p.SetReceivesPeerEvents(false)
 				for range 10 {
 					time.Sleep(3 * time.Second)
 					occasional.Deadline = time.Now().Add(2 * time.Second)
 					grant, err := p.Acquire(t.Context(), occasional)
 					g.Expect(err).NotTo(HaveOccurred())
 					g.Expect(grant.Target.DataCentre).To(Equal("a"))
-					grant.Settle(judge.Served, 100*time.Millisecond)
+					grant.Complete(judge.Served, 100*time.Millisecond)
 				}
 			})
 		})
@@ -54,13 +54,13 @@
 			mixed[2+i].DataCentre = "b"
 		}
 		p.SetTargets(mixed)
-		p.SetTended(map[string]bool{"b": true})
+		p.SetMonitoredElsewhere(map[string]bool{"b": true})
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
 			grant, err := p.Acquire(t.Context(), newRequest(true))
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(grant.Target.DataCentre).To(Equal("a"))
-			grant.Settle(judge.Served, 100*time.Millisecond)
+			grant.Complete(judge.Served, 100*time.Millisecond)
 		}
 		for range 2 * (mixed[0].Slots + 2) {
 			grant, err := p.Acquire(t.Context(), newRequest(false))
@@ -86,5 +86,5 @@
 
 func (s *delayedCompletion) run() {
 	time.Sleep(s.after)
-	s.grant.Settle(judge.Served, s.after)
+	s.grant.Complete(judge.Served, s.after)
 }
--- a/core/sched/pool.go
+++ b/core/sched/pool.go
@@ -103,24 +103,24 @@
 	p.scanQueue(now)
 }
 
-// SetInformed sets whether this daemon receives the events of its peers. The default
+// SetReceivesPeerEvents sets whether this daemon receives the events of its peers. The default
 // is true.
-func (p *Pool) SetInformed(informed bool) {
+func (p *Pool) SetReceivesPeerEvents(informed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.noPeerEvents = !informed
 }
 
-// SetTended sets the data centres whose targets only the daemons there monitor. This
+// SetMonitoredElsewhere sets the data centres whose targets only the daemons there monitor. This
 // daemon receives few events about these targets and does not keep them in use.
-func (p *Pool) SetTended(dataCentres map[string]bool) {
+func (p *Pool) SetMonitoredElsewhere(dataCentres map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.monitoredElsewhere = dataCentres
 }
 
-// Informed reports whether this daemon receives the events of its peers.
-func (p *Pool) Informed() bool {
+// ReceivesPeerEvents reports whether this daemon receives the events of its peers.
+func (p *Pool) ReceivesPeerEvents() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.noPeerEvents
@@ -223,9 +223,9 @@
 	}
 }
 
-// Learn applies an event of a peer. The result Unreached is ignored, because the peer's
+// ApplyPeerEvent applies an event of a peer. The result Unreached is ignored, because the peer's
 // path to the target is not the path from here.
-func (p *Pool) Learn(peer string, e Event) {
+func (p *Pool) ApplyPeerEvent(peer string, e Event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -253,8 +253,8 @@
 	return p.serviceTime()
 }
 
-// SlowAfter returns the latency that one answered request in ten exceeds.
-func (p *Pool) SlowAfter() time.Duration {
+// SlowThreshold returns the latency that one answered request in ten exceeds.
+func (p *Pool) SlowThreshold() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.slowThreshold.value
@@ -268,7 +268,7 @@
 }
 
 // untriedCount returns the number of targets that the request was not sent to yet.
-func (p *Pool) untriedCount(req Ask) int {
+func (p *Pool) untriedCount(req Request) int {
 	n := 0
 	for k := range p.members {
 		if !req.hasTried(k) {
--- a/core/sched/queue.go
+++ b/core/sched/queue.go
@@ -8,7 +8,7 @@
 
 // waiter is a request that waits for a target with capacity.
 type waiter struct {
-	request Ask
+	request Request
 	granted chan *Grant
 }
 
@@ -28,7 +28,7 @@
 }
 
 // compare orders requests by priority, deadline and arrival.
-func (req Ask) compare(other Ask) int {
+func (req Request) compare(other Request) int {
 	if req.Priority != other.Priority {
 		return req.Priority - other.Priority
 	}
@@ -107,8 +107,8 @@
 	finalAttempt bool
 }
 
-func (req Ask) class() class {
-	return class{priority: req.Priority, finalAttempt: req.Last}
+func (req Request) class() class {
+	return class{priority: req.Priority, finalAttempt: req.FinalAttempt}
 }
 
 // firstFor returns the index of the first waiter that was not sent to the target
@@ -128,7 +128,7 @@
 // as long as any waiter before it has already waited, because the waiters of other
 // daemons are unknown. A slot counts in proportion to the share of requests that its
 // target serves successfully.
-func (p *Pool) expectedWait(req Ask, now time.Time) time.Duration {
+func (p *Pool) expectedWait(req Request, now time.Time) time.Duration {
 	ahead := 1
 	longest := time.Duration(0)
 	for _, w := range p.queue.waiters {
--- a/core/sched/sched_test.go
+++ b/core/sched/sched_test.go
@@ -20,7 +20,7 @@
 	out := make([]sched.Target, n)
 	for i := range out {
 		out[i] = sched.Target{
-			Key:        sched.Key{ID: fmt.Sprintf("t%d", i), Born: 1},
+			Key:        sched.Key{ID: fmt.Sprintf("t%d", i), StartMillis: 1},
 			Address:    fmt.Sprintf("10.0.0.%d:80", i+1),
 			DataCentre: "a",
 			Slots:      2,
@@ -37,8 +37,8 @@
 
 // newRequest returns a lookup, which is idempotent and can be retried, or an order, which
 // is neither.
-func newRequest(idempotent bool) sched.Ask {
-	return sched.Ask{Idempotent: idempotent, Last: !idempotent, Deadline: time.Now().Add(2 * time.Second)}
+func newRequest(idempotent bool) sched.Request {
+	return sched.Request{Idempotent: idempotent, FinalAttempt: !idempotent, Deadline: time.Now().Add(2 * time.Second)}
 }
 
 // inEpisode reports whether a target resets its requests at the given time. It does so in
@@ -81,11 +81,11 @@
 
 func (r *orderRun) run() {
 	if r.reset {
-		r.grant.Settle(judge.Broken, 0)
+		r.grant.Complete(judge.Broken, 0)
 		return
 	}
 	time.Sleep(160 * time.Millisecond)
-	r.grant.Settle(judge.Served, 160*time.Millisecond)
+	r.grant.Complete(judge.Served, 160*time.Millisecond)
 }
 
 // Guards against sending orders to a target during a known episode. Three in ten targets
@@ -107,13 +107,13 @@
 		p := newPool(2)
 		first := targets(2)[0].Key
 		for range 3 {
-			p.Learn("peer", sched.Event{Target: first, Result: judge.Broken})
+			p.ApplyPeerEvent("peer", sched.Event{Target: first, Result: judge.Broken})
 		}
 		for range 20 {
 			grant, err := p.Acquire(t.Context(), newRequest(false))
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(grant.Target.Key).NotTo(Equal(first))
-			grant.Settle(judge.Served, time.Millisecond)
+			grant.Complete(judge.Served, time.Millisecond)
 		}
 	})
 }
@@ -125,7 +125,7 @@
 		p := newPool(1)
 		k := targets(1)[0].Key
 		for range 5 {
-			p.Learn("peer", sched.Event{Target: k, Result: judge.Unreached})
+			p.ApplyPeerEvent("peer", sched.Event{Target: k, Result: judge.Unreached})
 		}
 		grant, err := p.Acquire(t.Context(), newRequest(false))
 		g.Expect(err).NotTo(HaveOccurred())
@@ -158,7 +158,7 @@
 		g.Expect(time.Since(begin)).To(BeZero())
 		g.Expect(refused).To(BeNumerically(">", 30))
 		for _, grant := range held {
-			grant.Settle(judge.Served, 200*time.Millisecond)
+			grant.Complete(judge.Served, 200*time.Millisecond)
 		}
 		time.Sleep(2 * time.Second)
 	})
@@ -180,7 +180,7 @@
 // queuedRequest is a request that waits for a grant and holds it for 50 ms.
 type queuedRequest struct {
 	pool    *sched.Pool
-	request sched.Ask
+	request sched.Request
 	errs    chan error
 	grant   *sched.Grant
 }
@@ -193,7 +193,7 @@
 	}
 	w.grant = grant
 	time.Sleep(50 * time.Millisecond)
-	grant.Settle(judge.Served, 50*time.Millisecond)
+	grant.Complete(judge.Served, 50*time.Millisecond)
 }
 
 // Guards against a low-priority request that gets the slot of a high-priority one because
@@ -210,12 +210,12 @@
 		urgent := &queuedRequest{pool: p, request: newRequest(true), errs: make(chan error, 1)}
 		go urgent.run(t.Context())
 		synctest.Wait()
-		held[0].Settle(judge.Served, 100*time.Millisecond)
+		held[0].Complete(judge.Served, 100*time.Millisecond)
 		synctest.Wait()
 		g.Expect(urgent.grant).NotTo(BeNil())
 		g.Expect(later.grant).To(BeNil())
 		for _, grant := range held[1:] {
-			grant.Settle(judge.Served, 100*time.Millisecond)
+			grant.Complete(judge.Served, 100*time.Millisecond)
 		}
 		time.Sleep(time.Second)
 	})
@@ -239,10 +239,10 @@
 			used[id] = time.Now()
 			if id < "t4" {
 				failed[id] = time.Now()
-				grant.Settle(judge.Broken, 0)
+				grant.Complete(judge.Broken, 0)
 				continue
 			}
-			grant.Settle(judge.Served, 10*time.Millisecond)
+			grant.Complete(judge.Served, 10*time.Millisecond)
 			if time.Since(begin) < 3*time.Second {
 				continue
 			}
@@ -274,7 +274,7 @@
 				grant, err := p.Acquire(t.Context(), newRequest(false))
 				g.Expect(err).NotTo(HaveOccurred())
 				used[grant.Target.ID] = true
-				grant.Settle(judge.Served, 10*time.Millisecond)
+				grant.Complete(judge.Served, 10*time.Millisecond)
 			}
 			return used
 		}
@@ -298,10 +298,10 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			used[grant.Target.ID] = time.Now()
 			if grant.Target.ID < "t4" {
-				grant.Settle(judge.Broken, 0)
+				grant.Complete(judge.Broken, 0)
 				continue
 			}
-			grant.Settle(judge.Served, 10*time.Millisecond)
+			grant.Complete(judge.Served, 10*time.Millisecond)
 		}
 		for _, at := range used {
 			g.Expect(time.Since(at)).To(BeNumerically("<", 4*time.Second))
@@ -325,10 +325,10 @@
 			early = append(early, grant)
 		}
 		time.Sleep(100 * time.Millisecond)
-		p.Learn("peer", sched.Event{Target: first, Result: judge.Broken})
+		p.ApplyPeerEvent("peer", sched.Event{Target: first, Result: judge.Broken})
 		time.Sleep(100 * time.Millisecond)
 		for _, grant := range early {
-			grant.Settle(judge.Served, 200*time.Millisecond)
+			grant.Complete(judge.Served, 200*time.Millisecond)
 		}
 		grant, err := p.Acquire(t.Context(), newRequest(false))
 		g.Expect(err).NotTo(HaveOccurred())
@@ -346,17 +346,17 @@
 		all := targets(4)
 		for i := range 40 {
 			for _, target := range all[2:] {
-				p.Learn("peer", sched.Event{Target: target.Key, Result: judge.Served})
+				p.ApplyPeerEvent("peer", sched.Event{Target: target.Key, Result: judge.Served})
 			}
 			time.Sleep(100 * time.Millisecond)
 			for _, target := range all[:2] {
 				if i < 15 {
-					p.Learn("peer", sched.Event{Target: target.Key, Result: judge.Broken})
+					p.ApplyPeerEvent("peer", sched.Event{Target: target.Key, Result: judge.Broken})
 				}
 			}
 		}
 		second := newRequest(true)
-		second.Last = true
+		second.FinalAttempt = true
 		second.Tried = []sched.Key{all[0].Key}
 		grant, err := p.Acquire(t.Context(), second)
 		g.Expect(err).NotTo(HaveOccurred())
--- a/core/sched/slow_test.go
+++ b/core/sched/slow_test.go
@@ -19,7 +19,7 @@
 	p := newPool(count)
 	for range 20 {
 		for _, t := range targets(count) {
-			p.Learn("peer", sched.Event{Target: t.Key, Result: judge.Served, Latency: usualLatency})
+			p.ApplyPeerEvent("peer", sched.Event{Target: t.Key, Result: judge.Served, Latency: usualLatency})
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -29,7 +29,7 @@
 // peerReports passes results of a peer at the first target to the pool.
 func peerReports(p *sched.Pool, results ...judge.Result) {
 	for _, r := range results {
-		p.Learn("peer", sched.Event{Target: targets(1)[0].Key, Result: r, Latency: usualLatency})
+		p.ApplyPeerEvent("peer", sched.Event{Target: targets(1)[0].Key, Result: r, Latency: usualLatency})
 	}
 }
 
@@ -70,7 +70,7 @@
 		p := poolInUse(3)
 		last := targets(3)[2].Key
 		for range 200 {
-			p.Learn("peer", sched.Event{Target: last, Result: judge.Broken, Latency: time.Millisecond})
+			p.ApplyPeerEvent("peer", sched.Event{Target: last, Result: judge.Broken, Latency: time.Millisecond})
 		}
 		peerReports(p, judge.Slow)
 		g.Expect(firstFailRate(p)).To(BeNumerically("<", 0.1))
@@ -90,12 +90,12 @@
 		p.SetTargets(targets(1))
 		grant, err := p.Acquire(t.Context(), newRequest(true))
 		g.Expect(err).NotTo(HaveOccurred())
-		grant.Report(judge.Slow)
-		grant.Report(judge.Slow)
-		grant.Report(judge.Overdue)
-		grant.Report(judge.Slow)
-		grant.Settle(judge.Served, usualLatency)
-		grant.Report(judge.Overdue)
+		grant.ReportPending(judge.Slow)
+		grant.ReportPending(judge.Slow)
+		grant.ReportPending(judge.Overdue)
+		grant.ReportPending(judge.Slow)
+		grant.Complete(judge.Served, usualLatency)
+		grant.ReportPending(judge.Overdue)
 		g.Expect(reported).To(Equal(2))
 	})
 }
@@ -110,7 +110,7 @@
 		p := sched.NewPool(service, "a")
 		p.SetTargets([]sched.Target{local, remote})
 		for _, target := range []sched.Target{local, remote} {
-			p.Learn("peer", sched.Event{Target: target.Key, Result: judge.Served, Latency: usualLatency})
+			p.ApplyPeerEvent("peer", sched.Event{Target: target.Key, Result: judge.Served, Latency: usualLatency})
 		}
 		large := newRequest(true)
 		large.Bytes = 100 << 10
@@ -144,13 +144,13 @@
 			for range 100 {
 				time.Sleep(100 * time.Millisecond)
 				for _, target := range all[2:7] {
-					p.Learn("peer", sched.Event{Target: target.Key, Result: judge.Served, Latency: usualLatency})
+					p.ApplyPeerEvent("peer", sched.Event{Target: target.Key, Result: judge.Served, Latency: usualLatency})
 				}
 				req.Deadline = time.Now().Add(2 * time.Second)
 				grant, err := p.Acquire(t.Context(), req)
 				g.Expect(err).NotTo(HaveOccurred())
 				crossed = crossed || grant.Reason == sched.Floor && grant.Target.DataCentre == "b"
-				grant.Settle(judge.Served, usualLatency)
+				grant.Complete(judge.Served, usualLatency)
 			}
 			g.Expect(crossed).To(Equal(crosses))
 		})
@@ -184,7 +184,7 @@
 		if grant.Target.ID != "t0" {
 			return time.Since(begin)
 		}
-		grant.Settle(judge.Served, usualLatency)
+		grant.Complete(judge.Served, usualLatency)
 	}
 }
 
@@ -208,7 +208,7 @@
 				longest = max(longest, time.Since(at))
 			}
 			last[grant.Target.ID] = time.Now()
-			grant.Settle(judge.Served, usualLatency)
+			grant.Complete(judge.Served, usualLatency)
 		}
 		g.Expect(last).To(HaveLen(10))
 		g.Expect(longest).To(BeNumerically("<", 2*time.Second))
--- a/core/sched/target.go
+++ b/core/sched/target.go
@@ -10,8 +10,8 @@
 // Key identifies one run of a target: a target that restarts gets a new key.
 type Key struct {
 	ID string
-	// Born is the Unix time in milliseconds at which the target started.
-	Born int64
+	// StartMillis is the Unix time in milliseconds at which the target started.
+	StartMillis int64
 }
 
 // Target is one back end as reported by service discovery.
--- a/core/watch/list.go
+++ b/core/watch/list.go
@@ -193,7 +193,7 @@
 			continue
 		}
 		out[e.Service] = append(out[e.Service], sched.Target{
-			Key:        sched.Key{ID: id, Born: e.Born},
+			Key:        sched.Key{ID: id, StartMillis: e.Born},
 			Address:    e.Address,
 			DataCentre: e.DataCentre,
 			Slots:      e.Slots,
