--- a/core/node/health_query.go
+++ b/core/node/health_query.go
@@ -46,7 +46,7 @@
 // occasional request that can be repeated does not wait: it is sent again if it
 // fails, and its result tells what no daemon may know yet.
 func (q *healthQueries) wait(ctx context.Context, service string, repeatable bool) {
-	if q.node.relay.Pool(service).ReceivesPeerEvents() || repeatable && q.node.relay.Recent(service) < minRequestsForEvents {
+	if q.node.relay.TargetPool(service).ReceivesPeerEvents() || repeatable && q.node.relay.RecentRequests(service) < minRequestsForEvents {
 		return
 	}
 	query := q.getOrSend(service)
@@ -112,7 +112,7 @@
 	} else if _, known := t.Service(service); !known {
 		return
 	}
-	if pool := n.relay.Pool(service); pool.ReceivesPeerEvents() {
+	if pool := n.relay.TargetPool(service); pool.ReceivesPeerEvents() {
 		n.gossip.TellBeliefs(peer, service, pool.Estimates())
 	}
 }
--- a/core/node/health_query_test.go
+++ b/core/node/health_query_test.go
@@ -50,7 +50,7 @@
 }
 
 func failRate(n *Node, id string) float64 {
-	for _, t := range n.relay.Pool("orders").State() {
+	for _, t := range n.relay.TargetPool("orders").State() {
 		if t.ID == id {
 			return t.FailRate
 		}
@@ -65,8 +65,8 @@
 	g := NewWithT(t)
 	first, second, nonCarrier := newGossipingNode(t, "vm-1", highShare), newGossipingNode(t, "vm-2", highShare), newGossipingNode(t, "vm-3", lowShare)
 	exchangeReports(first, second, nonCarrier)
-	g.Expect(first.relay.Pool("orders").ReceivesPeerEvents()).To(BeTrue())
-	g.Expect(nonCarrier.relay.Pool("orders").ReceivesPeerEvents()).To(BeFalse())
+	g.Expect(first.relay.TargetPool("orders").ReceivesPeerEvents()).To(BeTrue())
+	g.Expect(nonCarrier.relay.TargetPool("orders").ReceivesPeerEvents()).To(BeFalse())
 	for _, n := range []*Node{first, second} {
 		for range 3 {
 			n.handleEvent("vm-9", sched.Event{Service: "orders", Target: sched.Key{ID: "t0", StartMillis: 1}, Result: judge.Broken})
@@ -103,7 +103,7 @@
 		for _, m := range audience.Strays {
 			g.Expect(m.VM).To(BeElementOf("vm-3", "vm-4"))
 		}
-		g.Expect(n.relay.Pool("orders").ReceivesPeerEvents()).To(Equal(n.self.VM < "vm-3"))
+		g.Expect(n.relay.TargetPool("orders").ReceivesPeerEvents()).To(Equal(n.self.VM < "vm-3"))
 	}
 }
 
@@ -130,7 +130,7 @@
 func TestUnansweredHealthQueryTimesOutAndIsReused(t *testing.T) {
 	g := NewWithT(t)
 	n := newGossipingNode(t, "vm-3", lowShare)
-	n.relay.Pool("orders").SetReceivesPeerEvents(false)
+	n.relay.TargetPool("orders").SetReceivesPeerEvents(false)
 	silent := n.self
 	silent.VM, silent.Inner, silent.Cores = "vm-1", "127.0.0.1:1", highShare
 	n.handleReport(silent, &gossip.Report{VM: "vm-1", DataCentre: "a", Ready: true})
--- a/core/node/maintenance.go
+++ b/core/node/maintenance.go
@@ -61,28 +61,28 @@
 	for _, s := range t.Services() {
 		group, cores := plan.Group(s)
 		carries := n.roster.Carries(now, group, cores)
-		n.relay.Pool(s).SetReceivesPeerEvents(carries)
-		n.relay.Pool(s).SetMonitoredElsewhere(n.remotelyMonitored(n.eventAudience(s)))
-		part := retry.PartOf(1, start)
-		part.Slack = 0
+		n.relay.TargetPool(s).SetReceivesPeerEvents(carries)
+		n.relay.TargetPool(s).SetMonitoredElsewhere(n.remotelyMonitored(n.eventAudience(s)))
+		part := retry.AllocationFor(1, start)
+		part.SlackFraction = 0
 		if carries {
-			part = retry.PartOf(len(n.roster.Group(now, group, cores))+1, start)
+			part = retry.AllocationFor(len(n.roster.Group(now, group, cores))+1, start)
 		}
-		n.relay.SetPart(s, part)
+		n.relay.SetBudgetAllocation(s, part)
 	}
 }
 
 // budgetStart returns how this run of the daemon began, which decides how much of
 // the retry budget earlier runs may have used.
-func (n *Node) budgetStart(now time.Time) retry.Start {
+func (n *Node) budgetStart(now time.Time) retry.RestartKind {
 	s := n.settings.Load()
 	switch {
 	case s.FirstStart || now.Sub(n.startedAt) >= seconds(s.RetryBudget.SpanSeconds):
-		return retry.Settled
+		return retry.NoRecentRestart
 	case n.roster.YoungerThanMost():
-		return retry.Alone
+		return retry.SingleRestart
 	default:
-		return retry.WithFleet
+		return retry.FleetRestart
 	}
 }
 
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -128,12 +128,12 @@
 	opts := []relay.Option{
 		relay.WithLogger(n.logger),
 		relay.WithStats(n.metrics),
-		relay.WithBudget(relayBudget(n.settings.Load())),
+		relay.WithRetryBudget(relayBudget(n.settings.Load())),
 		relay.WithEmit(func(e sched.Event) { n.gossip.Tell(e) }),
-		relay.WithInform(n.healthQueries.wait),
+		relay.WithBeforeAcquire(n.healthQueries.wait),
 	}
 	if m := n.settings.Load().MemoryMB; m > 0 {
-		opts = append(opts, relay.WithAnswerMemory(m<<20/bodyMemoryDivisor))
+		opts = append(opts, relay.WithResponseMemory(m<<20/bodyMemoryDivisor))
 	}
 	return relay.New(n.self.DataCentre, n.platform.Headers, opts...)
 }
@@ -142,9 +142,9 @@
 // take one part, and responses another.
 const bodyMemoryDivisor = 8
 
-func relayBudget(s *Settings) relay.Budget {
+func relayBudget(s *Settings) relay.RetryBudget {
 	b := s.RetryBudget
-	return relay.Budget{Span: seconds(b.SpanSeconds), Ratio: b.Ratio, Slack: b.Slack}
+	return relay.RetryBudget{Span: seconds(b.SpanSeconds), Ratio: b.Ratio, Slack: b.Slack}
 }
 
 func (n *Node) newCallerServer(r *relay.Relay) *caller.Server {
--- a/core/node/peers.go
+++ b/core/node/peers.go
@@ -46,7 +46,7 @@
 		if slices.Contains(out, group) {
 			continue
 		}
-		if n.roster.Carries(now, group, cores) || n.relay.Recent(s) >= minRequestsForEvents {
+		if n.roster.Carries(now, group, cores) || n.relay.RecentRequests(s) >= minRequestsForEvents {
 			out = append(out, group)
 		}
 	}
@@ -60,7 +60,7 @@
 		demand.Joined = t.ServicesByHost()
 	}
 	for _, s := range n.services() {
-		demand.Slots[s] = n.relay.Pool(s).Slots()
+		demand.Slots[s] = n.relay.TargetPool(s).Slots()
 	}
 	return roster.NewPlan(demand)
 }
@@ -187,7 +187,7 @@
 	plan := n.plan()
 	for _, service := range n.services() {
 		if group, _ := plan.Group(service); slices.Contains(groups, group) {
-			n.gossip.TellBeliefs(m, service, n.relay.Pool(service).Estimates())
+			n.gossip.TellBeliefs(m, service, n.relay.TargetPool(service).Estimates())
 		}
 	}
 }
@@ -212,11 +212,11 @@
 }
 
 func (n *Node) handleEvent(peer string, e sched.Event) {
-	n.relay.Pool(e.Service).ApplyPeerEvent(peer, e)
+	n.relay.TargetPool(e.Service).ApplyPeerEvent(peer, e)
 }
 
 func (n *Node) handleEstimates(service string, targets []sched.TargetEstimate, remaining int) {
-	n.relay.Pool(service).MergeEstimates(targets)
+	n.relay.TargetPool(service).MergeEstimates(targets)
 	if remaining == 0 {
 		n.healthQueries.complete(service)
 	}
--- a/core/node/ready_test.go
+++ b/core/node/ready_test.go
@@ -20,7 +20,7 @@
 func (o *readyObserver) run() {
 	for !o.node.Ready() {
 	}
-	o.sizes <- o.node.relay.Pool("orders").Size()
+	o.sizes <- o.node.relay.TargetPool("orders").Size()
 }
 
 // Guards against a daemon that reports readiness before its targets are in place,
@@ -56,7 +56,7 @@
 func (o *budgetObserver) run() {
 	for !o.node.Ready() {
 	}
-	o.allowed <- o.node.relay.BudgetState("orders").Allowed
+	o.allowed <- o.node.relay.RetryBudgetState("orders").Allowed
 }
 
 // Guards against a daemon that is ready before it has its part of the retry budget,
--- a/core/node/reload.go
+++ b/core/node/reload.go
@@ -16,7 +16,7 @@
 func (n *Node) ReloadSettings(s *Settings) {
 	previous := n.settings.Swap(s)
 	unchanged := s.CallerAddress == previous.CallerAddress && s.InnerAddress == previous.InnerAddress && s.StoreAddress == previous.StoreAddress
-	n.relay.SetBudget(relayBudget(s))
+	n.relay.SetRetryBudget(relayBudget(s))
 	_ = n.logger.Log("msg", "settings reloaded", "restart-needed", !unchanged)
 }
 
--- a/core/node/startup_test.go
+++ b/core/node/startup_test.go
@@ -96,7 +96,7 @@
 			t.Cleanup(func() { _ = n.Close() })
 			g.Eventually(n.Ready).WithTimeout(10 * time.Second).Should(BeTrue())
 			g.Expect(n.relay.Table().Version).To(Equal(route.Version(7)))
-			g.Expect(n.relay.Pool("orders").Size()).To(Equal(600))
+			g.Expect(n.relay.TargetPool("orders").Size()).To(Equal(600))
 			g.Eventually(func() int { return len(n.roster.Near()) }).WithTimeout(10 * time.Second).Should(Equal(2))
 			g.Expect(n.membersKnown.Load()).To(BeFalse(), "the peers may not know all members yet")
 		})
@@ -111,11 +111,11 @@
 	defer n.gossipConn.Close()
 	n.listLoaded.Store(false)
 	n.handleSnapshot(testTargetList(time.Minute))
-	g.Expect(n.relay.Pool("orders").Size()).To(BeZero())
+	g.Expect(n.relay.TargetPool("orders").Size()).To(BeZero())
 	n.applyList(watch.Delta{Version: 20, Changes: testTargetList(0).Changes[:3]})
 	n.handleSnapshot(testTargetList(0))
 	n.applyStaleList()
-	g.Expect(n.relay.Pool("orders").Size()).To(Equal(3))
+	g.Expect(n.relay.TargetPool("orders").Size()).To(Equal(3))
 }
 
 // Guards against daemons that start together, tell each other about the few members
--- a/core/node/state.go
+++ b/core/node/state.go
@@ -37,10 +37,10 @@
 }
 
 // budgetState returns this daemon's part of the retry budget by service.
-func (n *Node) budgetState() map[string]retry.WindowState {
-	out := map[string]retry.WindowState{}
+func (n *Node) budgetState() map[string]retry.WindowBudgetState {
+	out := map[string]retry.WindowBudgetState{}
 	for _, s := range n.services() {
-		out[s] = n.relay.BudgetState(s)
+		out[s] = n.relay.RetryBudgetState(s)
 	}
 	return out
 }
@@ -50,7 +50,7 @@
 	out := map[string][]sched.TargetState{}
 	if t := n.relay.Table(); t != nil {
 		for _, s := range t.Services() {
-			out[s] = n.relay.Pool(s).State()
+			out[s] = n.relay.TargetPool(s).State()
 		}
 	}
 	return out
--- a/core/node/targets_test.go
+++ b/core/node/targets_test.go
@@ -44,10 +44,10 @@
 		go leave.run()
 		go other.run()
 		leave.done.Wait()
-		g.Expect(n.relay.Pool("orders").Size()).To(BeZero())
+		g.Expect(n.relay.TargetPool("orders").Size()).To(BeZero())
 		version++
 		n.applyList(watch.Delta{Since: 1, Version: version, Changes: full.Changes})
-		g.Expect(n.relay.Pool("orders").Size()).To(Equal(2))
+		g.Expect(n.relay.TargetPool("orders").Size()).To(Equal(2))
 	}
 }
 
--- a/core/proxy/attempt.go
+++ b/core/proxy/attempt.go
@@ -116,7 +116,7 @@
 // classifyError sets the ending and the error of an attempt without a complete response.
 func (a *attempt) classifyError(res *attemptResult, err error) {
 	res.ending = endingOf(err)
-	info := res.ending.Row()
+	info := res.ending.Info()
 	res.err = fault.Wrap(err, info.Kind, "target %s: %s", a.target.ID, info.Name).WithOutcome(info.Outcome)
 	if errors.Is(err, errBodyTooLarge) {
 		res.err = fault.New(fault.RequestTooLarge, "body is larger than %d bytes", a.in.route.MaxBody).WithOutcome(fault.Unknown)
@@ -211,7 +211,7 @@
 	default:
 		res.ending = retry.OK
 	}
-	res.outcome = res.ending.Row().Outcome
+	res.outcome = res.ending.Info().Outcome
 }
 
 // matchesRefusal reports whether the target refused the request before it
--- a/core/proxy/exchange.go
+++ b/core/proxy/exchange.go
@@ -28,7 +28,7 @@
 // run makes attempts until one is not to be retried or no slot is granted, and
 // returns the result for the caller.
 func (f *forwarder) run(ctx context.Context) *attemptResult {
-	f.upstream.budget.Request()
+	f.upstream.budget.CountRequest()
 	for {
 		grant, err := f.upstream.limiter.Acquire(ctx, f.slotRequest())
 		if err != nil {
@@ -142,11 +142,11 @@
 func (f *forwarder) decide(res *attemptResult) retry.Decision {
 	now := time.Now()
 	d := retry.Decide(f.in.route, retry.Attempt{
-		Number:   f.attempts,
-		Ending:   res.ending,
-		Earlier:  f.outcome,
-		Deadline: f.in.deadline,
-		Expected: f.upstream.limiter.Expected(f.in.route.Kind),
+		Number:         f.attempts,
+		Ending:         res.ending,
+		EarlierOutcome: f.outcome,
+		Deadline:       f.in.deadline,
+		ServiceTime:    f.upstream.limiter.Expected(f.in.route.Kind),
 	}, f.upstream.budget, now)
 	if d.Retry && !f.in.buffered {
 		// A streamed body has been read from the caller and cannot be sent again.
--- a/core/proxy/hedge.go
+++ b/core/proxy/hedge.go
@@ -105,10 +105,10 @@
 func (r *hedgedRequest) startSecond(ctx context.Context) time.Duration {
 	f := r.forwarder
 	h := retry.DecideHedge(f.in.route, retry.Pending{
-		Started:  r.started,
-		Copies:   len(r.cancels),
-		Deadline: f.in.deadline,
-		Expected: f.upstream.limiter.Expected(f.in.route.Kind),
+		Started:     r.started,
+		Copies:      len(r.cancels),
+		Deadline:    f.in.deadline,
+		ServiceTime: f.upstream.limiter.Expected(f.in.route.Kind),
 	}, f.upstream.budget, time.Now())
 	if !h.Send {
 		return h.Wait
--- a/core/proxy/upstream.go
+++ b/core/proxy/upstream.go
@@ -23,7 +23,7 @@
 	routing  atomic.Pointer[routingSnapshot]
 	limiter  *limit.Gate
 	recorder *detect.Recorder
-	budget   *retry.Budget
+	budget   *retry.TokenBudget
 	dial     func(ctx context.Context, network, address string) (net.Conn, error)
 	// onLeaving is called for each response, with true if its target announces
 	// that it is leaving.
@@ -87,7 +87,7 @@
 		self:      self,
 		limiter:   limit.New(self.ID),
 		recorder:  detect.NewRecorder(service),
-		budget:    retry.NewBudget(service.Policy.RetryBudget, time.Now()),
+		budget:    retry.NewTokenBudget(service.Policy.RetryBudget, time.Now()),
 		dial:      (&net.Dialer{}).DialContext,
 		onLeaving: func(fleet.TargetID, bool) {},
 		onAttempt: func(AttemptMsg) {},
@@ -180,7 +180,7 @@
 type CarrierState struct {
 	Connections map[fleet.TargetID]link.Counts `json:"connections"`
 	Gate        limit.Stats                    `json:"gate"`
-	Retries     retry.BudgetStats              `json:"retries"`
+	Retries     retry.TokenBudgetStats         `json:"retries"`
 }
 
 // State returns the current state for the state dump.
--- a/core/relay/again.go
+++ b/core/relay/again.go
@@ -36,7 +36,7 @@
 // takeExtraAttempt reports whether the route, the time left and the retry budget
 // allow one more attempt, and takes it from the budget if so.
 func (x *exchange) takeExtraAttempt() bool {
-	if x.attemptsStarted-x.attemptsUnsent >= x.route.Attempts || !x.timeForAttempt() {
+	if x.attemptsStarted-x.attemptsUnsent >= x.route.MaxAttempts || !x.timeForAttempt() {
 		return false
 	}
 	return x.retryBudget.Take(time.Now())
--- a/core/relay/attempt.go
+++ b/core/relay/attempt.go
@@ -182,7 +182,7 @@
 	r := &result{attempt: t, response: resp, observation: judge.Served}
 	success := resp.status >= http.StatusOK && resp.status < http.StatusMultipleChoices
 	switch {
-	case success && resp.header.Get(names.Receipt) == "":
+	case success && resp.header.Get(names.ResponseSeal) == "":
 		return t.unusableResult(resp, "successful response without the header that marks it as the target's own")
 	case success && resp.header.Get("Content-Encoding") != "":
 		return t.unusableResult(resp, "successful response with a Content-Encoding")
--- a/core/relay/exchange.go
+++ b/core/relay/exchange.go
@@ -124,7 +124,7 @@
 // canRetry reports whether the request could be retried if the attempt that is about
 // to start fails.
 func (x *exchange) canRetry() bool {
-	return x.route.Idempotent() && x.attemptsStarted-x.attemptsUnsent < x.route.Attempts && x.retryBudget.Available(time.Now())
+	return x.route.Idempotent() && x.attemptsStarted-x.attemptsUnsent < x.route.MaxAttempts && x.retryBudget.Available(time.Now())
 }
 
 // objective returns the time by which the caller should have its response; zero if
--- a/core/relay/expire_test.go
+++ b/core/relay/expire_test.go
@@ -20,7 +20,7 @@
 	x := &exchange{
 		relay:      New("a", Headers{}),
 		request:    &caller.Request{Received: time.Now()},
-		route:      &route.Route{Attempts: 1},
+		route:      &route.Route{MaxAttempts: 1},
 		targetPool: sched.NewPool("orders", "a"),
 		results:    make(chan *result, 1),
 		running:    map[*attempt]bool{},
--- a/core/relay/headers.go
+++ b/core/relay/headers.go
@@ -13,8 +13,8 @@
 	RequestID string
 	// Deadline holds the number of milliseconds that the sender will wait.
 	Deadline string
-	// Receipt marks a response as produced by a target.
-	Receipt string
+	// ResponseSeal marks a response as produced by a target.
+	ResponseSeal string
 	// ExpectInstance holds the id of the target that a request is meant for.
 	ExpectInstance string
 	// NotRun marks a refusal by a target that did not start to run the request.
--- a/core/relay/large_test.go
+++ b/core/relay/large_test.go
@@ -27,7 +27,7 @@
 	host       = "shop.example"
 )
 
-var headerNames = relay.Headers{RequestID: "Id", Deadline: "Deadline", Receipt: "Receipt", ExpectInstance: "Expect-Instance", NotRun: "Not-Run"}
+var headerNames = relay.Headers{RequestID: "Id", Deadline: "Deadline", ResponseSeal: "Receipt", ExpectInstance: "Expect-Instance", NotRun: "Not-Run"}
 
 // largeTarget is a target with large responses, reached over in-memory pipes.
 type largeTarget struct {
@@ -86,13 +86,13 @@
 
 // newRelay returns a relay with two targets that are both served by a.
 func (a *largeTarget) newRelay(opts ...relay.Option) *relay.Relay {
-	r := relay.New("a", headerNames, append([]relay.Option{relay.WithLinkOptions(link.WithDial(a.dial)), relay.WithBudget(relay.Budget{Span: 10 * time.Second, Ratio: 2})}, opts...)...)
+	r := relay.New("a", headerNames, append([]relay.Option{relay.WithLinkOptions(link.WithDial(a.dial)), relay.WithRetryBudget(relay.RetryBudget{Span: 10 * time.Second, Ratio: 2})}, opts...)...)
 	c := &route.Config{
 		Version:  1,
 		Services: []route.Service{{Name: "archive"}},
 		Hosts: []route.Host{{Name: host, Routes: []route.Route{{
-			Name: "pull", Prefix: "/", Kind: route.Idempotent, Timeout: 4 * time.Second, Objective: time.Second, Attempts: 3,
-			Split: []route.Share{{Service: "archive", Weight: 1}},
+			Name: "pull", Prefix: "/", Idempotency: route.Idempotent, Timeout: 4 * time.Second, Objective: time.Second, MaxAttempts: 3,
+			Split: []route.WeightedService{{Service: "archive", Weight: 1}},
 		}}}},
 	}
 	r.SetTable(route.Compile(c))
@@ -128,7 +128,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		a := &largeTarget{}
-		r := a.newRelay(relay.WithAnswerMemory(largeBytes + 1))
+		r := a.newRelay(relay.WithResponseMemory(largeBytes + 1))
 		first, second := sendRequest(t.Context(), r), sendRequest(t.Context(), r)
 		g.Expect(first.Rest).To(BeNil())
 		g.Expect(second.Rest).NotTo(BeNil())
@@ -150,7 +150,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		a := &largeTarget{broken: true}
-		r := a.newRelay(relay.WithAnswerMemory(largeBytes + 1))
+		r := a.newRelay(relay.WithResponseMemory(largeBytes + 1))
 		g.Expect(sendRequest(t.Context(), r).Status).To(Equal(http.StatusBadGateway))
 		g.Expect(a.requestCount()).To(Equal(2), "a buffered response is replaced by that of another target")
 		a.broken = false
@@ -176,7 +176,7 @@
 		answer := sendRequest(t.Context(), r)
 		g.Expect(answer.Status).To(Equal(http.StatusOK))
 		g.Expect(a.requestCount()).To(Equal(1))
-		g.Expect(r.Pool("archive").ServiceTime()).To(BeNumerically("<", time.Second))
+		g.Expect(r.TargetPool("archive").ServiceTime()).To(BeNumerically("<", time.Second))
 		_, _ = readAll(g, answer)
 		r.SetTargets(nil)
 	})
@@ -208,7 +208,7 @@
 		g.Expect(answer.Status).NotTo(Equal(http.StatusOK))
 		time.Sleep(3 * time.Second)
 		g.Expect(a.requestCount()).To(Equal(1))
-		g.Expect(r.Pool("archive").State()[0].Own + r.Pool("archive").State()[1].Own).To(BeZero())
+		g.Expect(r.TargetPool("archive").State()[0].Own + r.TargetPool("archive").State()[1].Own).To(BeZero())
 		r.SetTargets(nil)
 	})
 }
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -18,9 +18,9 @@
 	"wisteriarelay.example/core/stats"
 )
 
-// Budget is the retry budget of one service: it limits the extra attempts, which are
+// RetryBudget is the retry budget of one service: it limits the extra attempts, which are
 // retries and hedged attempts, that the whole fleet makes.
-type Budget struct {
+type RetryBudget struct {
 	// Span is the length of the sliding window in which extra attempts are counted.
 	Span time.Duration
 	// Ratio is the number of extra attempts allowed for each request in the window.
@@ -40,7 +40,7 @@
 type Relay struct {
 	dataCentre    string
 	headers       Headers
-	budget        Budget
+	budget        RetryBudget
 	logger        log.Logger
 	metrics       *stats.Set
 	emit          func(sched.Event)
@@ -67,8 +67,8 @@
 	return func(r *Relay) { r.metrics = s }
 }
 
-// WithBudget sets the retry budget of each service.
-func WithBudget(b Budget) Option {
+// WithRetryBudget sets the retry budget of each service.
+func WithRetryBudget(b RetryBudget) Option {
 	return func(r *Relay) { r.budget = b }
 }
 
@@ -78,10 +78,10 @@
 	return func(r *Relay) { r.emit = emit }
 }
 
-// WithInform sets a function that is called before a request acquires a target. It
+// WithBeforeAcquire sets a function that is called before a request acquires a target. It
 // may wait briefly for what peers know about the health of the service's targets.
 // repeatable is true if the request is idempotent.
-func WithInform(hook func(ctx context.Context, service string, repeatable bool)) Option {
+func WithBeforeAcquire(hook func(ctx context.Context, service string, repeatable bool)) Option {
 	return func(r *Relay) { r.beforeAcquire = hook }
 }
 
@@ -90,14 +90,14 @@
 	return func(r *Relay) { r.connPools.opts = opts }
 }
 
-// WithAnswerMemory sets the maximum number of bytes of responses that are buffered
+// WithResponseMemory sets the maximum number of bytes of responses that are buffered
 // until their callers have read them.
-func WithAnswerMemory(bytes int64) Option {
+func WithResponseMemory(bytes int64) Option {
 	return func(r *Relay) { r.memory.available.Store(bytes) }
 }
 
 // defaultBudget is the retry budget if the settings have none.
-var defaultBudget = Budget{Span: 10 * time.Second, Ratio: 0.2, Slack: 20}
+var defaultBudget = RetryBudget{Span: 10 * time.Second, Ratio: 0.2, Slack: 20}
 
 // New returns a relay that refuses all requests until SetTable is called.
 func New(dataCentre string, headers Headers, opts ...Option) *Relay {
@@ -126,9 +126,9 @@
 	r.table.Store(t)
 }
 
-// SetBudget changes the retry budget of all services. The window of a service that
+// SetRetryBudget changes the retry budget of all services. The window of a service that
 // the relay already knows keeps its span.
-func (r *Relay) SetBudget(b Budget) {
+func (r *Relay) SetRetryBudget(b RetryBudget) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.budget = b
@@ -165,26 +165,26 @@
 	r.connPools.closeUnused(live)
 }
 
-// Pool returns the target pool of a service, creating it on first use.
-func (r *Relay) Pool(name string) *sched.Pool {
+// TargetPool returns the target pool of a service, creating it on first use.
+func (r *Relay) TargetPool(name string) *sched.Pool {
 	return r.service(name).targetPool
 }
 
-// SetPart sets the part of the fleet's retry budget for a service that this daemon
+// SetBudgetAllocation sets the part of the fleet's retry budget for a service that this daemon
 // may use.
-func (r *Relay) SetPart(name string, part retry.Part) {
-	r.service(name).retryBudget.SetPart(part)
+func (r *Relay) SetBudgetAllocation(name string, part retry.Allocation) {
+	r.service(name).retryBudget.SetAllocation(part)
 }
 
-// BudgetState returns the use of this daemon's part of the retry budget for a
+// RetryBudgetState returns the use of this daemon's part of the retry budget for a
 // service.
-func (r *Relay) BudgetState(name string) retry.WindowState {
+func (r *Relay) RetryBudgetState(name string) retry.WindowBudgetState {
 	return r.service(name).retryBudget.State(time.Now())
 }
 
-// Recent returns the number of requests for the service in the current window of
+// RecentRequests returns the number of requests for the service in the current window of
 // the retry budget.
-func (r *Relay) Recent(name string) int {
+func (r *Relay) RecentRequests(name string) int {
 	return r.service(name).retryBudget.RecentRequests(time.Now())
 }
 
@@ -255,8 +255,8 @@
 		id:            req.Header.Get(r.headers.RequestID),
 		header:        withoutHopByHop(req.Header),
 		deadline:      req.Received.Add(timeout),
-		results:       make(chan *result, match.Attempts+maxUnsentAttempts),
-		granted:       make(chan *attempt, match.Attempts+maxUnsentAttempts),
+		results:       make(chan *result, match.MaxAttempts+maxUnsentAttempts),
+		granted:       make(chan *attempt, match.MaxAttempts+maxUnsentAttempts),
 		running:       map[*attempt]bool{},
 		inFlight:      map[*attempt]bool{},
 	}
--- a/core/retry/bench_test.go
+++ b/core/retry/bench_test.go
@@ -20,11 +20,11 @@
 		b.Run(fmt.Sprintf("failing=%v", failing), func(b *testing.B) {
 			route := &fleet.Route{Idempotent: true, Attempts: 5}
 			rng := rand.New(rand.NewPCG(1, 5))
-			budget, now := retry.NewBudget(0.1, start), start
+			budget, now := retry.NewTokenBudget(0.1, start), start
 			sent, succeeded := 0, 0
 			for range requests {
 				now = now.Add(10 * time.Millisecond)
-				budget.Request()
+				budget.CountRequest()
 				retrying := true
 				for n := 1; retrying; n++ {
 					sent++
@@ -56,12 +56,12 @@
 				}
 				return time.Duration(rng.ExpFloat64() * float64(mean))
 			}
-			budget, now := retry.NewBudget(0.1, start), start
+			budget, now := retry.NewTokenBudget(0.1, start), start
 			var latencies []time.Duration
 			copies := 0
 			for range requests {
 				now = now.Add(10 * time.Millisecond)
-				budget.Request()
+				budget.CountRequest()
 				first, second := serviceTime(10), serviceTime(10)
 				pending := retry.Pending{Started: now, Copies: 1}
 				if first > after && retry.DecideHedge(route, pending, budget, now.Add(after)).Send {
@@ -80,10 +80,10 @@
 }
 
 func BenchmarkDecide(b *testing.B) {
-	budget := retry.NewBudget(1, start)
+	budget := retry.NewTokenBudget(1, start)
 	b.ReportAllocs()
 	for b.Loop() {
-		budget.Request()
+		budget.CountRequest()
 		retry.Decide(lookup, retry.Attempt{Number: 1, Ending: retry.NoResponse}, budget, start)
 	}
 }
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -20,10 +20,10 @@
 	burst = 32
 )
 
-// Budget is a token bucket that limits the retries and hedged requests of one service
+// TokenBudget is a token bucket that limits the retries and hedged requests of one service
 // at one daemon to a ratio of its requests plus retriesPerSecond. It is safe for
 // concurrent use.
-type Budget struct {
+type TokenBudget struct {
 	ratio  atomic.Int64
 	tokens atomic.Int64
 	// lastRefill is the time of the last refill, in nanoseconds since createdAt.
@@ -33,35 +33,35 @@
 	denied     atomic.Uint64
 }
 
-// BudgetStats are the counters of a Budget for the state dump.
-type BudgetStats struct {
+// TokenBudgetStats are the counters of a Budget for the state dump.
+type TokenBudgetStats struct {
 	Tokens float64 `json:"tokens"`
 	Spent  uint64  `json:"spent"`
 	Denied uint64  `json:"denied"`
 }
 
-// NewBudget returns a budget of ratio retries for each request. It starts with the
+// NewTokenBudget returns a budget of ratio retries for each request. It starts with the
 // retries of one second.
-func NewBudget(ratio float64, now time.Time) *Budget {
-	b := &Budget{createdAt: now}
+func NewTokenBudget(ratio float64, now time.Time) *TokenBudget {
+	b := &TokenBudget{createdAt: now}
 	b.SetRatio(ratio)
 	b.tokens.Store(retriesPerSecond * tokenScale)
 	return b
 }
 
 // SetRatio sets the number of retries allowed for each request.
-func (b *Budget) SetRatio(ratio float64) {
+func (b *TokenBudget) SetRatio(ratio float64) {
 	b.ratio.Store(int64(max(ratio, 0) * tokenScale))
 }
 
-// Request counts one request of a caller. Retries and hedged requests are not
+// CountRequest counts one request of a caller. Retries and hedged requests are not
 // counted, so that they do not add to the budget.
-func (b *Budget) Request() {
+func (b *TokenBudget) CountRequest() {
 	b.add(b.ratio.Load())
 }
 
 // Take takes one retry from the budget and reports whether one was available.
-func (b *Budget) Take(now time.Time) bool {
+func (b *TokenBudget) Take(now time.Time) bool {
 	b.refill(now)
 	for {
 		n := b.tokens.Load()
@@ -78,14 +78,14 @@
 
 // Return returns a retry that was taken but not sent, for example because no other
 // target had a free slot.
-func (b *Budget) Return() {
+func (b *TokenBudget) Return() {
 	b.add(tokenScale)
 	b.spent.Add(^uint64(0))
 }
 
 // Stats returns the current counters.
-func (b *Budget) Stats() BudgetStats {
-	return BudgetStats{
+func (b *TokenBudget) Stats() TokenBudgetStats {
+	return TokenBudgetStats{
 		Tokens: float64(b.tokens.Load()) / tokenScale,
 		Spent:  b.spent.Load(),
 		Denied: b.denied.Load(),
@@ -93,7 +93,7 @@
 }
 
 // refill adds the tokens for the time since the last refill.
-func (b *Budget) refill(now time.Time) {
+func (b *TokenBudget) refill(now time.Time) {
 	elapsed := int64(now.Sub(b.createdAt))
 	last := b.lastRefill.Load()
 	earned := (elapsed - last) * retriesPerSecond * tokenScale / int64(time.Second)
@@ -104,7 +104,7 @@
 }
 
 // add adds n tokens, up to the burst limit.
-func (b *Budget) add(n int64) {
+func (b *TokenBudget) add(n int64) {
 	for {
 		current := b.tokens.Load()
 		next := min(current+n, burst*tokenScale)
--- a/core/retry/decide.go
+++ b/core/retry/decide.go
@@ -17,13 +17,13 @@
 	// Number is the number of the attempt, from 1; hedged attempts count.
 	Number int
 	Ending Ending
-	// Earlier is the merged outcome of the earlier attempts; empty for the first.
-	Earlier fault.Outcome
+	// EarlierOutcome is the merged outcome of the earlier attempts; empty for the first.
+	EarlierOutcome fault.Outcome
 	// Deadline is the deadline of the request; zero if it has none.
 	Deadline time.Time
-	// Expected is the measured service time, 0 if unknown. No further attempt is made
+	// ServiceTime is the measured service time, 0 if unknown. No further attempt is made
 	// if the time left is not longer than this.
-	Expected time.Duration
+	ServiceTime time.Duration
 	// ResponseStarted is set if response bytes were sent to the caller, after which the
 	// request cannot be retried.
 	ResponseStarted bool
@@ -57,9 +57,9 @@
 
 // Decide returns whether to retry a request on the route after an attempt has ended.
 // It takes one retry from the budget if and only if the decision is to retry.
-func Decide(route *fleet.Route, a Attempt, b *Budget, now time.Time) Decision {
-	info := effectiveEnding(route, a.Ending).Row()
-	d := Decision{Outcome: mergeEarlier(a.Earlier, info.Outcome), Kind: info.Kind}
+func Decide(route *fleet.Route, a Attempt, b *TokenBudget, now time.Time) Decision {
+	info := effectiveEnding(route, a.Ending).Info()
+	d := Decision{Outcome: mergeEarlier(a.EarlierOutcome, info.Outcome), Kind: info.Kind}
 	d.Reason = reasonFor(route, a, info, now)
 	if d.Reason == Retried && !b.Take(now) {
 		d.Reason = BudgetSpent
@@ -99,11 +99,11 @@
 		return Finished
 	case !info.RetryIdempotent || a.ResponseStarted:
 		return NotRepeatable
-	case !route.Idempotent && (!info.RetryNonIdempotent || mergeEarlier(a.Earlier, info.Outcome) != fault.NotRun):
+	case !route.Idempotent && (!info.RetryNonIdempotent || mergeEarlier(a.EarlierOutcome, info.Outcome) != fault.NotRun):
 		return NotIdempotent
 	case a.Number >= maxAttempts:
 		return NoAttemptLeft
-	case !a.Deadline.IsZero() && a.Deadline.Sub(now) <= a.Expected:
+	case !a.Deadline.IsZero() && a.Deadline.Sub(now) <= a.ServiceTime:
 		return NoTimeLeft
 	default:
 		return Retried
@@ -117,8 +117,8 @@
 	// Copies is the number of copies of the request sent so far, at least 1.
 	Copies   int
 	Deadline time.Time
-	// Expected is the measured service time, 0 if unknown.
-	Expected time.Duration
+	// ServiceTime is the measured service time, 0 if unknown.
+	ServiceTime time.Duration
 }
 
 // Hedge says whether a hedged request, a second copy of a pending one, is sent.
@@ -132,12 +132,12 @@
 
 // DecideHedge returns whether to send a second copy of a pending request now, later or
 // never. Only idempotent requests are hedged, and at most once.
-func DecideHedge(route *fleet.Route, p Pending, b *Budget, now time.Time) Hedge {
+func DecideHedge(route *fleet.Route, p Pending, b *TokenBudget, now time.Time) Hedge {
 	if !route.Idempotent || route.HedgeAfter <= 0 || p.Copies > 1 {
 		return Hedge{}
 	}
 	due := p.Started.Add(route.HedgeAfter)
-	if !p.Deadline.IsZero() && p.Deadline.Sub(due) <= p.Expected {
+	if !p.Deadline.IsZero() && p.Deadline.Sub(due) <= p.ServiceTime {
 		return Hedge{}
 	}
 	if wait := due.Sub(now); wait > 0 {
--- a/core/retry/ending.go
+++ b/core/retry/ending.go
@@ -69,9 +69,9 @@
 	CallerGone:         {"caller-gone", fault.CallerGone, fault.Unknown, false, false},
 }
 
-// Row returns the description of the ending. A value that is not listed is treated as
+// Info returns the description of the ending. A value that is not listed is treated as
 // NoResponse, whose outcome is unknown.
-func (e Ending) Row() EndingInfo {
+func (e Ending) Info() EndingInfo {
 	if e >= endingCount {
 		return endingInfos[NoResponse]
 	}
@@ -80,7 +80,7 @@
 
 // String returns the kebab-case name of the ending.
 func (e Ending) String() string {
-	return e.Row().Name
+	return e.Info().Name
 }
 
 // Endings returns all endings in order.
--- a/core/retry/part.go
+++ b/core/retry/part.go
@@ -1,29 +1,29 @@
 package retry
 
-// Start says how the current run of a daemon process began. It decides how much of the
+// RestartKind says how the current run of a daemon process began. It decides how much of the
 // retry budget is held back for what the earlier run may have used in the same span.
-type Start int
+type RestartKind int
 
 // The ways in which a run began.
 const (
-	// Settled is a run for which no earlier one can have used retry budget in the
+	// NoRecentRestart is a run for which no earlier one can have used retry budget in the
 	// current span: the first run, or one that is older than the span.
-	Settled Start = iota
-	// WithFleet is a run that began within the span, as did those of most daemons: the
+	NoRecentRestart RestartKind = iota
+	// FleetRestart is a run that began within the span, as did those of most daemons: the
 	// whole fleet was started.
-	WithFleet
-	// Alone is a run that began within the span while most daemons kept running, as in
+	FleetRestart
+	// SingleRestart is a run that began within the span while most daemons kept running, as in
 	// a rolling restart.
-	Alone
+	SingleRestart
 )
 
-// Part is the part of the fleet's retry budget that one daemon may use.
-type Part struct {
-	// Ratio is the fraction used of the budget's ratio, which applies to the requests
+// Allocation is the part of the fleet's retry budget that one daemon may use.
+type Allocation struct {
+	// RatioFraction is the fraction used of the budget's ratio, which applies to the requests
 	// that this daemon receives.
-	Ratio float64
-	// Slack is the fraction used of the budget's slack, which the whole fleet shares.
-	Slack float64
+	RatioFraction float64
+	// SlackFraction is the fraction used of the budget's slack, which the whole fleet shares.
+	SlackFraction float64
 }
 
 const (
@@ -38,18 +38,18 @@
 	ratioFractionSingleRestart = 0.2
 )
 
-// PartOf returns the part of the retry budget for one of several daemons that carry a
+// AllocationFor returns the part of the retry budget for one of several daemons that carry a
 // service. It is reduced after a restart: if daemons are restarted one after the other
 // while a service refuses half of its requests, the extra attempts of the earlier run
 // count in the same span, and their number is not known.
-func PartOf(carriers int, s Start) Part {
+func AllocationFor(carriers int, s RestartKind) Allocation {
 	perCarrier := 1 / float64(max(carriers, 1))
 	switch s {
-	case Settled:
-		return Part{Ratio: 1, Slack: slackFraction * perCarrier}
-	case WithFleet:
-		return Part{Ratio: 1, Slack: slackFractionFleetRestart * perCarrier}
+	case NoRecentRestart:
+		return Allocation{RatioFraction: 1, SlackFraction: slackFraction * perCarrier}
+	case FleetRestart:
+		return Allocation{RatioFraction: 1, SlackFraction: slackFractionFleetRestart * perCarrier}
 	default:
-		return Part{Ratio: ratioFractionSingleRestart}
+		return Allocation{RatioFraction: ratioFractionSingleRestart}
 	}
 }
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -25,10 +25,10 @@
 )
 
 // fullBudget returns a budget with as many retries as it can hold.
-func fullBudget() *retry.Budget {
-	b := retry.NewBudget(1, start)
+func fullBudget() *retry.TokenBudget {
+	b := retry.NewTokenBudget(1, start)
 	for range 100 {
-		b.Request()
+		b.CountRequest()
 	}
 	return b
 }
@@ -62,7 +62,7 @@
 		for _, e := range retry.Endings() {
 			Expect(e.String()).NotTo(BeEmpty())
 			if e != retry.OK {
-				Expect(e.Row().Outcome).To(Equal(e.Row().Kind.Response().Outcome), e.String())
+				Expect(e.Info().Outcome).To(Equal(e.Info().Kind.Response().Outcome), e.String())
 			}
 		}
 	})
@@ -83,11 +83,11 @@
 			Expect(b.Stats().Tokens).To(Equal(before.Tokens), "a retry was taken although the decision is not to retry")
 		},
 		Entry("after the last attempt", lookup, retry.Attempt{Number: 2, Ending: retry.DialRefused}, retry.NoAttemptLeft, fault.NotRun),
-		Entry("after two refusals of an order", order, retry.Attempt{Number: 2, Ending: retry.DialRefused, Earlier: fault.NotRun}, retry.NoAttemptLeft, fault.NotRun),
-		Entry("an order that an earlier attempt may have run", order, retry.Attempt{Number: 1, Ending: retry.DialRefused, Earlier: fault.Unknown}, retry.NotIdempotent, fault.Unknown),
-		Entry("when the time left is not longer than the service time", lookup, retry.Attempt{Number: 1, Ending: retry.TimedOut, Deadline: start.Add(time.Second), Expected: time.Second}, retry.NoTimeLeft, fault.Unknown),
+		Entry("after two refusals of an order", order, retry.Attempt{Number: 2, Ending: retry.DialRefused, EarlierOutcome: fault.NotRun}, retry.NoAttemptLeft, fault.NotRun),
+		Entry("an order that an earlier attempt may have run", order, retry.Attempt{Number: 1, Ending: retry.DialRefused, EarlierOutcome: fault.Unknown}, retry.NotIdempotent, fault.Unknown),
+		Entry("when the time left is not longer than the service time", lookup, retry.Attempt{Number: 1, Ending: retry.TimedOut, Deadline: start.Add(time.Second), ServiceTime: time.Second}, retry.NoTimeLeft, fault.Unknown),
 		Entry("once response bytes were sent to the caller", lookup, retry.Attempt{Number: 1, Ending: retry.Truncated, ResponseStarted: true}, retry.NotRepeatable, fault.Unknown),
-		Entry("and keeps an earlier unknown outcome", lookup, retry.Attempt{Number: 2, Ending: retry.DialRefused, Earlier: fault.Unknown}, retry.NoAttemptLeft, fault.Unknown),
+		Entry("and keeps an earlier unknown outcome", lookup, retry.Attempt{Number: 2, Ending: retry.DialRefused, EarlierOutcome: fault.Unknown}, retry.NoAttemptLeft, fault.Unknown),
 	)
 })
 
@@ -97,11 +97,11 @@
 	It("bounds amplification when all targets fail", func() {
 		const requests, ratio, constant = 10_000, 0.1, 5
 		route := &fleet.Route{Idempotent: true, Attempts: 5, HedgeAfter: time.Millisecond}
-		b := retry.NewBudget(ratio, start)
+		b := retry.NewTokenBudget(ratio, start)
 		now, sent := start, 0
 		for range requests {
 			now = now.Add(time.Millisecond)
-			b.Request()
+			b.CountRequest()
 			sent++
 			if retry.DecideHedge(route, retry.Pending{Started: now.Add(-time.Second), Copies: 1}, b, now).Send {
 				sent++
@@ -116,7 +116,7 @@
 	})
 
 	It("allows five retries a second without traffic and accumulates at most 32", func() {
-		b := retry.NewBudget(0, start)
+		b := retry.NewTokenBudget(0, start)
 		takeAll(b, start)
 		Expect(b.Take(start.Add(199 * time.Millisecond))).To(BeFalse())
 		Expect(b.Take(start.Add(200 * time.Millisecond))).To(BeTrue())
@@ -129,11 +129,11 @@
 	})
 
 	It("accepts the return of a retry that was not sent", func() {
-		b := retry.NewBudget(0, start)
+		b := retry.NewTokenBudget(0, start)
 		takeAll(b, start)
 		b.Return()
 		Expect(b.Take(start)).To(BeTrue())
-		Expect(b.Stats()).To(Equal(retry.BudgetStats{Spent: 5, Denied: 1}))
+		Expect(b.Stats()).To(Equal(retry.TokenBudgetStats{Spent: 5, Denied: 1}))
 	})
 })
 
@@ -152,19 +152,19 @@
 		late := start.Add(time.Second)
 		Expect(retry.DecideHedge(&fleet.Route{HedgeAfter: 1}, pending, fullBudget(), late)).To(BeZero())
 		Expect(retry.DecideHedge(lookup, pending, fullBudget(), late)).To(BeZero())
-		short := retry.Pending{Started: start, Copies: 1, Deadline: start.Add(30 * time.Millisecond), Expected: 10 * time.Millisecond}
+		short := retry.Pending{Started: start, Copies: 1, Deadline: start.Add(30 * time.Millisecond), ServiceTime: 10 * time.Millisecond}
 		Expect(retry.DecideHedge(hedged, short, fullBudget(), start)).To(BeZero())
 	})
 
 	It("sends no copy without budget", func() {
-		b := retry.NewBudget(0, start)
+		b := retry.NewTokenBudget(0, start)
 		takeAll(b, start)
 		Expect(retry.DecideHedge(hedged, pending, b, start.Add(30*time.Millisecond))).To(BeZero())
 	})
 })
 
 // takeAll takes all retries that a budget starts with.
-func takeAll(b *retry.Budget, now time.Time) {
+func takeAll(b *retry.TokenBudget, now time.Time) {
 	for range 5 {
 		ExpectWithOffset(1, b.Take(now)).To(BeTrue())
 	}
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -25,7 +25,7 @@
 	mu         sync.Mutex
 	ratio      float64
 	slack      float64
-	allocation Part
+	allocation Allocation
 	// start is when the window was created; bucket 0 begins then.
 	start         time.Time
 	requests      [bucketCount]int
@@ -38,7 +38,7 @@
 // attempts for each request; slack is the number that the fleet may make besides in one
 // span, of which this daemon gets nothing until SetPart.
 func NewWindowBudget(span time.Duration, ratio, slack float64, now time.Time) *WindowBudget {
-	return &WindowBudget{span: span, ratio: ratio, slack: slack, allocation: Part{Ratio: 1}, start: now}
+	return &WindowBudget{span: span, ratio: ratio, slack: slack, allocation: Allocation{RatioFraction: 1}, start: now}
 }
 
 // SetBounds sets the ratio and the fleet's slack.
@@ -48,8 +48,8 @@
 	w.ratio, w.slack = ratio, slack
 }
 
-// SetPart sets the part of the fleet's retry budget that this daemon may use.
-func (w *WindowBudget) SetPart(p Part) {
+// SetAllocation sets the part of the fleet's retry budget that this daemon may use.
+func (w *WindowBudget) SetAllocation(p Allocation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.allocation = p
@@ -104,11 +104,11 @@
 
 // allowed returns the number of extra attempts that this daemon may make in the span.
 func (w *WindowBudget) allowed() float64 {
-	return w.allocation.Ratio*w.ratio*float64(w.recentRequests()) + w.allocation.Slack*w.slack
+	return w.allocation.RatioFraction*w.ratio*float64(w.recentRequests()) + w.allocation.SlackFraction*w.slack
 }
 
-// WindowState is the state of a WindowBudget for the state dump.
-type WindowState struct {
+// WindowBudgetState is the state of a WindowBudget for the state dump.
+type WindowBudgetState struct {
 	// Requests is the number of requests of callers in the span, Extras the number of
 	// extra attempts made.
 	Requests int `json:"requests"`
@@ -118,11 +118,11 @@
 }
 
 // State returns the current state of the budget.
-func (w *WindowBudget) State(now time.Time) WindowState {
+func (w *WindowBudget) State(now time.Time) WindowBudgetState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slide(now)
-	return WindowState{Requests: w.recentRequests(), Extras: sum(w.extraAttempts), Allowed: w.allowed()}
+	return WindowBudgetState{Requests: w.recentRequests(), Extras: sum(w.extraAttempts), Allowed: w.allowed()}
 }
 
 // slide moves the window to now and clears the buckets that are reused.
--- a/core/retry/window_test.go
+++ b/core/retry/window_test.go
@@ -23,7 +23,7 @@
 	windows := make([]*retry.WindowBudget, daemons)
 	for i := range windows {
 		windows[i] = retry.NewWindowBudget(span, ratio, slack, now)
-		windows[i].SetPart(retry.Part{Ratio: 1, Slack: 1.0 / daemons})
+		windows[i].SetAllocation(retry.Allocation{RatioFraction: 1, SlackFraction: 1.0 / daemons})
 	}
 	var requests, extras []time.Time
 	for i := range 4000 {
@@ -88,11 +88,11 @@
 			restarts++
 		}
 		i := step % daemons
-		start := retry.Settled
+		start := retry.NoRecentRestart
 		if now.Sub(started[i]) < span {
-			start = retry.Alone
+			start = retry.SingleRestart
 		}
-		windows[i].SetPart(retry.PartOf(daemons, start))
+		windows[i].SetAllocation(retry.AllocationFor(daemons, start))
 		windows[i].CountRequest(now)
 		requests = append(requests, 1)
 		extras = append(extras, 0)
--- a/core/route/config.go
+++ b/core/route/config.go
@@ -34,11 +34,11 @@
 // Route says which services receive the requests below a path prefix, and how these
 // may be handled.
 type Route struct {
-	Name   string
-	Prefix string
-	Kind   Kind
-	// KindWord is the kind as written in the configuration, for messages.
-	KindWord string
+	Name        string
+	Prefix      string
+	Idempotency Idempotency
+	// IdempotencyText is the kind as written in the configuration, for messages.
+	IdempotencyText string
 	// Timeout is the maximum time until the caller has its response.
 	Timeout time.Duration
 	// Objective is the time within which a response has its full value for the caller;
@@ -46,33 +46,33 @@
 	Objective time.Duration
 	// Priority ranks the route; 0 is the highest.
 	Priority int
-	// Attempts is the maximum number of attempts for one request.
-	Attempts int
+	// MaxAttempts is the maximum number of attempts for one request.
+	MaxAttempts int
 	// Split distributes the requests among services by weight.
-	Split []Share
+	Split []WeightedService
 	// Problem is the reason why the route cannot be served, or nil. While it is set, the
 	// requests of the route are refused.
 	Problem error
 }
 
-// Kind says whether the requests of a route may run more than once.
-type Kind uint8
+// Idempotency says whether the requests of a route may run more than once.
+type Idempotency uint8
 
 // The kinds of routes. A request on a route of an unknown kind, for example of a later
 // version, runs at most once, because that is safe for every kind.
 const (
-	UnknownKind Kind = iota
+	UnknownIdempotency Idempotency = iota
 	NotIdempotent
 	Idempotent
 )
 
 // Idempotent reports whether the requests of the route may run more than once.
 func (r *Route) Idempotent() bool {
-	return r.Kind == Idempotent
+	return r.Idempotency == Idempotent
 }
 
-// Share is a service with its weight in a traffic split.
-type Share struct {
+// WeightedService is a service with its weight in a traffic split.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -11,7 +11,7 @@
 
 func config() *route.Config {
 	r := func(prefix, service string) route.Route {
-		return route.Route{Name: prefix, Prefix: prefix, Kind: route.Idempotent, Timeout: time.Second, Attempts: 2, Split: []route.Share{{Service: service, Weight: 1}}}
+		return route.Route{Name: prefix, Prefix: prefix, Idempotency: route.Idempotent, Timeout: time.Second, MaxAttempts: 2, Split: []route.WeightedService{{Service: service, Weight: 1}}}
 	}
 	return &route.Config{
 		Version:  3,
@@ -35,7 +35,7 @@
 // Guards against a traffic split whose shares differ from the weights.
 func TestSplitFollowsWeights(t *testing.T) {
 	g := NewWithT(t)
-	r := route.Route{Split: []route.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
+	r := route.Route{Split: []route.WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	count := map[string]int{}
 	for random := range uint64(1000) {
 		count[r.PickService(random)]++
@@ -75,7 +75,7 @@
 			c.Hosts = append(c.Hosts, route.Host{Name: "shop.example", Routes: c.Hosts[0].Routes[:1]})
 		},
 		"timeout":  func(c *route.Config) { c.Hosts[0].Routes[0].Timeout = 0 },
-		"attempts": func(c *route.Config) { c.Hosts[0].Routes[0].Attempts = 0 },
+		"attempts": func(c *route.Config) { c.Hosts[0].Routes[0].MaxAttempts = 0 },
 		"weight":   func(c *route.Config) { c.Hosts[0].Routes[0].Split[0].Weight = -1 },
 	}
 	problems, err := config().Validate()
@@ -112,7 +112,7 @@
 func TestUnknownKindRunsAtMostOnce(t *testing.T) {
 	g := NewWithT(t)
 	c := config()
-	c.Hosts[0].Routes[0].Kind, c.Hosts[0].Routes[0].KindWord = route.UnknownKind, "later"
+	c.Hosts[0].Routes[0].Idempotency, c.Hosts[0].Routes[0].IdempotencyText = route.UnknownIdempotency, "later"
 	problems, err := c.Validate()
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(problems).To(HaveLen(1))
--- a/core/route/validate.go
+++ b/core/route/validate.go
@@ -97,9 +97,9 @@
 		if r.Problem != nil {
 			problems = append(problems, fault.Wrap(r.Problem, fault.SettingsInvalid, "host %q, route %q, prefix %q", h.Name, r.Name, r.Prefix))
 		}
-		if r.Kind == UnknownKind {
+		if r.Idempotency == UnknownIdempotency {
 			problems = append(problems, fault.New(fault.SettingsInvalid,
-				"host %q, route %q: kind %q is unknown; requests run at most once", h.Name, r.Name, r.KindWord))
+				"host %q, route %q: kind %q is unknown; requests run at most once", h.Name, r.Name, r.IdempotencyText))
 		}
 	}
 	return problems
@@ -122,7 +122,7 @@
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		return fault.New(fault.SettingsInvalid, "prefix must begin and end with a slash")
 	}
-	if r.Timeout <= 0 || r.Attempts <= 0 || r.Objective < 0 || r.Priority < 0 {
+	if r.Timeout <= 0 || r.MaxAttempts <= 0 || r.Objective < 0 || r.Priority < 0 {
 		return fault.New(fault.SettingsInvalid, "timeout and attempts must be positive; objective and priority must not be negative")
 	}
 	total := 0
