--- a/core/gossip/document.go
+++ b/core/gossip/document.go
@@ -113,15 +113,15 @@
 	return &Document{Version: r.version, Data: data}, nil
 }
 
-// TellConfig sends the operators' configuration to peers, in the form in which the
+// SendConfig sends the operators' configuration to peers, in the form in which the
 // store holds it.
-func (n *Node) TellConfig(d Document, to []roster.Member) {
+func (n *Transport) SendConfig(d Document, to []roster.Member) {
 	fragments, err := d.split()
 	if err != nil {
 		_ = n.logger.Log("msg", "configuration not passed on", "version", d.Version, "err", err)
 		return
 	}
 	for i := range fragments {
-		n.sendReport(&Report{VM: n.self.VM, Born: n.self.Born, ConfigFragment: &fragments[i]}, to)
+		n.sendReport(&Report{VM: n.self.VM, StartMillis: n.self.StartMillis, ConfigFragment: &fragments[i]}, to)
 	}
 }
--- a/core/gossip/fuzz_test.go
+++ b/core/gossip/fuzz_test.go
@@ -7,7 +7,7 @@
 // Guards against a datagram that makes the daemon panic or allocate memory without
 // bound.
 func FuzzReport(f *testing.F) {
-	heartbeat := Report{VM: "vm", DataCentre: "a", Callers: "10.0.0.1:80", Ready: true, Carries: []string{"group-0"}, Cores: 0.3}
+	heartbeat := Report{VM: "vm", DataCentre: "a", CallerAddress: "10.0.0.1:80", Ready: true, Carries: []string{"group-0"}, Cores: 0.3}
 	fragments, err := (&Document{Version: 1, Data: []byte("configuration")}).split()
 	if err != nil {
 		f.Fatal(err)
--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -33,7 +33,7 @@
 // packet.
 func TestFullReportsFitInADatagram(t *testing.T) {
 	g := NewWithT(t)
-	events := Report{VM: "front-lautoka-north-12", Born: 1 << 41, Forward: true}
+	events := Report{VM: "front-lautoka-north-12", StartMillis: 1 << 41, Forward: true}
 	var queued []queuedEvent
 	for i := range uint64(maxEvents) {
 		queued = append(queued, newQueuedEvent(1<<40+1000*i, sched.Event{
@@ -47,18 +47,18 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(decoded.EventBatch).To(Equal(events.EventBatch))
 
-	list := Report{VM: "front-lautoka-north-12", Born: 1 << 41, ListPart: &watch.Part{}}
+	list := Report{VM: "front-lautoka-north-12", StartMillis: 1 << 41, ListPart: &watch.Part{}}
 	for range maxChanges {
 		list.ListPart.Changes = append(list.ListPart.Changes, watch.Change{ID: "i-0123456789", Entry: &watch.Entry{
-			Service: "service-with-a-name", Address: "10.128.100.100:12345", DataCentre: "lautoka-north", Slots: 200, Born: 1 << 41, Seq: 1 << 30, ColdLeft: 1 << 32,
+			Service: "service-with-a-name", Address: "10.128.100.100:12345", DataCentre: "lautoka-north", Slots: 200, StartMillis: 1 << 41, Seq: 1 << 30, WarmupLeft: 1 << 32,
 		}})
 	}
 	_, err = list.Encode()
 	g.Expect(err).NotTo(HaveOccurred())
 
-	beliefs := Report{VM: "front-lautoka-north-12", Born: 1 << 41, Beliefs: []ServiceBeliefs{{Service: "service-with-a-name"}}}
+	beliefs := Report{VM: "front-lautoka-north-12", StartMillis: 1 << 41, Estimates: []ServiceEstimates{{Service: "service-with-a-name"}}}
 	for range maxBeliefs {
-		beliefs.Beliefs[0].Targets = append(beliefs.Beliefs[0].Targets, encodeBelief(sched.TargetEstimate{
+		beliefs.Estimates[0].Targets = append(beliefs.Estimates[0].Targets, encodeBelief(sched.TargetEstimate{
 			ID: "i-0123456789", StartMillis: 1 << 41, Snapshot: judge.Snapshot{Degraded: 0.123, Failing: 0.456, Age: 1 << 33, EpisodeAge: 1 << 33},
 		}))
 	}
@@ -77,7 +77,7 @@
 // testFleet is daemons in two data centres that all carry the same service.
 type testFleet struct {
 	members  []roster.Member
-	nodes    []*Node
+	nodes    []*Transport
 	received chan string
 }
 
@@ -92,7 +92,7 @@
 		t.Cleanup(func() { _ = conn.Close() })
 		conns = append(conns, conn)
 		f.members = append(f.members, roster.Member{
-			VM: fmt.Sprintf("vm-%d", i), DataCentre: string(rune('a' + i%2)), Inner: conn.LocalAddr().String(), Born: 1,
+			VM: fmt.Sprintf("vm-%d", i), DataCentre: string(rune('a' + i%2)), PeerAddress: conn.LocalAddr().String(), StartMillis: 1,
 		})
 	}
 	for i, conn := range conns {
@@ -101,16 +101,16 @@
 	return f
 }
 
-func (f *testFleet) newNode(i int, conn *net.UDPConn) *Node {
+func (f *testFleet) newNode(i int, conn *net.UDPConn) *Transport {
 	index := NewTargetIndex(map[string][]sched.Target{"orders": {{Key: sched.Key{ID: "t1"}}}})
 	sources := Sources{
 		Targets: func() TargetIndex { return index },
-		Group: func(string) Audience {
-			return Audience{Carriers: slices.Concat(f.members[:i], f.members[i+1:])}
+		Recipients: func(string) Recipients {
+			return Recipients{Carriers: slices.Concat(f.members[:i], f.members[i+1:])}
 		},
 	}
 	handlers := Handlers{Event: func(peer string, _ sched.Event) { f.received <- peer + " to " + f.members[i].VM }}
-	return NewNode(f.members[i], conn, sources, handlers, log.NewNopLogger())
+	return NewTransport(f.members[i], conn, sources, handlers, log.NewNopLogger())
 }
 
 // Guards against an event that is sent to another data centre once for each carrier
@@ -136,11 +136,11 @@
 	g := NewWithT(t)
 	f := newTestFleet(t, 8)
 	for _, n := range f.nodes {
-		r := &receiver{Node: n, fanouts: newFanoutCache(n)}
+		r := &receiver{Transport: n, fanouts: newFanoutCache(n)}
 		go r.run()
 	}
-	s := &sender{Node: f.nodes[0], fanouts: newFanoutCache(f.nodes[0])}
-	s.Tell(sched.Event{Service: "orders", Target: sched.Key{ID: "t1"}, Result: judge.Broken})
+	s := &sender{Transport: f.nodes[0], fanouts: newFanoutCache(f.nodes[0])}
+	s.QueueEvent(sched.Event{Service: "orders", Target: sched.Key{ID: "t1"}, Result: judge.Broken})
 	s.flush()
 	s.flush()
 	got := map[string]int{}
@@ -175,7 +175,7 @@
 		for i := range uint64(count) {
 			events = append(events, newQueuedEvent(1<<40+i, sched.Event{Service: "reservas", Target: sched.Key{ID: "i-0123456789", StartMillis: 1 << 41}, InFlight: 2, Result: judge.Served, Latency: 400 * time.Millisecond}))
 		}
-		data, err := (&Report{VM: "front-mdp-1", Born: 1 << 41, EventBatch: newEventBatch(events)}).Encode()
+		data, err := (&Report{VM: "front-mdp-1", StartMillis: 1 << 41, EventBatch: newEventBatch(events)}).Encode()
 		g.Expect(err).NotTo(HaveOccurred())
 		return len(data)
 	}
--- a/core/gossip/groups.go
+++ b/core/gossip/groups.go
@@ -52,12 +52,12 @@
 // fanoutCache caches the fanouts of services for fanoutTTL. It must be used by one
 // goroutine only.
 type fanoutCache struct {
-	node    *Node
+	node    *Transport
 	fanouts map[string]*fanout
 	asOf    time.Time
 }
 
-func newFanoutCache(n *Node) *fanoutCache {
+func newFanoutCache(n *Transport) *fanoutCache {
 	return &fanoutCache{node: n, fanouts: map[string]*fanout{}}
 }
 
@@ -76,9 +76,9 @@
 }
 
 // newFanout returns the current fanout of the service.
-func (n *Node) newFanout(service string) *fanout {
-	audience := n.sources.Group(service)
-	out := &fanout{failuresOnly: audience.Strays, ownTargetsOnly: audience.Local, remote: map[string][]roster.Member{}}
+func (n *Transport) newFanout(service string) *fanout {
+	audience := n.sources.Recipients(service)
+	out := &fanout{failuresOnly: audience.FailuresOnly, ownTargetsOnly: audience.OwnTargetsOnly, remote: map[string][]roster.Member{}}
 	for _, m := range audience.Carriers {
 		if m.DataCentre == n.self.DataCentre {
 			out.local = append(out.local, m)
@@ -94,7 +94,7 @@
 
 // sortGateways orders the members of another data centre by rendezvous hashing, so
 // that the daemons of this one use different gateways.
-func (n *Node) sortGateways(members []roster.Member) {
+func (n *Transport) sortGateways(members []roster.Member) {
 	weight := func(m roster.Member) uint64 { return xxhash.Sum64String(n.self.VM + " " + m.VM) }
 	slices.SortFunc(members, func(a, b roster.Member) int { return cmp.Compare(weight(a), weight(b)) })
 }
--- a/core/gossip/node.go
+++ b/core/gossip/node.go
@@ -40,15 +40,15 @@
 // Handlers are called with the contents of the reports that arrive. They must not
 // block.
 type Handlers struct {
-	// Heard is called with each heartbeat. If it returns false, the rest of the report
+	// Heartbeat is called with each heartbeat. If it returns false, the rest of the report
 	// is ignored.
-	Heard func(m roster.Member, r *Report) bool
+	Heartbeat func(m roster.Member, r *Report) bool
 	// Event is called once with each event of a target.
 	Event func(peer string, e sched.Event)
-	// List is called with each part of a change of the target list.
-	List func(p watch.Part)
-	// Group is called with carriers of a group in other data centres.
-	Group func(g Group)
+	// ListPart is called with each part of a change of the target list.
+	ListPart func(p watch.Part)
+	// RemoteCarriers is called with carriers of a group in other data centres.
+	RemoteCarriers func(g GroupCarriers)
 	// Snapshot is called with the whole target list, Members with members of the
 	// fleet. Peers send both only to a daemon that has just started.
 	Snapshot func(d watch.Delta)
@@ -58,43 +58,43 @@
 	// Beliefs is called with a peer's beliefs about targets of a service; left is the
 	// number of reports on the service that follow.
 	Beliefs func(service string, targets []sched.TargetEstimate, left int)
-	// Asked is called if a peer requests this daemon's beliefs about a service.
-	Asked func(peer roster.Member, service string)
+	// EstimateRequest is called if a peer requests this daemon's beliefs about a service.
+	EstimateRequest func(peer roster.Member, service string)
 }
 
 // Sources provide the contents and the recipients of the reports that this daemon
 // sends.
 type Sources struct {
-	// State returns the daemon's heartbeat.
-	State func() Report
-	// Near returns the other members of the local data centre.
-	Near func() []roster.Member
-	// Watched returns the monitored daemons of the local data centre without this one,
+	// Heartbeat returns the daemon's heartbeat.
+	Heartbeat func() Report
+	// LocalPeers returns the other members of the local data centre.
+	LocalPeers func() []roster.Member
+	// Monitored returns the monitored daemons of the local data centre without this one,
 	// and whether this daemon is monitored too.
-	Watched func() (members []roster.Member, self bool)
+	Monitored func() (members []roster.Member, self bool)
 	// Targets returns the index of the targets that this daemon knows.
 	Targets func() TargetIndex
-	// Group returns the daemons that get the events of a service.
-	Group func(service string) Audience
-	// Peers returns the daemons that carry a group which this daemon carries too.
-	Peers func() []roster.Member
-	// Groups returns the carriers in other data centres that the local data centre is
+	// Recipients returns the daemons that get the events of a service.
+	Recipients func(service string) Recipients
+	// GroupPeers returns the daemons that carry a group which this daemon carries too.
+	GroupPeers func() []roster.Member
+	// RemoteCarriers returns the carriers in other data centres that the local data centre is
 	// informed of.
-	Groups func() []Group
+	RemoteCarriers func() []GroupCarriers
 }
 
-// Audience holds the daemons that get the events of a service.
-type Audience struct {
+// Recipients holds the daemons that get the events of a service.
+type Recipients struct {
 	Carriers []roster.Member
-	// Strays are daemons of the local data centre that get only the events that count
+	// FailuresOnly are daemons of the local data centre that get only the events that count
 	// against a target.
-	Strays []roster.Member
-	// Local is true if another data centre gets only the events of its own targets.
-	Local bool
+	FailuresOnly []roster.Member
+	// OwnTargetsOnly is true if another data centre gets only the events of its own targets.
+	OwnTargetsOnly bool
 }
 
-// Node sends and receives reports on a UDP socket.
-type Node struct {
+// Transport sends and receives reports on a UDP socket.
+type Transport struct {
 	self     roster.Member
 	conn     *net.UDPConn
 	sources  Sources
@@ -124,9 +124,9 @@
 	window dedupWindow
 }
 
-// NewNode returns a node that uses the connection.
-func NewNode(self roster.Member, conn *net.UDPConn, sources Sources, handlers Handlers, logger log.Logger) *Node {
-	return &Node{
+// NewTransport returns a node that uses the connection.
+func NewTransport(self roster.Member, conn *net.UDPConn, sources Sources, handlers Handlers, logger log.Logger) *Transport {
+	return &Transport{
 		self:     self,
 		conn:     conn,
 		sources:  sources,
@@ -140,18 +140,18 @@
 
 // Start starts sending and receiving. Sending ends with ctx, receiving when the
 // connection is closed.
-func (n *Node) Start(ctx context.Context) {
-	r := &receiver{Node: n, fanouts: newFanoutCache(n)}
+func (n *Transport) Start(ctx context.Context) {
+	r := &receiver{Transport: n, fanouts: newFanoutCache(n)}
 	go r.run()
 	h := &heartbeater{n}
 	go h.loop(ctx)
-	s := &sender{Node: n, fanouts: newFanoutCache(n)}
+	s := &sender{Transport: n, fanouts: newFanoutCache(n)}
 	go s.loop(ctx)
 }
 
-// Tell queues an event to be sent to the daemons that get the events of its service.
+// QueueEvent queues an event to be sent to the daemons that get the events of its service.
 // It does not block.
-func (n *Node) Tell(e sched.Event) {
+func (n *Transport) QueueEvent(e sched.Event) {
 	n.mu.Lock()
 	n.lastSeq++
 	if len(n.pending) >= maxPending {
@@ -180,32 +180,32 @@
 const maxChanges = 8
 
 // Dropped returns the number of events that were dropped before they were sent.
-func (n *Node) Dropped() int64 {
+func (n *Transport) Dropped() int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return int64(n.dropped)
 }
 
-// TellList sends a change of the target list to the members of the local data centre.
-func (n *Node) TellList(d watch.Delta) {
-	local := n.sources.Near()
+// SendListChanges sends a change of the target list to the members of the local data centre.
+func (n *Transport) SendListChanges(d watch.Delta) {
+	local := n.sources.LocalPeers()
 	for _, part := range d.Split(maxChanges) {
-		n.sendReport(&Report{VM: n.self.VM, Born: n.self.Born, ListPart: &part}, local)
+		n.sendReport(&Report{VM: n.self.VM, StartMillis: n.self.StartMillis, ListPart: &part}, local)
 	}
 }
 
-// Beat sends a heartbeat to the members of the local data centre and to carriers in
+// SendHeartbeat sends a heartbeat to the members of the local data centre and to carriers in
 // others at once, for example when the daemon starts or leaves.
-func (n *Node) Beat() {
-	report := n.sources.State()
-	n.sendReport(&report, n.sources.Near())
+func (n *Transport) SendHeartbeat() {
+	report := n.sources.Heartbeat()
+	n.sendReport(&report, n.sources.LocalPeers())
 	n.sendRemoteHeartbeat(&report)
 }
 
 // sendRemoteHeartbeat sends a heartbeat to the carriers in other data centres.
-func (n *Node) sendRemoteHeartbeat(report *Report) {
+func (n *Transport) sendRemoteHeartbeat(report *Report) {
 	sent := map[string]bool{}
-	for _, m := range n.sources.Peers() {
+	for _, m := range n.sources.GroupPeers() {
 		if m.DataCentre != report.DataCentre && !sent[m.VM] {
 			sent[m.VM] = true
 			n.sendReport(report, []roster.Member{m})
@@ -214,7 +214,7 @@
 }
 
 // sendReport encodes a report and sends it to each of the members.
-func (n *Node) sendReport(r *Report, members []roster.Member) {
+func (n *Transport) sendReport(r *Report, members []roster.Member) {
 	if len(members) == 0 {
 		return
 	}
@@ -224,7 +224,7 @@
 		return
 	}
 	for _, m := range members {
-		address, err := netip.ParseAddrPort(m.Inner)
+		address, err := netip.ParseAddrPort(m.PeerAddress)
 		if err != nil {
 			_ = n.logger.Log("msg", "peer has no usable address", "peer", m.VM, "err", err)
 			continue
@@ -235,7 +235,7 @@
 }
 
 // heartbeater sends heartbeats at regular intervals.
-type heartbeater struct{ *Node }
+type heartbeater struct{ *Transport }
 
 func (h *heartbeater) loop(ctx context.Context) {
 	tick := time.NewTicker(heartbeatInterval)
@@ -255,15 +255,15 @@
 
 // sendDue sends the heartbeats that are due in the interval with the given number.
 func (h *heartbeater) sendDue(count int) {
-	monitored, self := h.sources.Watched()
+	monitored, self := h.sources.Monitored()
 	if !self && count%reducedRateEvery != 0 {
 		return
 	}
-	report := h.sources.State()
+	report := h.sources.Heartbeat()
 	if self {
-		h.sendReport(&report, h.sources.Near())
+		h.sendReport(&report, h.sources.LocalPeers())
 	} else {
-		report.Quiet = true
+		report.ReducedRate = true
 		h.sendReport(&report, monitored)
 	}
 	if count%remoteEvery == 0 {
@@ -278,10 +278,10 @@
 // sendRemoteCarriers informs the local data centre of the carriers in others, so that
 // results from a daemon that does not carry a service reach all its carriers.
 func (h *heartbeater) sendRemoteCarriers() {
-	local := h.sources.Near()
-	for _, g := range h.sources.Groups() {
+	local := h.sources.LocalPeers()
+	for _, g := range h.sources.RemoteCarriers() {
 		for part := range slices.Chunk(g.Members, maxMembers) {
-			h.sendReport(&Report{VM: h.self.VM, Born: h.self.Born, RemoteCarriers: []Group{{Name: g.Name, Members: part}}}, local)
+			h.sendReport(&Report{VM: h.self.VM, StartMillis: h.self.StartMillis, RemoteCarriers: []GroupCarriers{{Name: g.Name, Members: part}}}, local)
 		}
 	}
 }
--- a/core/gossip/receiver.go
+++ b/core/gossip/receiver.go
@@ -10,7 +10,7 @@
 
 // receiver reads reports from the connection and calls the handlers.
 type receiver struct {
-	*Node
+	*Transport
 	fanouts           *fanoutCache
 	configFragments   reassembler
 	snapshotFragments reassembler
@@ -39,17 +39,17 @@
 // handle processes one report. If the report is a heartbeat that the Heard handler
 // rejects, its other contents are ignored.
 func (r *receiver) handle(report *Report, from string) {
-	if report.IsHeartbeat() && !r.handlers.Heard(report.Sender(from), report) {
+	if report.IsHeartbeat() && !r.handlers.Heartbeat(report.Sender(from), report) {
 		return
 	}
 	r.handleEvents(report)
 	r.handleBeliefs(report, from)
 	r.handleStartup(report)
 	for _, g := range report.RemoteCarriers {
-		r.handlers.Group(g)
+		r.handlers.RemoteCarriers(g)
 	}
 	if report.ListPart != nil {
-		r.handlers.List(*report.ListPart)
+		r.handlers.ListPart(*report.ListPart)
 	}
 	if report.ConfigFragment != nil {
 		r.handleConfigFragment(report)
@@ -94,7 +94,7 @@
 		}
 	}
 	for m, events := range forwarded {
-		r.sendEvents(m, Report{VM: report.VM, Born: report.Born}, events)
+		r.sendEvents(m, Report{VM: report.VM, StartMillis: report.StartMillis}, events)
 	}
 }
 
@@ -103,8 +103,8 @@
 	r.windowsMu.Lock()
 	defer r.windowsMu.Unlock()
 	w := r.windows[report.VM]
-	if w == nil || w.born != report.Born {
-		w = &senderWindow{born: report.Born}
+	if w == nil || w.born != report.StartMillis {
+		w = &senderWindow{born: report.StartMillis}
 		r.windows[report.VM] = w
 	}
 	return w.window.markNew(seq)
--- a/core/gossip/report.go
+++ b/core/gossip/report.go
@@ -17,48 +17,48 @@
 // of heartbeats.
 type Report struct {
 	VM string `cbor:"1,keyasint"`
-	// Born is the start time of the sender, as in roster.Member.
-	Born       int64  `cbor:"2,keyasint"`
-	DataCentre string `cbor:"3,keyasint,omitempty"`
-	Callers    string `cbor:"4,keyasint,omitempty"`
-	Ready      bool   `cbor:"5,keyasint,omitempty"`
-	Leaving    bool   `cbor:"6,keyasint,omitempty"`
+	// StartMillis is the start time of the sender, as in roster.Member.
+	StartMillis   int64  `cbor:"2,keyasint"`
+	DataCentre    string `cbor:"3,keyasint,omitempty"`
+	CallerAddress string `cbor:"4,keyasint,omitempty"`
+	Ready         bool   `cbor:"5,keyasint,omitempty"`
+	Leaving       bool   `cbor:"6,keyasint,omitempty"`
 	// Carries lists the names of the groups that the sender carries.
 	Carries []string `cbor:"7,keyasint,omitempty"`
 	// ListPart is a part of a change of the target list.
 	ListPart *watch.Part `cbor:"9,keyasint,omitempty"`
-	// Beliefs are sent to a daemon that starts to carry a service, or requests them.
+	// Estimates are sent to a daemon that starts to carry a service, or requests them.
 	// Field 11 held them in another encoding.
-	Beliefs []ServiceBeliefs `cbor:"18,keyasint,omitempty"`
-	// BeliefRequests are the services for which the sender requests beliefs.
-	BeliefRequests []string `cbor:"17,keyasint,omitempty"`
+	Estimates []ServiceEstimates `cbor:"18,keyasint,omitempty"`
+	// EstimateRequests are the services for which the sender requests beliefs.
+	EstimateRequests []string `cbor:"17,keyasint,omitempty"`
 	// RemoteCarriers inform the local data centre of carriers in others.
-	RemoteCarriers []Group `cbor:"12,keyasint,omitempty"`
+	RemoteCarriers []GroupCarriers `cbor:"12,keyasint,omitempty"`
 	// Forward asks the receiver to forward the events in its data centre.
 	Forward bool `cbor:"13,keyasint,omitempty"`
-	// Config is the version of the configuration that the sender has in force.
-	Config int64 `cbor:"10,keyasint,omitempty"`
-	// Quiet is true if the sender sends heartbeats at a reduced rate, because it is
+	// ConfigVersion is the version of the configuration that the sender has in force.
+	ConfigVersion int64 `cbor:"10,keyasint,omitempty"`
+	// ReducedRate is true if the sender sends heartbeats at a reduced rate, because it is
 	// not monitored.
-	Quiet bool `cbor:"16,keyasint,omitempty"`
+	ReducedRate bool `cbor:"16,keyasint,omitempty"`
 	// ConfigFragment is a fragment of the operators' configuration.
 	ConfigFragment *Fragment `cbor:"15,keyasint,omitempty"`
 	// EventBatch holds events of targets. Field 8 held them in another encoding.
 	EventBatch *EventBatch `cbor:"23,keyasint,omitempty"`
-	// Targets is the store version of the sender's target list; 0 if it has none.
-	Targets int64 `cbor:"19,keyasint,omitempty"`
+	// ListVersion is the store version of the sender's target list; 0 if it has none.
+	ListVersion int64 `cbor:"19,keyasint,omitempty"`
 	// SnapshotFragment is a fragment of the whole target list, Members are members of
 	// the fleet. Both are sent only to daemons that have just started.
 	SnapshotFragment *Fragment       `cbor:"20,keyasint,omitempty"`
 	Members          []roster.Member `cbor:"21,keyasint,omitempty"`
-	// Seeks asks the receiver for members of the sender's data centre.
-	Seeks bool `cbor:"22,keyasint,omitempty"`
+	// WantsMembers asks the receiver for members of the sender's data centre.
+	WantsMembers bool `cbor:"22,keyasint,omitempty"`
 	// Cores is the capacity of the sender, as in roster.Member.
 	Cores float64 `cbor:"14,keyasint,omitempty"`
 }
 
-// Group holds carriers of a group of services in other data centres.
-type Group struct {
+// GroupCarriers holds carriers of a group of services in other data centres.
+type GroupCarriers struct {
 	Name    string          `cbor:"1,keyasint"`
 	Members []roster.Member `cbor:"2,keyasint"`
 }
@@ -66,12 +66,12 @@
 // Sender returns the sender of a heartbeat; inner is the address that the report came
 // from.
 func (r *Report) Sender(inner string) roster.Member {
-	return roster.Member{VM: r.VM, DataCentre: r.DataCentre, Inner: inner, Callers: r.Callers, Born: r.Born, Cores: r.Cores}
+	return roster.Member{VM: r.VM, DataCentre: r.DataCentre, PeerAddress: inner, CallerAddress: r.CallerAddress, StartMillis: r.StartMillis, Cores: r.Cores}
 }
 
 // Validate fails with fault.MessageInvalid if the report does not identify its sender.
 func (r *Report) Validate() error {
-	if r.VM == "" || r.IsHeartbeat() && r.Callers == "" {
+	if r.VM == "" || r.IsHeartbeat() && r.CallerAddress == "" {
 		return fault.New(fault.MessageInvalid, "report does not identify its sender")
 	}
 	return nil
--- a/core/gossip/sender.go
+++ b/core/gossip/sender.go
@@ -12,7 +12,7 @@
 // in each other data centre, which forwards them there. Traffic between data centres
 // is billed.
 type sender struct {
-	*Node
+	*Transport
 	fanouts *fanoutCache
 }
 
@@ -85,15 +85,15 @@
 		}
 	}
 	for m, batch := range local {
-		s.sendEvents(m, Report{VM: s.self.VM, Born: s.self.Born}, batch)
+		s.sendEvents(m, Report{VM: s.self.VM, StartMillis: s.self.StartMillis}, batch)
 	}
 	for m, batch := range remote {
-		s.sendEvents(m, Report{VM: s.self.VM, Born: s.self.Born, Forward: true}, batch)
+		s.sendEvents(m, Report{VM: s.self.VM, StartMillis: s.self.StartMillis, Forward: true}, batch)
 	}
 }
 
 // sendEvents sends events to a member, in as many copies of the report as they need.
-func (n *Node) sendEvents(m roster.Member, r Report, events []queuedEvent) {
+func (n *Transport) sendEvents(m roster.Member, r Report, events []queuedEvent) {
 	for part := range slices.Chunk(events, maxEvents) {
 		r.EventBatch = newEventBatch(part)
 		n.sendReport(&r, []roster.Member{m})
--- a/core/gossip/start.go
+++ b/core/gossip/start.go
@@ -26,39 +26,39 @@
 	return &Snapshot{fragments: fragments}, err
 }
 
-// TellSnapshot sends the whole target list to a daemon that has just started.
-func (n *Node) TellSnapshot(s *Snapshot, to roster.Member) {
+// SendSnapshot sends the whole target list to a daemon that has just started.
+func (n *Transport) SendSnapshot(s *Snapshot, to roster.Member) {
 	for i := range s.fragments {
-		n.sendReport(&Report{VM: n.self.VM, Born: n.self.Born, SnapshotFragment: &s.fragments[i]}, []roster.Member{to})
+		n.sendReport(&Report{VM: n.self.VM, StartMillis: n.self.StartMillis, SnapshotFragment: &s.fragments[i]}, []roster.Member{to})
 	}
 }
 
-// TellMembers sends members of the fleet to a daemon that has just started.
-func (n *Node) TellMembers(members []roster.Member, to roster.Member) {
+// SendMembers sends members of the fleet to a daemon that has just started.
+func (n *Transport) SendMembers(members []roster.Member, to roster.Member) {
 	for part := range slices.Chunk(members, maxMembers) {
-		n.sendReport(&Report{VM: n.self.VM, Born: n.self.Born, Members: part}, []roster.Member{to})
+		n.sendReport(&Report{VM: n.self.VM, StartMillis: n.self.StartMillis, Members: part}, []roster.Member{to})
 	}
 }
 
-// Seek asks daemons of which only the addresses are known for the members of this
+// RequestMembers asks daemons of which only the addresses are known for the members of this
 // daemon's data centre.
-func (n *Node) Seek(addresses []string) {
-	report := n.sources.State()
-	report.Seeks = true
+func (n *Transport) RequestMembers(addresses []string) {
+	report := n.sources.Heartbeat()
+	report.WantsMembers = true
 	n.sendToAddresses(&report, addresses)
 }
 
-// BeatTo sends a heartbeat to the addresses at once.
-func (n *Node) BeatTo(addresses []string) {
-	report := n.sources.State()
+// SendHeartbeatTo sends a heartbeat to the addresses at once.
+func (n *Transport) SendHeartbeatTo(addresses []string) {
+	report := n.sources.Heartbeat()
 	n.sendToAddresses(&report, addresses)
 }
 
 // sendToAddresses sends a report to daemons of which only the addresses are known.
-func (n *Node) sendToAddresses(report *Report, addresses []string) {
+func (n *Transport) sendToAddresses(report *Report, addresses []string) {
 	members := make([]roster.Member, len(addresses))
 	for i, a := range addresses {
-		members[i] = roster.Member{Inner: a}
+		members[i] = roster.Member{PeerAddress: a}
 	}
 	n.sendReport(report, members)
 }
--- a/core/node/config.go
+++ b/core/node/config.go
@@ -75,7 +75,7 @@
 func (f *configFollower) applyAndSend(read ConfigRead) {
 	newer := f.apply(read, false)
 	if newer && f.isConfigReader() {
-		f.gossip.TellConfig(*f.configDocument.Load(), f.roster.Near())
+		f.gossip.SendConfig(*f.configDocument.Load(), f.roster.LocalPeers())
 	}
 }
 
--- a/core/node/config_readers.go
+++ b/core/node/config_readers.go
@@ -29,7 +29,7 @@
 		return false
 	}
 	lastRead := n.listReadAt.Load()
-	return n.roster.Rank(now) < configReaderCount || lastRead != nil && now.Sub(*lastRead) < recentReadWindow
+	return n.roster.ReaderRank(now) < configReaderCount || lastRead != nil && now.Sub(*lastRead) < recentReadWindow
 }
 
 // handleConfig applies a configuration that was received from a peer.
--- a/core/node/health_query.go
+++ b/core/node/health_query.go
@@ -75,7 +75,7 @@
 		query.finish()
 		return query
 	}
-	q.node.gossip.AskBeliefs(carriers, service)
+	q.node.gossip.RequestEstimates(carriers, service)
 	return query
 }
 
@@ -113,6 +113,6 @@
 		return
 	}
 	if pool := n.relay.TargetPool(service); pool.ReceivesPeerEvents() {
-		n.gossip.TellBeliefs(peer, service, pool.Estimates())
+		n.gossip.SendEstimates(peer, service, pool.Estimates())
 	}
 }
--- a/core/node/health_query_test.go
+++ b/core/node/health_query_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = n.gossipConn.Close() })
-	n.self.Inner = n.gossipConn.LocalAddr().String()
+	n.self.PeerAddress = n.gossipConn.LocalAddr().String()
 	n.relay.SetTable(route.Compile(&route.Config{Version: 1, Services: []route.Service{{Name: "orders"}}}))
 	n.relay.SetTargets(map[string][]sched.Target{"orders": {
 		{Key: sched.Key{ID: "t0", StartMillis: 1}, DataCentre: "a", Slots: 2}, {Key: sched.Key{ID: "t1", StartMillis: 1}, DataCentre: "a", Slots: 2},
@@ -96,11 +96,11 @@
 	for _, n := range nodes {
 		n.refresh()
 		audience := n.eventAudience("orders")
-		g.Expect(audience.Local).To(BeFalse())
+		g.Expect(audience.OwnTargetsOnly).To(BeFalse())
 		for _, m := range audience.Carriers {
 			g.Expect(m.VM).To(BeElementOf("vm-1", "vm-2"))
 		}
-		for _, m := range audience.Strays {
+		for _, m := range audience.FailuresOnly {
 			g.Expect(m.VM).To(BeElementOf("vm-3", "vm-4"))
 		}
 		g.Expect(n.relay.TargetPool("orders").ReceivesPeerEvents()).To(Equal(n.self.VM < "vm-3"))
@@ -117,11 +117,11 @@
 	for i := range localEventsMinCarriers {
 		m := n.self
 		m.VM, m.DataCentre = fmt.Sprint("far-", i), "b"
-		g.Expect(n.eventAudience("orders").Local).To(BeFalse())
+		g.Expect(n.eventAudience("orders").OwnTargetsOnly).To(BeFalse())
 		g.Expect(n.remotelyMonitored(n.eventAudience("orders"))).To(BeEmpty())
 		n.handleReport(m, &gossip.Report{VM: m.VM, DataCentre: "b", Ready: true, Carries: []string{group}})
 	}
-	g.Expect(n.eventAudience("orders").Local).To(BeTrue())
+	g.Expect(n.eventAudience("orders").OwnTargetsOnly).To(BeTrue())
 	g.Expect(n.remotelyMonitored(n.eventAudience("orders"))).To(Equal(map[string]bool{"b": true}))
 }
 
@@ -132,7 +132,7 @@
 	n := newGossipingNode(t, "vm-3", lowShare)
 	n.relay.TargetPool("orders").SetReceivesPeerEvents(false)
 	silent := n.self
-	silent.VM, silent.Inner, silent.Cores = "vm-1", "127.0.0.1:1", highShare
+	silent.VM, silent.PeerAddress, silent.Cores = "vm-1", "127.0.0.1:1", highShare
 	n.handleReport(silent, &gossip.Report{VM: "vm-1", DataCentre: "a", Ready: true})
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
--- a/core/node/help.go
+++ b/core/node/help.go
@@ -45,22 +45,22 @@
 // just started.
 func (s *startupSender) sendIfStarting(m roster.Member, r *gossip.Report) {
 	now := time.Now()
-	if r.Leaving || r.Config > 0 && r.Targets > 0 || !s.Ready() {
+	if r.Leaving || r.ConfigVersion > 0 && r.ListVersion > 0 || !s.Ready() {
 		return
 	}
-	rank := s.roster.Rank(now)
+	rank := s.roster.ReaderRank(now)
 	isSender := m.DataCentre == s.self.DataCentre && rank < startupSenderCount
-	if !isSender && !r.Seeks || !s.allow(m.VM, isSender && rank > 0, now) {
+	if !isSender && !r.WantsMembers || !s.allow(m.VM, isSender && rank > 0, now) {
 		return
 	}
 	s.sendMembers(now, m, isSender)
 	if !isSender {
 		return
 	}
-	if doc := s.configDocument.Load(); doc != nil && r.Config < doc.Version {
-		s.gossip.TellConfig(*doc, []roster.Member{m})
+	if doc := s.configDocument.Load(); doc != nil && r.ConfigVersion < doc.Version {
+		s.gossip.SendConfig(*doc, []roster.Member{m})
 	}
-	if r.Targets == 0 {
+	if r.ListVersion == 0 {
 		s.sendSnapshot(now, m)
 	}
 }
@@ -88,14 +88,14 @@
 // members of its data centre, and a heartbeat tells it that this daemon serves as
 // well.
 func (s *startupSender) sendMembers(now time.Time, m roster.Member, full bool) {
-	members := s.roster.Ordered(now, m.DataCentre)
+	members := s.roster.ReaderOrder(now, m.DataCentre)
 	if full {
-		members = append(members, s.roster.Abroad(now, maxMembersPerDataCentre)...)
+		members = append(members, s.roster.RemotePeers(now, maxMembersPerDataCentre)...)
 	} else {
 		members = members[:min(len(members), maxMembersPerDataCentre)]
-		s.gossip.BeatTo([]string{m.Inner})
+		s.gossip.SendHeartbeatTo([]string{m.PeerAddress})
 	}
-	s.gossip.TellMembers(members, m)
+	s.gossip.SendMembers(members, m)
 }
 
 // sendSnapshot sends the target list, encoded at most snapshotTTL ago.
@@ -110,5 +110,5 @@
 		}
 		s.snapshot, s.snapshotAt = snapshot, now
 	}
-	s.gossip.TellSnapshot(s.snapshot, m)
+	s.gossip.SendSnapshot(s.snapshot, m)
 }
--- a/core/node/maintenance.go
+++ b/core/node/maintenance.go
@@ -40,7 +40,7 @@
 func (n *Node) refresh() {
 	canServe := n.relay.Table() != nil && n.listLoaded.Load()
 	leaving := n.leaving.Load()
-	n.roster.SetSelf(canServe && !leaving, leaving)
+	n.roster.SetStatus(canServe && !leaving, leaving)
 	n.updateServices()
 	if canServe {
 		n.initialized.set()
@@ -66,7 +66,7 @@
 		part := retry.AllocationFor(1, start)
 		part.SlackFraction = 0
 		if carries {
-			part = retry.AllocationFor(len(n.roster.Group(now, group, cores))+1, start)
+			part = retry.AllocationFor(len(n.roster.GroupPeers(now, group, cores))+1, start)
 		}
 		n.relay.SetBudgetAllocation(s, part)
 	}
@@ -79,7 +79,7 @@
 	switch {
 	case s.FirstStart || now.Sub(n.startedAt) >= seconds(s.RetryBudget.SpanSeconds):
 		return retry.NoRecentRestart
-	case n.roster.YoungerThanMost():
+	case n.roster.StartedAfterMost():
 		return retry.SingleRestart
 	default:
 		return retry.FleetRestart
@@ -114,7 +114,7 @@
 		r.roster.Add(m)
 	}
 	r.membersKnown.Store(true)
-	r.gossip.Beat()
+	r.gossip.SendHeartbeat()
 	return true
 }
 
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -33,7 +33,7 @@
 	callerServer *caller.Server
 	roster       *roster.Roster
 	targetList   *watch.List
-	gossip       *gossip.Node
+	gossip       *gossip.Transport
 	gossipConn   *net.UDPConn
 	auxServers   *auxServers
 
@@ -65,7 +65,7 @@
 	newestPeerConfig atomic.Int64
 	// configReadRequests cancels the long poll for a configuration.
 	configReadRequests chan struct{}
-	listAssembly       watch.Assembly
+	listAssembly       watch.Assembler
 	// healthQueries asks peers about the targets of services that this daemon does not
 	// carry.
 	healthQueries *healthQueries
@@ -106,12 +106,12 @@
 		o(n)
 	}
 	n.self = roster.Member{
-		VM:         settings.VM,
-		DataCentre: settings.DataCentre,
-		Inner:      settings.InnerAddress,
-		Callers:    settings.CallerAddress,
-		Born:       time.Now().UnixMilli(),
-		Cores:      settings.Capacity(),
+		VM:            settings.VM,
+		DataCentre:    settings.DataCentre,
+		PeerAddress:   settings.InnerAddress,
+		CallerAddress: settings.CallerAddress,
+		StartMillis:   time.Now().UnixMilli(),
+		Cores:         settings.Capacity(),
 	}
 	n.app = fx.New(
 		fx.NopLogger,
@@ -129,7 +129,7 @@
 		relay.WithLogger(n.logger),
 		relay.WithStats(n.metrics),
 		relay.WithRetryBudget(relayBudget(n.settings.Load())),
-		relay.WithEmit(func(e sched.Event) { n.gossip.Tell(e) }),
+		relay.WithEmit(func(e sched.Event) { n.gossip.QueueEvent(e) }),
 		relay.WithBeforeAcquire(n.healthQueries.wait),
 	}
 	if m := n.settings.Load().MemoryMB; m > 0 {
@@ -156,17 +156,17 @@
 }
 
 func (n *Node) newGossipConn() (*net.UDPConn, error) {
-	address, err := net.ResolveUDPAddr("udp4", n.self.Inner)
+	address, err := net.ResolveUDPAddr("udp4", n.self.PeerAddress)
 	if err != nil {
 		return nil, err
 	}
 	return net.ListenUDP("udp4", address)
 }
 
-func (n *Node) newGossipNode(conn *net.UDPConn) *gossip.Node {
-	sources := gossip.Sources{State: n.selfReport, Targets: n.targetIndex, Near: func() []roster.Member { return n.roster.Near() }, Watched: n.watched, Group: n.eventAudience, Peers: n.coCarriers, Groups: n.remoteGroups}
-	handlers := gossip.Handlers{Heard: n.handleReport, Event: n.handleEvent, List: n.handleListPart, Group: n.handleGroup, Config: n.handleConfig, Beliefs: n.handleEstimates, Asked: n.handleHealthQuery, Snapshot: n.handleSnapshot, Members: n.handleMembers}
-	return gossip.NewNode(n.self, conn, sources, handlers, n.logger)
+func (n *Node) newGossipNode(conn *net.UDPConn) *gossip.Transport {
+	sources := gossip.Sources{Heartbeat: n.selfReport, Targets: n.targetIndex, LocalPeers: func() []roster.Member { return n.roster.LocalPeers() }, Monitored: n.watched, Recipients: n.eventAudience, GroupPeers: n.coCarriers, RemoteCarriers: n.remoteGroups}
+	handlers := gossip.Handlers{Heartbeat: n.handleReport, Event: n.handleEvent, ListPart: n.handleListPart, RemoteCarriers: n.handleGroup, Config: n.handleConfig, Beliefs: n.handleEstimates, EstimateRequest: n.handleHealthQuery, Snapshot: n.handleSnapshot, Members: n.handleMembers}
+	return gossip.NewTransport(n.self, conn, sources, handlers, n.logger)
 }
 
 func (n *Node) registerHooks(life fx.Lifecycle) {
@@ -199,7 +199,7 @@
 	go m.loop(ctx)
 	u := &maintenance{n}
 	go u.loop(ctx)
-	_ = n.logger.Log("msg", "started", "vm", n.self.VM, "data-centre", n.self.DataCentre, "born", n.self.Born, "inner", n.self.Inner)
+	_ = n.logger.Log("msg", "started", "vm", n.self.VM, "data-centre", n.self.DataCentre, "born", n.self.StartMillis, "inner", n.self.PeerAddress)
 	return nil
 }
 
--- a/core/node/peers.go
+++ b/core/node/peers.go
@@ -18,17 +18,17 @@
 // selfReport returns what reports to peers say of this daemon itself.
 func (n *Node) selfReport() gossip.Report {
 	r := gossip.Report{
-		VM:         n.self.VM,
-		Born:       n.self.Born,
-		DataCentre: n.self.DataCentre,
-		Callers:    n.self.Callers,
-		Ready:      n.Ready(),
-		Leaving:    n.leaving.Load(),
-		Cores:      n.self.Cores,
+		VM:            n.self.VM,
+		StartMillis:   n.self.StartMillis,
+		DataCentre:    n.self.DataCentre,
+		CallerAddress: n.self.CallerAddress,
+		Ready:         n.Ready(),
+		Leaving:       n.leaving.Load(),
+		Cores:         n.self.Cores,
 	}
-	r.Targets, _ = n.targetList.Position()
+	r.ListVersion, _ = n.targetList.Position()
 	if t := n.relay.Table(); t != nil {
-		r.Config = int64(t.Version)
+		r.ConfigVersion = int64(t.Version)
 		r.Carries = n.subscribedGroups(t.Services())
 	}
 	return r
@@ -57,7 +57,7 @@
 func (n *Node) plan() *roster.Plan {
 	demand := roster.Demand{Slots: map[string]int{}, DataCentres: len(n.roster.DataCentres())}
 	if t := n.relay.Table(); t != nil {
-		demand.Joined = t.ServicesByHost()
+		demand.ServicesByHost = t.ServicesByHost()
 	}
 	for _, s := range n.services() {
 		demand.Slots[s] = n.relay.TargetPool(s).Slots()
@@ -74,7 +74,7 @@
 		name, cores := plan.Group(s)
 		groups[name] = cores
 	}
-	for _, m := range n.roster.Watched(time.Now(), groups) {
+	for _, m := range n.roster.Monitored(time.Now(), groups) {
 		if m.VM == n.self.VM {
 			self = true
 			continue
@@ -100,30 +100,30 @@
 // daemons; if each of these received every event, the number of event messages
 // would grow with the square of the fleet. And a group of small VMs has many
 // carriers, each of which would receive the results of all others.
-func (n *Node) eventAudience(service string) gossip.Audience {
+func (n *Node) eventAudience(service string) gossip.Recipients {
 	now := time.Now()
 	group, cores := n.plan().Group(service)
 	localCarriers := n.roster.Carriers(now, group, n.self.DataCentre, cores)
-	var out gossip.Audience
-	for _, m := range n.roster.Group(now, group, cores) {
+	var out gossip.Recipients
+	for _, m := range n.roster.GroupPeers(now, group, cores) {
 		isCarrier := slices.ContainsFunc(localCarriers, func(o roster.Member) bool { return o.VM == m.VM })
 		if m.DataCentre == n.self.DataCentre && !isCarrier {
-			out.Strays = append(out.Strays, m)
+			out.FailuresOnly = append(out.FailuresOnly, m)
 			continue
 		}
 		out.Carriers = append(out.Carriers, m)
 	}
-	out.Local = len(out.Carriers) >= localEventsMinCarriers
+	out.OwnTargetsOnly = len(out.Carriers) >= localEventsMinCarriers
 	return out
 }
 
 // remotelyMonitored returns the data centres whose targets of a service are
 // monitored only by the daemons there, because the group has so many carriers that
 // events stay local.
-func (n *Node) remotelyMonitored(audience gossip.Audience) map[string]bool {
+func (n *Node) remotelyMonitored(audience gossip.Recipients) map[string]bool {
 	out := map[string]bool{}
 	for _, m := range audience.Carriers {
-		if audience.Local && m.DataCentre != n.self.DataCentre {
+		if audience.OwnTargetsOnly && m.DataCentre != n.self.DataCentre {
 			out[m.DataCentre] = true
 		}
 	}
@@ -139,7 +139,7 @@
 	for _, s := range n.services() {
 		group, cores := plan.Group(s)
 		if i := slices.Index(pending, group); i >= 0 {
-			out = append(out, n.roster.Group(time.Now(), group, cores)...)
+			out = append(out, n.roster.GroupPeers(time.Now(), group, cores)...)
 			pending = slices.Delete(pending, i, i+1)
 		}
 	}
@@ -148,31 +148,31 @@
 
 // remoteGroups returns the carriers in other data centres that this daemon reports
 // to the local data centre.
-func (n *Node) remoteGroups() []gossip.Group {
+func (n *Node) remoteGroups() []gossip.GroupCarriers {
 	now := time.Now()
 	plan := n.plan()
-	var out []gossip.Group
+	var out []gossip.GroupCarriers
 	for _, name := range n.subscribedGroups(n.services()) {
-		if members := n.roster.FarCarriers(now, name, plan.Cores(name)); len(members) > 0 {
-			out = append(out, gossip.Group{Name: name, Members: members})
+		if members := n.roster.RemoteCarriers(now, name, plan.Cores(name)); len(members) > 0 {
+			out = append(out, gossip.GroupCarriers{Name: name, Members: members})
 		}
 	}
 	return out
 }
 
-func (n *Node) handleGroup(g gossip.Group) {
-	n.roster.Told(time.Now(), g.Name, g.Members)
+func (n *Node) handleGroup(g gossip.GroupCarriers) {
+	n.roster.RecordRemoteCarriers(time.Now(), g.Name, g.Members)
 }
 
 func (n *Node) handleReport(m roster.Member, r *gossip.Report) bool {
-	standing := roster.Standing{Ready: r.Ready, Leaving: r.Leaving, Quiet: r.Quiet}
-	newGroups, ok := n.roster.Heard(time.Now(), m, standing, r.Carries)
+	standing := roster.Status{Ready: r.Ready, Leaving: r.Leaving, ReducedRate: r.ReducedRate}
+	newGroups, ok := n.roster.RecordHeartbeat(time.Now(), m, standing, r.Carries)
 	if !ok {
 		return false
 	}
 	n.sendEstimates(m, newGroups)
-	if r.Config > n.newestPeerConfig.Load() {
-		n.newestPeerConfig.Store(r.Config)
+	if r.ConfigVersion > n.newestPeerConfig.Load() {
+		n.newestPeerConfig.Store(r.ConfigVersion)
 	}
 	n.startupSender.sendIfStarting(m, r)
 	return true
@@ -187,7 +187,7 @@
 	plan := n.plan()
 	for _, service := range n.services() {
 		if group, _ := plan.Group(service); slices.Contains(groups, group) {
-			n.gossip.TellBeliefs(m, service, n.relay.TargetPool(service).Estimates())
+			n.gossip.SendEstimates(m, service, n.relay.TargetPool(service).Estimates())
 		}
 	}
 }
@@ -234,12 +234,12 @@
 
 // applyList applies changes to the target list and returns those that affect the
 // use of targets.
-func (n *Node) applyList(d watch.Delta) watch.Applied {
+func (n *Node) applyList(d watch.Delta) watch.ApplyResult {
 	out := n.targetList.Apply(time.Now(), d)
-	if !out.Taken {
+	if !out.Accepted {
 		return out
 	}
-	if out.Returned {
+	if out.StoreRecovered {
 		_ = n.logger.Log("msg", "store can be read again", "list-version", d.Version)
 		if n.isConfigReader() {
 			n.requestConfigRead()
@@ -269,7 +269,7 @@
 		return nil, 0
 	}
 	group, cores := n.plan().Group(t.MainService(host))
-	return n.roster.Answer(time.Now(), group, dataCentre, cores), addressTTL
+	return n.roster.CallerAddresses(time.Now(), group, dataCentre, cores), addressTTL
 }
 
 // addressTTL is how long a caller may cache the addresses. Callers stop using a
--- a/core/node/servers.go
+++ b/core/node/servers.go
@@ -45,7 +45,7 @@
 }
 
 func (n *Node) openListeners() (*auxServers, error) {
-	l, err := net.Listen("tcp4", n.self.Callers)
+	l, err := net.Listen("tcp4", n.self.CallerAddress)
 	if err != nil {
 		return nil, err
 	}
--- a/core/node/shutdown.go
+++ b/core/node/shutdown.go
@@ -12,9 +12,9 @@
 func (n *Node) Stop(ctx context.Context) error {
 	began := time.Now()
 	n.leaving.Store(true)
-	n.roster.SetSelf(false, true)
+	n.roster.SetStatus(false, true)
 	_ = n.logger.Log("msg", "leaving", "busy", n.callerServer.Busy(), "connections", n.callerServer.Connections())
-	n.gossip.Beat()
+	n.gossip.SendHeartbeat()
 	n.callerServer.Drain()
 	d := &callerDrain{node: n, began: began}
 	d.wait(ctx)
--- a/core/node/start.go
+++ b/core/node/start.go
@@ -50,9 +50,9 @@
 	uptime := now.Sub(n.startedAt)
 	switch {
 	case n.settings.Load().FirstStart:
-		isFirstReader := n.membersKnown.Load() && n.roster.Ahead(now) < firstStartReaderCount
+		isFirstReader := n.membersKnown.Load() && n.roster.ReadersAhead(now) < firstStartReaderCount
 		return uptime < firstStartTimeout && !isFirstReader
-	case n.roster.AnyReady(now):
+	case n.roster.AnyPeerReady(now):
 		return uptime < peerDataTimeout
 	default:
 		return uptime < peerDiscoveryTimeout
@@ -62,7 +62,7 @@
 // discoverPeers asks the daemons at the seed addresses for the members of the local
 // data centre.
 func (n *Node) discoverPeers() {
-	_, port, err := net.SplitHostPort(n.self.Inner)
+	_, port, err := net.SplitHostPort(n.self.PeerAddress)
 	if err != nil {
 		_ = n.logger.Log("msg", "own address for peers is not usable", "err", err)
 		return
@@ -74,11 +74,11 @@
 			_ = n.logger.Log("msg", "seed is not usable", "seed", s, "err", err)
 			continue
 		}
-		if address := net.JoinHostPort(host, port); address != n.self.Inner {
+		if address := net.JoinHostPort(host, port); address != n.self.PeerAddress {
 			addresses = append(addresses, address)
 		}
 	}
-	n.gossip.Seek(addresses)
+	n.gossip.RequestMembers(addresses)
 }
 
 // handleMembers adds daemons that a peer knows. A peer of the local data centre
@@ -97,12 +97,12 @@
 		if m.DataCentre != n.self.DataCentre {
 			continue
 		}
-		addresses = append(addresses, m.Inner)
-		if m.VM == sender && n.self.Born-m.Born > settledUptime.Milliseconds() {
+		addresses = append(addresses, m.PeerAddress)
+		if m.VM == sender && n.self.StartMillis-m.StartMillis > settledUptime.Milliseconds() {
 			n.membersKnown.Store(true)
 		}
 	}
-	n.gossip.BeatTo(addresses)
+	n.gossip.SendHeartbeatTo(addresses)
 }
 
 // handleSnapshot applies a full target list from a peer. An outdated one is kept
--- a/core/node/startup_test.go
+++ b/core/node/startup_test.go
@@ -58,7 +58,7 @@
 	d := watch.Delta{Version: 12, Age: age}
 	for i := range 600 {
 		d.Changes = append(d.Changes, watch.Change{ID: fmt.Sprint("t", i), Entry: &watch.Entry{
-			Service: "orders", Address: fmt.Sprintf("10.0.%d.%d:80", i/200, i%200), DataCentre: "a", Slots: 2, Born: int64(i),
+			Service: "orders", Address: fmt.Sprintf("10.0.%d.%d:80", i/200, i%200), DataCentre: "a", Slots: 2, StartMillis: int64(i),
 		}})
 	}
 	return d
@@ -97,7 +97,7 @@
 			g.Eventually(n.Ready).WithTimeout(10 * time.Second).Should(BeTrue())
 			g.Expect(n.relay.Table().Version).To(Equal(route.Version(7)))
 			g.Expect(n.relay.TargetPool("orders").Size()).To(Equal(600))
-			g.Eventually(func() int { return len(n.roster.Near()) }).WithTimeout(10 * time.Second).Should(Equal(2))
+			g.Eventually(func() int { return len(n.roster.LocalPeers()) }).WithTimeout(10 * time.Second).Should(Equal(2))
 			g.Expect(n.membersKnown.Load()).To(BeFalse(), "the peers may not know all members yet")
 		})
 	}
@@ -126,11 +126,11 @@
 	for age, settled := range map[time.Duration]bool{time.Second: false, time.Minute: true} {
 		g := NewWithT(t)
 		n := newTestNode(g, lowShare, &configWriter{start: time.Now()})
-		born := n.self.Born - age.Milliseconds()
+		born := n.self.StartMillis - age.Milliseconds()
 		n.listLoaded.Store(false)
 		n.handleMembers("vm-1", []roster.Member{
-			{VM: "vm-1", DataCentre: "a", Inner: "127.0.0.1:1", Born: born},
-			{VM: "vm-2", DataCentre: "b", Inner: "127.0.0.1:1", Born: born},
+			{VM: "vm-1", DataCentre: "a", PeerAddress: "127.0.0.1:1", StartMillis: born},
+			{VM: "vm-2", DataCentre: "b", PeerAddress: "127.0.0.1:1", StartMillis: born},
 		})
 		g.Expect(n.membersKnown.Load()).To(Equal(settled))
 		g.Expect(n.roster.DataCentres()).To(Equal([]string{"a", "b"}))
@@ -164,12 +164,12 @@
 				defer n.gossipConn.Close()
 				n.settings.Load().FirstStart = c.firstStart
 				for i := range 5 {
-					m := roster.Member{VM: fmt.Sprint("vm-", i), DataCentre: "a", Inner: "127.0.0.1:1", Born: 1}
+					m := roster.Member{VM: fmt.Sprint("vm-", i), DataCentre: "a", PeerAddress: "127.0.0.1:1", StartMillis: 1}
 					if c.known {
 						n.roster.Add(m)
 					}
 					if c.ready {
-						n.roster.Heard(time.Now(), m, roster.Standing{Ready: true}, nil)
+						n.roster.RecordHeartbeat(time.Now(), m, roster.Status{Ready: true}, nil)
 					}
 				}
 				n.membersKnown.Store(c.known)
--- a/core/node/target_list.go
+++ b/core/node/target_list.go
@@ -21,7 +21,7 @@
 	f.full = !f.listLoaded.Load()
 	for ctx.Err() == nil {
 		version, asOf := f.targetList.Position()
-		due := f.schedule.Due(asOf, f.targetList.HeardAt(), f.roster.Rank(time.Now()))
+		due := f.schedule.Due(asOf, f.targetList.RenewedAt(), f.roster.ReaderRank(time.Now()))
 		if wait := time.Until(due); wait > 0 {
 			sleep(ctx, wait)
 			continue
@@ -51,9 +51,9 @@
 	}
 	delta.Age = time.Since(began)
 	applied := f.applyList(delta)
-	if applied.Taken && delta.Since != 0 && f.sendsList(now) {
+	if applied.Accepted && delta.Since != 0 && f.sendsList(now) {
 		delta.Changes = applied.Changes
-		f.gossip.TellList(delta)
+		f.gossip.SendListChanges(delta)
 	}
 }
 
@@ -75,7 +75,7 @@
 // misses one reads the store itself; if each of these also sent its changes to all
 // the others, traffic would grow with the square of the number of daemons.
 func (n *Node) sendsList(now time.Time) bool {
-	if n.roster.Rank(now) == 0 {
+	if n.roster.ReaderRank(now) == 0 {
 		return true
 	}
 	lastPart := n.listPartAt.Load()
--- a/core/roster/carriers.go
+++ b/core/roster/carriers.go
@@ -106,10 +106,10 @@
 	return false
 }
 
-// Group returns the other daemons, in all data centres, that handle requests for the
+// GroupPeers returns the other daemons, in all data centres, that handle requests for the
 // group: its carriers by order of preference, those that recently reported that they
 // carry it, and those that a peer recently named as carriers.
-func (r *Roster) Group(now time.Time, group string, cores float64) []Member {
+func (r *Roster) GroupPeers(now time.Time, group string, cores float64) []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	members := map[string]Member{}
@@ -131,11 +131,11 @@
 	return out
 }
 
-// FarCarriers returns the carriers of the group in other data centres from which this
+// RemoteCarriers returns the carriers of the group in other data centres from which this
 // daemon received heartbeats. It returns nil unless this daemon is the first carrier
 // of the group in its own data centre, because only that one sends the list to the
 // others there.
-func (r *Roster) FarCarriers(now time.Time, group string, cores float64) []Member {
+func (r *Roster) RemoteCarriers(now time.Time, group string, cores float64) []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	local := r.carriers(now, group, r.self.DataCentre, cores)
@@ -151,10 +151,10 @@
 	return out
 }
 
-// Answer returns the addresses to which a caller in the data centre should connect:
+// CallerAddresses returns the addresses to which a caller in the data centre should connect:
 // those of the carriers there or, if there are none, in the first other data centre
 // that has any.
-func (r *Roster) Answer(now time.Time, group, dataCentre string, cores float64) []string {
+func (r *Roster) CallerAddresses(now time.Time, group, dataCentre string, cores float64) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	order := append([]string{dataCentre}, r.dataCentres()...)
@@ -165,7 +165,7 @@
 		}
 		addresses := make([]string, 0, len(members))
 		for _, m := range members {
-			addresses = append(addresses, m.Callers)
+			addresses = append(addresses, m.CallerAddress)
 		}
 		return addresses
 	}
--- a/core/roster/plan.go
+++ b/core/roster/plan.go
@@ -23,9 +23,9 @@
 type Demand struct {
 	// Slots is the number of target slots of each service.
 	Slots map[string]int
-	// Joined lists the services that are routed from the same host. Callers are
+	// ServicesByHost lists the services that are routed from the same host. Callers are
 	// directed to daemons by host, so these services must be in the same group.
-	Joined [][]string
+	ServicesByHost [][]string
 	// DataCentres is the number of data centres with daemons.
 	DataCentres int
 }
@@ -79,7 +79,7 @@
 	}
 	for changed := true; changed; {
 		changed = false
-		for _, joined := range d.Joined {
+		for _, joined := range d.ServicesByHost {
 			changed = mergeRepresentatives(representative, joined) || changed
 		}
 	}
--- a/core/roster/plan_test.go
+++ b/core/roster/plan_test.go
@@ -22,7 +22,7 @@
 	r := roster.New(member("b", 0))
 	for _, m := range members {
 		r.Add(m)
-		r.Heard(startTime, m, roster.Standing{Ready: true}, nil)
+		r.RecordHeartbeat(startTime, m, roster.Status{Ready: true}, nil)
 	}
 	return r
 }
@@ -68,7 +68,7 @@
 	d := roster.Demand{Slots: map[string]int{}, DataCentres: 5}
 	for i := range 60 {
 		d.Slots[fmt.Sprintf("s%d", i)] = 320
-		d.Joined = append(d.Joined, []string{fmt.Sprintf("s%d", i), fmt.Sprintf("s%d", i-i%3)})
+		d.ServicesByHost = append(d.ServicesByHost, []string{fmt.Sprintf("s%d", i), fmt.Sprintf("s%d", i-i%3)})
 	}
 	p := roster.NewPlan(d)
 	groups := map[string]float64{}
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -25,23 +25,23 @@
 type Member struct {
 	VM         string `cbor:"1,keyasint"`
 	DataCentre string `cbor:"2,keyasint"`
-	// Inner is the address for peers, Callers the address for callers.
-	Inner   string `cbor:"3,keyasint"`
-	Callers string `cbor:"4,keyasint"`
-	// Born is the Unix time in milliseconds at which the daemon started.
-	Born int64 `cbor:"5,keyasint"`
+	// PeerAddress is the address for peers, Callers the address for callers.
+	PeerAddress   string `cbor:"3,keyasint"`
+	CallerAddress string `cbor:"4,keyasint"`
+	// StartMillis is the Unix time in milliseconds at which the daemon started.
+	StartMillis int64 `cbor:"5,keyasint"`
 	// Cores is the number of processor cores that the daemon has for requests; 0 if it
 	// reports none.
 	Cores float64 `cbor:"6,keyasint,omitempty"`
 }
 
-// Standing is the status that a daemon reports about itself.
-type Standing struct {
+// Status is the status that a daemon reports about itself.
+type Status struct {
 	Ready   bool
 	Leaving bool
-	// Quiet is true if the daemon sends heartbeats at a reduced rate, because it is
+	// ReducedRate is true if the daemon sends heartbeats at a reduced rate, because it is
 	// not monitored.
-	Quiet bool
+	ReducedRate bool
 }
 
 // entry is a member with the latest reports about it.
@@ -86,36 +86,36 @@
 	if m.VM == r.self.VM {
 		return
 	}
-	if e := r.entries[m.VM]; e != nil && e.Born >= m.Born {
+	if e := r.entries[m.VM]; e != nil && e.StartMillis >= m.StartMillis {
 		return
 	}
 	r.entries[m.VM] = &entry{Member: m, lastCarried: map[string]time.Time{}}
 }
 
-// SetSelf sets whether this daemon is ready and whether it is leaving.
-func (r *Roster) SetSelf(ready, leaving bool) {
+// SetStatus sets whether this daemon is ready and whether it is leaving.
+func (r *Roster) SetStatus(ready, leaving bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ready, r.leaving = ready, leaving
 }
 
-// Heard records a heartbeat of a member and the groups that it carries. It returns the
+// RecordHeartbeat records a heartbeat of a member and the groups that it carries. It returns the
 // groups that the member did not carry before. ok is false if the heartbeat is
 // ignored, because it comes from an earlier run of the daemon or from this daemon.
-func (r *Roster) Heard(now time.Time, m Member, s Standing, carries []string) (newlyCarried []string, ok bool) {
+func (r *Roster) RecordHeartbeat(now time.Time, m Member, s Status, carries []string) (newlyCarried []string, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.entries[m.VM]
-	if e != nil && m.Born < e.Born || m.VM == r.self.VM {
+	if e != nil && m.StartMillis < e.StartMillis || m.VM == r.self.VM {
 		return nil, false
 	}
-	if e == nil || m.Born > e.Born {
+	if e == nil || m.StartMillis > e.StartMillis {
 		e = &entry{lastCarried: map[string]time.Time{}}
 		r.entries[m.VM] = e
 	}
 	e.Member = m
 	e.lastHeartbeat = now
-	e.ready, e.leaving, e.reducedRate = s.Ready, s.Leaving, s.Quiet
+	e.ready, e.leaving, e.reducedRate = s.Ready, s.Leaving, s.ReducedRate
 	for _, group := range carries {
 		if now.Sub(e.lastCarried[group]) >= carrierTTL {
 			newlyCarried = append(newlyCarried, group)
@@ -125,18 +125,18 @@
 	return newlyCarried, true
 }
 
-// Told records the carriers of a group in other data centres, as reported by a peer.
+// RecordRemoteCarriers records the carriers of a group in other data centres, as reported by a peer.
 // The members do not count as alive because of it; the report only adds them to the
 // daemons to which results are sent.
-func (r *Roster) Told(now time.Time, group string, members []Member) {
+func (r *Roster) RecordRemoteCarriers(now time.Time, group string, members []Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, m := range members {
 		e := r.entries[m.VM]
-		if m.DataCentre == r.self.DataCentre || e != nil && m.Born < e.Born {
+		if m.DataCentre == r.self.DataCentre || e != nil && m.StartMillis < e.StartMillis {
 			continue
 		}
-		if e == nil || m.Born > e.Born {
+		if e == nil || m.StartMillis > e.StartMillis {
 			e = &entry{Member: m, lastCarried: map[string]time.Time{}}
 			r.entries[m.VM] = e
 		}
@@ -199,9 +199,9 @@
 	return append([]string{r.self.DataCentre}, slices.Compact(others)...)
 }
 
-// Near returns the other members of the local data centre, whether or not they are
+// LocalPeers returns the other members of the local data centre, whether or not they are
 // alive.
-func (r *Roster) Near() []Member {
+func (r *Roster) LocalPeers() []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []Member
@@ -213,9 +213,9 @@
 	return out
 }
 
-// AnyReady reports whether another daemon recently sent a heartbeat that says it is
+// AnyPeerReady reports whether another daemon recently sent a heartbeat that says it is
 // ready and not leaving.
-func (r *Roster) AnyReady(now time.Time) bool {
+func (r *Roster) AnyPeerReady(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range r.entries {
@@ -230,14 +230,14 @@
 // started earlier. It covers clocks that differ between VMs.
 const clockSkewMargin = 5 * time.Second
 
-// YoungerThanMost reports whether more than half of the known daemons started well
+// StartedAfterMost reports whether more than half of the known daemons started well
 // before this one.
-func (r *Roster) YoungerThanMost() bool {
+func (r *Roster) StartedAfterMost() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	startedEarlier := 0
 	for _, e := range r.entries {
-		if r.self.Born-e.Born > clockSkewMargin.Milliseconds() {
+		if r.self.StartMillis-e.StartMillis > clockSkewMargin.Milliseconds() {
 			startedEarlier++
 		}
 	}
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -19,16 +19,16 @@
 var startTime = time.Unix(1000, 0)
 
 func member(dc string, n int) roster.Member {
-	return roster.Member{VM: fmt.Sprintf("%s-%d", dc, n), DataCentre: dc, Inner: fmt.Sprintf("10.0.%d.1:1", n), Callers: fmt.Sprintf("10.0.%d.1:2", n), Born: 1}
+	return roster.Member{VM: fmt.Sprintf("%s-%d", dc, n), DataCentre: dc, PeerAddress: fmt.Sprintf("10.0.%d.1:1", n), CallerAddress: fmt.Sprintf("10.0.%d.1:2", n), StartMillis: 1}
 }
 
 // newRoster returns the roster of a-0, which received a heartbeat from nine daemons of
 // its data centre.
 func newRoster(now time.Time) *roster.Roster {
 	r := roster.New(member("a", 0))
-	r.SetSelf(true, false)
+	r.SetStatus(true, false)
 	for i := 1; i < 10; i++ {
-		r.Heard(now, member("a", i), roster.Standing{Ready: true}, nil)
+		r.RecordHeartbeat(now, member("a", i), roster.Status{Ready: true}, nil)
 	}
 	return r
 }
@@ -47,9 +47,9 @@
 	g := NewWithT(t)
 	one := newRoster(startTime)
 	other := roster.New(member("a", 5))
-	other.SetSelf(true, false)
+	other.SetStatus(true, false)
 	for i := range 10 {
-		other.Heard(startTime, member("a", i), roster.Standing{Ready: true}, nil)
+		other.RecordHeartbeat(startTime, member("a", i), roster.Status{Ready: true}, nil)
 	}
 	g.Expect(vmNames(one.Carriers(startTime, "orders", "a", minimalDemand))).To(Equal(vmNames(other.Carriers(startTime, "orders", "a", minimalDemand))))
 }
@@ -64,7 +64,7 @@
 	now := startTime.Add(time.Second)
 	for i := 1; i < 10; i++ {
 		if m := member("a", i); m.VM != dead {
-			r.Heard(now, m, roster.Standing{Ready: true}, nil)
+			r.RecordHeartbeat(now, m, roster.Status{Ready: true}, nil)
 		}
 	}
 	after := vmNames(r.Carriers(now, "orders", "a", minimalDemand))
@@ -78,11 +78,11 @@
 	r := newRoster(startTime)
 	first := r.Carriers(startTime, "orders", "a", minimalDemand)[0]
 	if first.VM == "a-0" {
-		r.SetSelf(true, true)
+		r.SetStatus(true, true)
 	} else {
-		r.Heard(startTime, first, roster.Standing{Ready: true, Leaving: true}, nil)
+		r.RecordHeartbeat(startTime, first, roster.Status{Ready: true, Leaving: true}, nil)
 	}
-	g.Expect(r.Answer(startTime, "orders", "a", minimalDemand)).NotTo(ContainElement(first.Callers))
+	g.Expect(r.CallerAddresses(startTime, "orders", "a", minimalDemand)).NotTo(ContainElement(first.CallerAddress))
 }
 
 // Guards against callers who get no address when all daemons of their data centre have
@@ -90,9 +90,9 @@
 func TestCallersFailOverToOtherDataCentre(t *testing.T) {
 	g := NewWithT(t)
 	r := newRoster(startTime)
-	g.Expect(r.Answer(startTime, "orders", "lost", minimalDemand)).To(HaveLen(minCarriers))
-	r.SetSelf(false, false)
-	g.Expect(r.Answer(startTime.Add(time.Minute), "orders", "lost", minimalDemand)).To(BeEmpty())
+	g.Expect(r.CallerAddresses(startTime, "orders", "lost", minimalDemand)).To(HaveLen(minCarriers))
+	r.SetStatus(false, false)
+	g.Expect(r.CallerAddresses(startTime.Add(time.Minute), "orders", "lost", minimalDemand)).To(BeEmpty())
 }
 
 // Guards against a late heartbeat of an earlier run of a daemon that is taken for one
@@ -101,11 +101,11 @@
 	g := NewWithT(t)
 	r := newRoster(startTime)
 	restarted := member("a", 3)
-	restarted.Born = 2
-	newlyCarried, ok := r.Heard(startTime, restarted, roster.Standing{Ready: true}, []string{"orders"})
+	restarted.StartMillis = 2
+	newlyCarried, ok := r.RecordHeartbeat(startTime, restarted, roster.Status{Ready: true}, []string{"orders"})
 	g.Expect(ok).To(BeTrue())
 	g.Expect(newlyCarried).To(Equal([]string{"orders"}))
-	_, ok = r.Heard(startTime, member("a", 3), roster.Standing{Ready: true}, nil)
+	_, ok = r.RecordHeartbeat(startTime, member("a", 3), roster.Status{Ready: true}, nil)
 	g.Expect(ok).To(BeFalse())
 }
 
@@ -120,7 +120,7 @@
 	}
 	remoteCount := func(now time.Time) int {
 		n := 0
-		for _, m := range r.Group(now, "orders", minimalDemand) {
+		for _, m := range r.GroupPeers(now, "orders", minimalDemand) {
 			if m.DataCentre == "b" {
 				n++
 			}
@@ -141,26 +141,26 @@
 	first := newRoster(now)
 	firstCarrier := first.Carriers(now, "orders", "a", 100)[0]
 	r := roster.New(firstCarrier)
-	r.SetSelf(true, false)
-	r.Heard(now, member("b", 1), roster.Standing{Ready: true}, []string{"orders"})
-	remoteCarriers := r.FarCarriers(now, "orders", minimalDemand)
+	r.SetStatus(true, false)
+	r.RecordHeartbeat(now, member("b", 1), roster.Status{Ready: true}, []string{"orders"})
+	remoteCarriers := r.RemoteCarriers(now, "orders", minimalDemand)
 	g.Expect(vmNames(remoteCarriers)).To(Equal([]string{"b-1"}))
 
 	nonCarrier := roster.New(member("a", 77))
-	nonCarrier.Heard(now, firstCarrier, roster.Standing{Ready: true}, []string{"orders"})
-	g.Expect(vmNames(nonCarrier.Group(now, "orders", minimalDemand))).NotTo(ContainElement("b-1"))
-	nonCarrier.Told(now, "orders", remoteCarriers)
-	g.Expect(vmNames(nonCarrier.Group(now, "orders", minimalDemand))).To(ContainElement("b-1"))
+	nonCarrier.RecordHeartbeat(now, firstCarrier, roster.Status{Ready: true}, []string{"orders"})
+	g.Expect(vmNames(nonCarrier.GroupPeers(now, "orders", minimalDemand))).NotTo(ContainElement("b-1"))
+	nonCarrier.RecordRemoteCarriers(now, "orders", remoteCarriers)
+	g.Expect(vmNames(nonCarrier.GroupPeers(now, "orders", minimalDemand))).To(ContainElement("b-1"))
 	later := now.Add(time.Minute)
-	nonCarrier.Told(later, "orders", remoteCarriers)
-	g.Expect(nonCarrier.Answer(later, "orders", "b", minimalDemand)).To(BeEmpty())
-	g.Expect(vmNames(nonCarrier.Group(later.Add(4*time.Second), "orders", minimalDemand))).NotTo(ContainElement("b-1"))
+	nonCarrier.RecordRemoteCarriers(later, "orders", remoteCarriers)
+	g.Expect(nonCarrier.CallerAddresses(later, "orders", "b", minimalDemand)).To(BeEmpty())
+	g.Expect(vmNames(nonCarrier.GroupPeers(later.Add(4*time.Second), "orders", minimalDemand))).NotTo(ContainElement("b-1"))
 
 	second := roster.New(first.Carriers(now, "orders", "a", 100)[1])
-	second.SetSelf(true, false)
-	second.Heard(now, firstCarrier, roster.Standing{Ready: true}, nil)
-	second.Heard(now, member("b", 1), roster.Standing{Ready: true}, []string{"orders"})
-	g.Expect(second.FarCarriers(now, "orders", minimalDemand)).To(BeEmpty(), "only the first carrier tells")
+	second.SetStatus(true, false)
+	second.RecordHeartbeat(now, firstCarrier, roster.Status{Ready: true}, nil)
+	second.RecordHeartbeat(now, member("b", 1), roster.Status{Ready: true}, []string{"orders"})
+	g.Expect(second.RemoteCarriers(now, "orders", minimalDemand)).To(BeEmpty(), "only the first carrier tells")
 }
 
 // A daemon that is restarted alone must not spend again what its earlier run already
@@ -170,19 +170,19 @@
 func TestSingleRestartIsDistinguishedFromFleetStart(t *testing.T) {
 	g := NewWithT(t)
 	self := member("a", 0)
-	self.Born = 100_000
+	self.StartMillis = 100_000
 	r := roster.New(self)
-	g.Expect(r.YoungerThanMost()).To(BeFalse())
+	g.Expect(r.StartedAfterMost()).To(BeFalse())
 	for i := 1; i < 6; i++ {
 		m := member("a", i)
-		m.Born = self.Born - 3000
+		m.StartMillis = self.StartMillis - 3000
 		r.Add(m)
 	}
-	g.Expect(r.YoungerThanMost()).To(BeFalse())
+	g.Expect(r.StartedAfterMost()).To(BeFalse())
 	for i := 1; i < 7; i++ {
 		m := member("b", i)
-		m.Born = self.Born - 30_000
+		m.StartMillis = self.StartMillis - 30_000
 		r.Add(m)
 	}
-	g.Expect(r.YoungerThanMost()).To(BeTrue())
+	g.Expect(r.StartedAfterMost()).To(BeTrue())
 }
--- a/core/roster/watched.go
+++ b/core/roster/watched.go
@@ -15,14 +15,14 @@
 	readerGroup = "readers"
 )
 
-// Watched returns the daemons of the local data centre that are monitored: they send
+// Monitored returns the daemons of the local data centre that are monitored: they send
 // heartbeats to all members there at the full rate. They are the carriers of the
 // groups, the readers of the store, and the standbys of both; cores is the demand of
 // each group. The other daemons send heartbeats only to the monitored ones, so that
 // the number of heartbeats in a data centre grows with its size and not with its
 // square. A daemon that receives no heartbeats finds itself among the monitored ones,
 // and so becomes known to the others.
-func (r *Roster) Watched(now time.Time, cores map[string]float64) []Member {
+func (r *Roster) Monitored(now time.Time, cores map[string]float64) []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := r.carriersAndStandbys(now, readerGroup, 0)
@@ -43,17 +43,17 @@
 	return all[:min(carrierCount(all, cores)+standbys, len(all))]
 }
 
-// Ordered returns the members of a data centre that are alive, in the order in which
+// ReaderOrder returns the members of a data centre that are alive, in the order in which
 // they read the store for the others.
-func (r *Roster) Ordered(now time.Time, dataCentre string) []Member {
+func (r *Roster) ReaderOrder(now time.Time, dataCentre string) []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.byPreference(now, readerGroup, dataCentre)
 }
 
-// Abroad returns daemons of other data centres, at most count of each: those that
+// RemotePeers returns daemons of other data centres, at most count of each: those that
 // count as alive, and those that a peer recently named as carriers.
-func (r *Roster) Abroad(now time.Time, count int) []Member {
+func (r *Roster) RemotePeers(now time.Time, count int) []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	perDataCentre := map[string]int{}
@@ -79,10 +79,10 @@
 	return false
 }
 
-// Ahead returns the number of daemons of the local data centre that precede this one
+// ReadersAhead returns the number of daemons of the local data centre that precede this one
 // in the order of readers and may be alive. It is meant for a daemon that has just
 // started: members from which it has not received a heartbeat yet are counted.
-func (r *Roster) Ahead(now time.Time) int {
+func (r *Roster) ReadersAhead(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ahead := 0
@@ -95,10 +95,10 @@
 	return ahead
 }
 
-// Rank returns the position of this daemon in the order of readers of its data centre.
-// Rank 0 reads the store for the others. If this daemon does not count as alive, the
+// ReaderRank returns the position of this daemon in the order of readers of its data centre.
+// ReaderRank 0 reads the store for the others. If this daemon does not count as alive, the
 // rank is the number of those that do.
-func (r *Roster) Rank(now time.Time) int {
+func (r *Roster) ReaderRank(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	position := 0
--- a/core/roster/watched_test.go
+++ b/core/roster/watched_test.go
@@ -43,7 +43,7 @@
 	}
 	for _, m := range s.members {
 		r := roster.New(m)
-		r.SetSelf(true, false)
+		r.SetStatus(true, false)
 		for _, o := range s.members {
 			r.Add(o)
 		}
@@ -65,7 +65,7 @@
 }
 
 func (s *simulation) send(m roster.Member, reducedDue bool) {
-	to := s.rosters[m.VM].Watched(s.now, map[string]float64{groupName: 1})
+	to := s.rosters[m.VM].Monitored(s.now, map[string]float64{groupName: 1})
 	reduced := true
 	for _, o := range to {
 		reduced = reduced && o.VM != m.VM
@@ -82,7 +82,7 @@
 		}
 		s.sent++
 		s.received[o.VM]++
-		s.rosters[o.VM].Heard(s.now, m, roster.Standing{Ready: true, Quiet: reduced}, nil)
+		s.rosters[o.VM].RecordHeartbeat(s.now, m, roster.Status{Ready: true, ReducedRate: reduced}, nil)
 	}
 }
 
@@ -139,7 +139,7 @@
 }
 
 func (s *simulation) isMonitored(vm string) bool {
-	for _, m := range s.rosters[vm].Watched(s.now, map[string]float64{groupName: 1}) {
+	for _, m := range s.rosters[vm].Monitored(s.now, map[string]float64{groupName: 1}) {
 		if m.VM == vm {
 			return true
 		}
@@ -159,7 +159,7 @@
 		s.advance(1200 * time.Millisecond)
 		s.expectAgreement(g, len(s.carriers("a-40")))
 	}
-	for _, m := range s.rosters["a-40"].Watched(s.now, map[string]float64{groupName: 1}) {
+	for _, m := range s.rosters["a-40"].Monitored(s.now, map[string]float64{groupName: 1}) {
 		s.dead[m.VM] = m.VM != "a-40"
 	}
 	s.advance(3 * time.Second)
--- a/core/watch/entry.go
+++ b/core/watch/entry.go
@@ -9,11 +9,11 @@
 	DataCentre string `cbor:"3,keyasint"`
 	Slots      int    `cbor:"4,keyasint"`
 	Draining   bool   `cbor:"5,keyasint,omitempty"`
-	// ColdLeft is the remaining warm-up time, during which the target is slower than
+	// WarmupLeft is the remaining warm-up time, during which the target is slower than
 	// usual after its start.
-	ColdLeft time.Duration `cbor:"6,keyasint,omitempty"`
-	// Born is the Unix time in milliseconds at which the target started.
-	Born int64 `cbor:"7,keyasint"`
+	WarmupLeft time.Duration `cbor:"6,keyasint,omitempty"`
+	// StartMillis is the Unix time in milliseconds at which the target started.
+	StartMillis int64 `cbor:"7,keyasint"`
 	// Seq is the number of heartbeats since the target started.
 	Seq int64 `cbor:"8,keyasint"`
 }
@@ -21,8 +21,8 @@
 // isOlderThan reports whether the target wrote the entry before other: in an earlier
 // run, or with an earlier heartbeat of the same run.
 func (e *Entry) isOlderThan(other *Entry) bool {
-	if e.Born != other.Born {
-		return e.Born < other.Born
+	if e.StartMillis != other.StartMillis {
+		return e.StartMillis < other.StartMillis
 	}
 	return e.Seq < other.Seq
 }
@@ -31,7 +31,7 @@
 // target is used. Heartbeats and the remaining warm-up time do not count.
 func (e *Entry) equivalentTo(other *Entry) bool {
 	return e.Service == other.Service && e.Address == other.Address && e.DataCentre == other.DataCentre &&
-		e.Slots == other.Slots && e.Draining == other.Draining && e.Born == other.Born
+		e.Slots == other.Slots && e.Draining == other.Draining && e.StartMillis == other.StartMillis
 }
 
 // Change is the new state of one target's entry in the store.
@@ -78,16 +78,16 @@
 // maxParts is the largest number of parts that an [Assembly] accepts for one delta.
 const maxParts = 256
 
-// Assembly joins the parts of the delta with the highest version. If a part is lost,
+// Assembler joins the parts of the delta with the highest version. If a part is lost,
 // the delta never becomes complete, and the receiver reads the list from the store
 // itself.
-type Assembly struct {
+type Assembler struct {
 	version int64
 	parts   map[int][]Change
 }
 
 // Add adds a part. It returns the delta and true once all parts have arrived.
-func (a *Assembly) Add(p Part) (Delta, bool) {
+func (a *Assembler) Add(p Part) (Delta, bool) {
 	if p.Count <= 1 {
 		return p.Delta, true
 	}
--- a/core/watch/list.go
+++ b/core/watch/list.go
@@ -43,28 +43,28 @@
 	return &List{records: map[string]*record{}}
 }
 
-// Applied is the result of applying a delta.
-type Applied struct {
-	// Taken is false if the delta was rejected, because it leaves a gap after the
+// ApplyResult is the result of applying a delta.
+type ApplyResult struct {
+	// Accepted is false if the delta was rejected, because it leaves a gap after the
 	// list's version or is older than the list.
-	Taken bool
-	// Returned is true if the delta is the first read after an outage of the store.
-	Returned bool
+	Accepted bool
+	// StoreRecovered is true if the delta is the first read after an outage of the store.
+	StoreRecovered bool
 	// Changes holds the changes that affect how targets are used.
 	Changes []Change
 }
 
 // Apply applies a delta unless it leaves a gap after the list's version or is older
 // than the list.
-func (l *List) Apply(now time.Time, d Delta) Applied {
+func (l *List) Apply(now time.Time, d Delta) ApplyResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if d.Since > l.version || d.Version < l.version {
-		return Applied{}
+		return ApplyResult{}
 	}
 	asOf := now.Add(-d.Age)
-	out := Applied{Taken: true, Returned: !l.asOf.IsZero() && asOf.Sub(l.asOf) > outageThreshold}
-	if out.Returned {
+	out := ApplyResult{Accepted: true, StoreRecovered: !l.asOf.IsZero() && asOf.Sub(l.asOf) > outageThreshold}
+	if out.StoreRecovered {
 		l.graceEnd = now.Add(missingGrace)
 	}
 	for _, c := range d.Changes {
@@ -157,8 +157,8 @@
 	return l.version, l.asOf
 }
 
-// HeardAt returns when a delta from a peer or from the store was last applied.
-func (l *List) HeardAt() time.Time {
+// RenewedAt returns when a delta from a peer or from the store was last applied.
+func (l *List) RenewedAt() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.renewedAt
@@ -175,7 +175,7 @@
 			continue
 		}
 		entry := r.entry
-		entry.ColdLeft = max(entry.ColdLeft-now.Sub(r.updatedAt), 0)
+		entry.WarmupLeft = max(entry.WarmupLeft-now.Sub(r.updatedAt), 0)
 		d.Changes = append(d.Changes, Change{ID: id, Entry: &entry})
 	}
 	return d
@@ -193,11 +193,11 @@
 			continue
 		}
 		out[e.Service] = append(out[e.Service], sched.Target{
-			Key:        sched.Key{ID: id, StartMillis: e.Born},
+			Key:        sched.Key{ID: id, StartMillis: e.StartMillis},
 			Address:    e.Address,
 			DataCentre: e.DataCentre,
 			Slots:      e.Slots,
-			WarmAt:     r.updatedAt.Add(e.ColdLeft),
+			WarmAt:     r.updatedAt.Add(e.WarmupLeft),
 		})
 	}
 	return out
--- a/core/watch/watch_test.go
+++ b/core/watch/watch_test.go
@@ -13,7 +13,7 @@
 var startTime = time.Unix(1000, 0)
 
 func entry(born, seq int64) *watch.Entry {
-	return &watch.Entry{Service: "orders", Address: "10.0.0.1:80", DataCentre: "a", Slots: 2, Born: born, Seq: seq}
+	return &watch.Entry{Service: "orders", Address: "10.0.0.1:80", DataCentre: "a", Slots: 2, StartMillis: born, Seq: seq}
 }
 
 func targetIDs(l *watch.List) []string {
@@ -54,7 +54,7 @@
 	l.Apply(startTime, fullRead(1, watch.Change{ID: "a", Entry: entry(1, 1)}, watch.Change{ID: "b", Entry: entry(1, 1)}))
 	recovered := startTime.Add(10 * time.Second)
 	out := l.Apply(recovered, fullRead(2))
-	g.Expect(out.Returned).To(BeTrue())
+	g.Expect(out.StoreRecovered).To(BeTrue())
 	g.Expect(targetIDs(l)).To(ConsistOf("a", "b"))
 	l.Apply(recovered.Add(time.Second), watch.Delta{Since: 2, Version: 3, Changes: []watch.Change{{ID: "a", Entry: entry(1, 2)}}})
 	g.Expect(l.Expire(recovered.Add(2100 * time.Millisecond))).To(BeFalse())
@@ -78,8 +78,8 @@
 	g := NewWithT(t)
 	l := watch.NewList()
 	l.Apply(startTime, fullRead(5, watch.Change{ID: "a", Entry: entry(1, 1)}))
-	g.Expect(l.Apply(startTime, watch.Delta{Since: 7, Version: 8, Changes: []watch.Change{{ID: "a"}}}).Taken).To(BeFalse())
-	g.Expect(l.Apply(startTime, watch.Delta{Since: 2, Version: 4, Changes: []watch.Change{{ID: "a"}}}).Taken).To(BeFalse())
+	g.Expect(l.Apply(startTime, watch.Delta{Since: 7, Version: 8, Changes: []watch.Change{{ID: "a"}}}).Accepted).To(BeFalse())
+	g.Expect(l.Apply(startTime, watch.Delta{Since: 2, Version: 4, Changes: []watch.Change{{ID: "a"}}}).Accepted).To(BeFalse())
 	g.Expect(targetIDs(l)).To(ConsistOf("a"))
 }
 
@@ -90,7 +90,7 @@
 	l := watch.NewList()
 	l.Apply(startTime, fullRead(1, watch.Change{ID: "a", Entry: entry(1, 1)}))
 	out := l.Apply(startTime, watch.Delta{Since: 1, Version: 2, Changes: []watch.Change{{ID: "a", Entry: entry(1, 2)}}})
-	g.Expect(out.Taken).To(BeTrue())
+	g.Expect(out.Accepted).To(BeTrue())
 	g.Expect(out.Changes).To(BeEmpty())
 }
 
@@ -103,7 +103,7 @@
 	}
 	parts := d.Split(8)
 	g.Expect(parts).To(HaveLen(3))
-	var a watch.Assembly
+	var a watch.Assembler
 	for _, i := range []int{2, 0} {
 		_, ok := a.Add(parts[i])
 		g.Expect(ok).To(BeFalse())
