--- a/core/daemon/admin.go
+++ b/core/daemon/admin.go
@@ -19,7 +19,7 @@
 )
 
 // newAdmin serves metrics, without a token, and the administration API.
-func newAdmin(s *config.Settings, p Platform, c *inner.Client, e *engine, set *stats.Set, dump *stats.Dump, l log.Logger) (http.Handler, error) {
+func newAdmin(s *config.Settings, p Platform, c *inner.Client, e *engine, set *stats.Registry, dump *stats.StateDump, l log.Logger) (http.Handler, error) {
 	registerGauges(set, e)
 	r := mux.NewRouter()
 	r.Handle("/metrics", set).Methods(http.MethodGet)
@@ -101,7 +101,7 @@
 }
 
 // registerGauges adds the metrics that alarms are built on.
-func registerGauges(set *stats.Set, e *engine) {
+func registerGauges(set *stats.Registry, e *engine) {
 	set.Gauge("wisteria_ready", func() int64 { return flagValue(e.isReady()) })
 	set.Gauge("wisteria_leaving", func() int64 { return flagValue(e.leaving.Load()) })
 	set.Gauge("wisteria_settings_head_age_seconds", e.headAge)
--- a/core/daemon/daemon.go
+++ b/core/daemon/daemon.go
@@ -89,7 +89,7 @@
 	Manager    *order.Manager
 	Relay      *proxy.Relay
 	Ports      *ports
-	Dump       *stats.Dump
+	Dump       *stats.StateDump
 }
 
 // startLimit bounds the opening of the ports.
@@ -112,7 +112,7 @@
 		fx.StartTimeout(startLimit),
 		fx.StopTimeout(settings.ShutdownLimit),
 		fx.Supply(settings, o, d.incarnation),
-		fx.Provide(func() log.Logger { return d.logger }, stats.New, stats.NewDump),
+		fx.Provide(func() log.Logger { return d.logger }, stats.New, stats.NewStateDump),
 		fx.Provide(newBackground, newPlatform, newIdentity, newClient, newEngine, newMembers, newPeers, newFollower),
 		fx.Provide(newManager, newRelay, newHandlers, newAdmin, newPorts),
 		fx.Invoke(bind, registerState, openPorts),
--- a/core/daemon/handlers.go
+++ b/core/daemon/handlers.go
@@ -17,7 +17,7 @@
 )
 
 // newHandlers returns the answers to the calls of peers.
-func newHandlers(m *member.Table, manager *order.Manager, f *settle.Follower, e *engine, dump *stats.Dump) inner.Handlers {
+func newHandlers(m *member.Table, manager *order.Manager, f *settle.Follower, e *engine, dump *stats.StateDump) inner.Handlers {
 	h := &handlers{manager: manager, follower: f, engine: e, dump: dump}
 	return inner.Handlers{
 		Report:   m.Receive,
@@ -35,7 +35,7 @@
 	manager  *order.Manager
 	follower *settle.Follower
 	engine   *engine
-	dump     *stats.Dump
+	dump     *stats.StateDump
 }
 
 func (h *handlers) orderAsk(_ context.Context, _ fleet.VMID, m *inner.OrderRequestMsg) (*inner.OrderReplyMsg, error) {
@@ -74,7 +74,7 @@
 	Revision    uint64            `json:"revision"`
 }
 
-func registerState(s *config.Settings, inc fleet.Incarnation, p Platform, m *member.Table, f *settle.Follower, e *engine, manager *order.Manager, rl *proxy.Relay, dump *stats.Dump, set *stats.Set) {
+func registerState(s *config.Settings, inc fleet.Incarnation, p Platform, m *member.Table, f *settle.Follower, e *engine, manager *order.Manager, rl *proxy.Relay, dump *stats.StateDump, set *stats.Registry) {
 	started := time.Now()
 	dump.Add("daemon", func() any {
 		return daemonState{
--- a/core/daemon/parts.go
+++ b/core/daemon/parts.go
@@ -105,7 +105,7 @@
 	return c
 }
 
-func newEngine(s *config.Settings, inc fleet.Incarnation, o overrides, p Platform, b *background, set *stats.Set, l log.Logger) *engine {
+func newEngine(s *config.Settings, inc fleet.Incarnation, o overrides, p Platform, b *background, set *stats.Registry, l log.Logger) *engine {
 	sink := &attemptSink{stats: set, logger: l}
 	probes := &http.Client{Transport: &http.Transport{DialContext: o.dial, MaxIdleConnsPerHost: 1}}
 	return newEngineWith(watchParts{
@@ -120,7 +120,7 @@
 
 // attemptSink counts and logs the ends of attempts on targets.
 type attemptSink struct {
-	stats  *stats.Set
+	stats  *stats.Registry
 	logger log.Logger
 }
 
@@ -172,7 +172,7 @@
 		order.WithImporters(ps.holders)), nil
 }
 
-func newRelay(s *config.Settings, e *engine, manager *order.Manager, set *stats.Set, l log.Logger) *proxy.Relay {
+func newRelay(s *config.Settings, e *engine, manager *order.Manager, set *stats.Registry, l log.Logger) *proxy.Relay {
 	return proxy.NewRelay(s.Self(), e.view(), manager,
 		proxy.WithDomain(s.Domain),
 		proxy.WithLogger(l),
--- a/core/node/config.go
+++ b/core/node/config.go
@@ -50,10 +50,10 @@
 		read, err := f.read(ctx, position)
 		if err == nil {
 			f.applyAndSend(read)
-			if position != 0 && (read.Config != nil || read.Problem != nil) {
+			if position != 0 && (read.Config != nil || read.Err != nil) {
 				sleep(ctx, minConfigInterval)
 			}
-			position = read.Position
+			position = read.StoreVersion
 			wait = minConfigBackoff
 			continue
 		}
@@ -72,7 +72,7 @@
 // applyAndSend applies a configuration that was read from the store, and sends it
 // to the daemons of the local data centre if this daemon is one of its config
 // readers.
-func (f *configFollower) applyAndSend(read ConfigRead) {
+func (f *configFollower) applyAndSend(read ConfigResult) {
 	newer := f.apply(read, false)
 	if newer && f.isConfigReader() {
 		f.gossip.SendConfig(*f.configDocument.Load(), f.roster.LocalPeers())
@@ -105,7 +105,7 @@
 // configuration is reread.
 var errReread = errors.New("configuration must be reread immediately")
 
-func (f *configFollower) read(ctx context.Context, position int64) (ConfigRead, error) {
+func (f *configFollower) read(ctx context.Context, position int64) (ConfigResult, error) {
 	if position == 0 {
 		return f.platform.ReadConfig(ctx)
 	}
@@ -113,7 +113,7 @@
 	defer cancel(nil)
 	w := &staleConfigWatcher{f.Node}
 	go w.loop(ctx, cancel)
-	read, err := f.platform.AwaitConfig(ctx, position, configPollTimeout)
+	read, err := f.platform.LongPollConfig(ctx, position, configPollTimeout)
 	if err != nil && errors.Is(context.Cause(ctx), errReread) {
 		return read, errReread
 	}
@@ -161,11 +161,11 @@
 // apply puts a configuration in force unless one of the same or a higher version is
 // in force, and reports whether it did. fromPeer says that the configuration was
 // received from a peer.
-func (f *configFollower) apply(read ConfigRead, fromPeer bool) bool {
+func (f *configFollower) apply(read ConfigResult, fromPeer bool) bool {
 	f.configMu.Lock()
 	defer f.configMu.Unlock()
-	if read.Problem != nil {
-		_ = f.logger.Log("msg", "configuration refused", "err", read.Problem, "position", read.Position)
+	if read.Err != nil {
+		_ = f.logger.Log("msg", "configuration refused", "err", read.Err, "position", read.StoreVersion)
 		return false
 	}
 	if read.Config == nil {
@@ -188,7 +188,7 @@
 	for _, p := range problems {
 		_ = f.logger.Log("msg", "part of the configuration cannot be used", "version", read.Config.Version, "err", p)
 	}
-	_ = f.logger.Log("msg", "configuration in force", "version", read.Config.Version, "position", read.Position, "from-peer", fromPeer)
+	_ = f.logger.Log("msg", "configuration in force", "version", read.Config.Version, "position", read.StoreVersion, "from-peer", fromPeer)
 	return true
 }
 
--- a/core/node/config_readers.go
+++ b/core/node/config_readers.go
@@ -39,5 +39,5 @@
 	}
 	config, err := n.platform.DecodeConfig(d.Data)
 	f := &configFollower{n}
-	f.apply(ConfigRead{Config: config, Raw: d.Data, Problem: err}, true)
+	f.apply(ConfigResult{Config: config, Raw: d.Data, Err: err}, true)
 }
--- a/core/node/config_readers_test.go
+++ b/core/node/config_readers_test.go
@@ -25,22 +25,22 @@
 	return 1 + int64(time.Since(w.start)/time.Minute)
 }
 
-func configVersion(v int64) ConfigRead {
-	return ConfigRead{Config: &route.Config{Version: route.Version(v)}, Raw: []byte(fmt.Sprint(v)), Position: v}
+func configVersion(v int64) ConfigResult {
+	return ConfigResult{Config: &route.Config{Version: route.Version(v)}, Raw: []byte(fmt.Sprint(v)), StoreVersion: v}
 }
 
-func (w *configWriter) read(context.Context) (ConfigRead, error) {
+func (w *configWriter) read(context.Context) (ConfigResult, error) {
 	w.reads++
 	return configVersion(w.newest()), nil
 }
 
-func (w *configWriter) poll(ctx context.Context, after int64, wait time.Duration) (ConfigRead, error) {
+func (w *configWriter) poll(ctx context.Context, after int64, wait time.Duration) (ConfigResult, error) {
 	w.polls++
 	limit := time.Now().Add(wait)
 	for w.newest() <= after && time.Now().Before(limit) {
 		sleep(ctx, 10*time.Millisecond)
 		if ctx.Err() != nil {
-			return ConfigRead{}, ctx.Err()
+			return ConfigResult{}, ctx.Err()
 		}
 	}
 	return configVersion(w.newest()), nil
@@ -55,8 +55,8 @@
 // newTestNode returns a daemon that may use the given share of a core. Its target
 // list counts as loaded, so that a configuration makes it ready.
 func newTestNode(g *WithT, share float64, writer *configWriter) *Node {
-	settings := &Settings{VM: "vm", CPUShare: share, DataCentre: "a", InnerAddress: "127.0.0.1:0", ShutdownSeconds: 1, RetryBudget: RetryBudget{SpanSeconds: 1}}
-	n, err := New(settings, &Platform{ReadConfig: writer.read, AwaitConfig: writer.poll, DecodeConfig: decodeVersion})
+	settings := &Settings{VM: "vm", CPUShare: share, DataCentre: "a", PeerAddress: "127.0.0.1:0", ShutdownSeconds: 1, RetryBudget: RetryBudget{WindowSeconds: 1}}
+	n, err := New(settings, &Platform{ReadConfig: writer.read, LongPollConfig: writer.poll, DecodeConfig: decodeVersion})
 	g.Expect(err).NotTo(HaveOccurred())
 	n.listLoaded.Store(true)
 	return n
--- a/core/node/config_test.go
+++ b/core/node/config_test.go
@@ -27,26 +27,26 @@
 	return min(1+int64(time.Since(b.start)/burstInterval), burstVersions)
 }
 
-func (b *configBurst) read(context.Context) (ConfigRead, error) {
+func (b *configBurst) read(context.Context) (ConfigResult, error) {
 	b.calls++
 	v := b.newest()
-	return ConfigRead{Config: &route.Config{Version: route.Version(v)}, Position: v}, nil
+	return ConfigResult{Config: &route.Config{Version: route.Version(v)}, StoreVersion: v}, nil
 }
 
-func (b *configBurst) poll(ctx context.Context, after int64, wait time.Duration) (ConfigRead, error) {
+func (b *configBurst) poll(ctx context.Context, after int64, wait time.Duration) (ConfigResult, error) {
 	b.calls++
 	limit := time.Now().Add(wait)
 	for b.newest() <= after {
 		if time.Now().After(limit) {
-			return ConfigRead{Position: after}, nil
+			return ConfigResult{StoreVersion: after}, nil
 		}
 		sleep(ctx, time.Millisecond)
 		if ctx.Err() != nil {
-			return ConfigRead{}, ctx.Err()
+			return ConfigResult{}, ctx.Err()
 		}
 	}
 	v := b.newest()
-	return ConfigRead{Config: &route.Config{Version: route.Version(v)}, Position: v}, nil
+	return ConfigResult{Config: &route.Config{Version: route.Version(v)}, StoreVersion: v}, nil
 }
 
 // Guards against one store call per daemon for each of many configurations in quick
@@ -56,8 +56,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		burst := &configBurst{start: time.Now()}
-		settings := &Settings{VM: "vm", DataCentre: "a", InnerAddress: "127.0.0.1:0", ShutdownSeconds: 1, RetryBudget: RetryBudget{SpanSeconds: 1}}
-		n, err := New(settings, &Platform{ReadConfig: burst.read, AwaitConfig: burst.poll})
+		settings := &Settings{VM: "vm", DataCentre: "a", PeerAddress: "127.0.0.1:0", ShutdownSeconds: 1, RetryBudget: RetryBudget{WindowSeconds: 1}}
+		n, err := New(settings, &Platform{ReadConfig: burst.read, LongPollConfig: burst.poll})
 		g.Expect(err).NotTo(HaveOccurred())
 		defer n.gossipConn.Close()
 		ctx, cancel := context.WithCancel(t.Context())
--- a/core/node/health_query_test.go
+++ b/core/node/health_query_test.go
@@ -18,7 +18,7 @@
 // exchanges datagrams with its peers.
 func newGossipingNode(t *testing.T, vm string, share float64) *Node {
 	t.Helper()
-	settings := &Settings{VM: vm, CPUShare: share, DataCentre: "a", CallerAddress: "127.0.0.1:1", InnerAddress: "127.0.0.1:0", ShutdownSeconds: 1, RetryBudget: RetryBudget{SpanSeconds: 1}}
+	settings := &Settings{VM: vm, CPUShare: share, DataCentre: "a", CallerAddress: "127.0.0.1:1", PeerAddress: "127.0.0.1:0", ShutdownSeconds: 1, RetryBudget: RetryBudget{WindowSeconds: 1}}
 	n, err := New(settings, &Platform{})
 	if err != nil {
 		t.Fatal(err)
--- a/core/node/maintenance.go
+++ b/core/node/maintenance.go
@@ -77,7 +77,7 @@
 func (n *Node) budgetStart(now time.Time) retry.RestartKind {
 	s := n.settings.Load()
 	switch {
-	case s.FirstStart || now.Sub(n.startedAt) >= seconds(s.RetryBudget.SpanSeconds):
+	case s.FirstStart || now.Sub(n.startedAt) >= seconds(s.RetryBudget.WindowSeconds):
 		return retry.NoRecentRestart
 	case n.roster.StartedAfterMost():
 		return retry.SingleRestart
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -25,8 +25,8 @@
 	settings  atomic.Pointer[Settings]
 	platform  *Platform
 	logger    log.Logger
-	metrics   *stats.Set
-	stateDump *stats.Dump
+	metrics   *stats.Registry
+	stateDump *stats.StateDump
 	self      roster.Member
 
 	relay        *relay.Relay
@@ -92,7 +92,7 @@
 		platform:           platform,
 		logger:             log.NewNopLogger(),
 		metrics:            stats.New(),
-		stateDump:          stats.NewDump(),
+		stateDump:          stats.NewStateDump(),
 		targetList:         watch.NewList(),
 		configReadRequests: make(chan struct{}, 1),
 
@@ -108,7 +108,7 @@
 	n.self = roster.Member{
 		VM:            settings.VM,
 		DataCentre:    settings.DataCentre,
-		PeerAddress:   settings.InnerAddress,
+		PeerAddress:   settings.PeerAddress,
 		CallerAddress: settings.CallerAddress,
 		StartMillis:   time.Now().UnixMilli(),
 		Cores:         settings.Capacity(),
@@ -144,7 +144,7 @@
 
 func relayBudget(s *Settings) relay.RetryBudget {
 	b := s.RetryBudget
-	return relay.RetryBudget{Span: seconds(b.SpanSeconds), Ratio: b.Ratio, Slack: b.Slack}
+	return relay.RetryBudget{Span: seconds(b.WindowSeconds), Ratio: b.Ratio, Slack: b.Slack}
 }
 
 func (n *Node) newCallerServer(r *relay.Relay) *caller.Server {
--- a/core/node/ready_test.go
+++ b/core/node/ready_test.go
@@ -34,7 +34,7 @@
 	}
 	const rounds = 200
 	for range rounds {
-		settings := &Settings{VM: "vm", DataCentre: "a", InnerAddress: "127.0.0.1:0", ShutdownSeconds: 1, RetryBudget: RetryBudget{SpanSeconds: 1}}
+		settings := &Settings{VM: "vm", DataCentre: "a", PeerAddress: "127.0.0.1:0", ShutdownSeconds: 1, RetryBudget: RetryBudget{WindowSeconds: 1}}
 		n, err := New(settings, &Platform{})
 		g.Expect(err).NotTo(HaveOccurred())
 		n.relay.SetTable(route.Compile(config))
@@ -70,12 +70,12 @@
 	}}
 	sequences := map[string]func(n *Node){
 		"list last": func(n *Node) {
-			(&configFollower{n}).apply(ConfigRead{Config: config}, false)
+			(&configFollower{n}).apply(ConfigResult{Config: config}, false)
 			n.applyList(list)
 		},
 		"configuration last": func(n *Node) {
 			n.applyList(list)
-			(&configFollower{n}).apply(ConfigRead{Config: config}, false)
+			(&configFollower{n}).apply(ConfigResult{Config: config}, false)
 		},
 	}
 	for name, apply := range sequences {
@@ -83,7 +83,7 @@
 			g := NewWithT(t)
 			const rounds = 100
 			for range rounds {
-				settings := &Settings{VM: "vm", DataCentre: "a", InnerAddress: "127.0.0.1:0", ShutdownSeconds: 1, FirstStart: true, RetryBudget: RetryBudget{SpanSeconds: 1, Slack: slack}}
+				settings := &Settings{VM: "vm", DataCentre: "a", PeerAddress: "127.0.0.1:0", ShutdownSeconds: 1, FirstStart: true, RetryBudget: RetryBudget{WindowSeconds: 1, Slack: slack}}
 				n, err := New(settings, &Platform{})
 				g.Expect(err).NotTo(HaveOccurred())
 				observer := &budgetObserver{node: n, allowed: make(chan float64, 1)}
--- a/core/node/reload.go
+++ b/core/node/reload.go
@@ -15,7 +15,7 @@
 // start; the log line says whether a restart is needed.
 func (n *Node) ReloadSettings(s *Settings) {
 	previous := n.settings.Swap(s)
-	unchanged := s.CallerAddress == previous.CallerAddress && s.InnerAddress == previous.InnerAddress && s.StoreAddress == previous.StoreAddress
+	unchanged := s.CallerAddress == previous.CallerAddress && s.PeerAddress == previous.PeerAddress && s.StoreAddress == previous.StoreAddress
 	n.relay.SetRetryBudget(relayBudget(s))
 	_ = n.logger.Log("msg", "settings reloaded", "restart-needed", !unchanged)
 }
--- a/core/node/servers.go
+++ b/core/node/servers.go
@@ -57,8 +57,8 @@
 		address string
 		handler http.Handler
 	}{
-		{settings.AddressAddress, n.platform.Addresses(n.lookup)},
-		{settings.ReadyAddress, n.platform.Readiness(n.Ready)},
+		{settings.LookupAddress, n.platform.AddressHandler(n.lookup)},
+		{settings.ReadyAddress, n.platform.ReadinessHandler(n.Ready)},
 		{settings.MetricsAddress, n.diagnosticsHandler()},
 	}
 	for _, e := range endpoints {
--- a/core/node/settings.go
+++ b/core/node/settings.go
@@ -22,12 +22,12 @@
 	// CallerAddress, AddressAddress and ReadyAddress are the listen addresses for
 	// requests, for callers that ask which daemons to connect to, and for readiness
 	// checks. An empty AddressAddress or ReadyAddress disables that endpoint.
-	CallerAddress  string `json:"caller-address"`
-	AddressAddress string `json:"address-address"`
-	ReadyAddress   string `json:"ready-address"`
-	// InnerAddress is the UDP address for messages of peers, MetricsAddress the listen
+	CallerAddress string `json:"caller-address"`
+	LookupAddress string `json:"address-address"`
+	ReadyAddress  string `json:"ready-address"`
+	// PeerAddress is the UDP address for messages of peers, MetricsAddress the listen
 	// address for metrics and the state dump.
-	InnerAddress   string `json:"inner-address"`
+	PeerAddress    string `json:"inner-address"`
 	MetricsAddress string `json:"metrics-address"`
 	StoreAddress   string `json:"store-address"`
 	// Seeds are addresses of some other VMs, which may be down or gone. A daemon that
@@ -54,9 +54,9 @@
 // service: Ratio for each request plus Slack, within a sliding window of
 // SpanSeconds.
 type RetryBudget struct {
-	Ratio       float64 `json:"ratio"`
-	SpanSeconds float64 `json:"span-s"`
-	Slack       float64 `json:"slack"`
+	Ratio         float64 `json:"ratio"`
+	WindowSeconds float64 `json:"span-s"`
+	Slack         float64 `json:"slack"`
 }
 
 // ShutdownTimeout returns the time between the signal to stop and the kill of the process.
@@ -130,8 +130,8 @@
 		}
 	}
 	addresses := map[string]string{
-		"caller-address": s.CallerAddress, "address-address": s.AddressAddress, "ready-address": s.ReadyAddress,
-		"inner-address": s.InnerAddress, "metrics-address": s.MetricsAddress, "store-address": s.StoreAddress,
+		"caller-address": s.CallerAddress, "address-address": s.LookupAddress, "ready-address": s.ReadyAddress,
+		"inner-address": s.PeerAddress, "metrics-address": s.MetricsAddress, "store-address": s.StoreAddress,
 	}
 	for key, value := range addresses {
 		if _, err := netip.ParseAddrPort(value); value != "" && err != nil {
@@ -143,13 +143,13 @@
 			return fault.New(fault.ConfigInvalid, "key %q: %q is not an IP address with a port", "seeds", seed)
 		}
 	}
-	if s.CallerAddress == "" || s.InnerAddress == "" {
+	if s.CallerAddress == "" || s.PeerAddress == "" {
 		return fault.New(fault.ConfigInvalid, "keys %q and %q are required", "caller-address", "inner-address")
 	}
 	if s.CPUShare < 0 || s.CPUSpeed < 0 || s.LinkMbit < 0 || s.MemoryMB < 0 {
 		return fault.New(fault.ConfigInvalid, "keys %q, %q, %q and %q must not be negative", "cpu-share", "cpu-speed", "link-mbit", "memory-mb")
 	}
-	if s.ShutdownSeconds <= 0 || s.RetryBudget.Ratio < 0 || s.RetryBudget.SpanSeconds <= 0 || s.RetryBudget.Slack < 0 {
+	if s.ShutdownSeconds <= 0 || s.RetryBudget.Ratio < 0 || s.RetryBudget.WindowSeconds <= 0 || s.RetryBudget.Slack < 0 {
 		return fault.New(fault.ConfigInvalid, "keys %q and %q must be positive", "shutdown-s", "retry-budget")
 	}
 	return nil
--- a/core/node/startup_test.go
+++ b/core/node/startup_test.go
@@ -29,8 +29,8 @@
 func (r loopbackRange) settings(number int, share float64) *Settings {
 	ip := fmt.Sprint(string(r), number)
 	return &Settings{
-		VM: fmt.Sprint("vm-", number), DataCentre: "a", CPUShare: share, CallerAddress: ip + ":8001", InnerAddress: ip + ":8002",
-		ShutdownSeconds: 1, RetryBudget: RetryBudget{SpanSeconds: 1},
+		VM: fmt.Sprint("vm-", number), DataCentre: "a", CPUShare: share, CallerAddress: ip + ":8001", PeerAddress: ip + ":8002",
+		ShutdownSeconds: 1, RetryBudget: RetryBudget{WindowSeconds: 1},
 	}
 }
 
@@ -38,17 +38,17 @@
 func unreachableStore() *Platform {
 	unavailable := fault.New(fault.StoreUnavailable, "store is unreachable")
 	return &Platform{
-		ReadConfig:  func(context.Context) (ConfigRead, error) { return ConfigRead{}, unavailable },
-		AwaitConfig: func(context.Context, int64, time.Duration) (ConfigRead, error) { return ConfigRead{}, unavailable },
+		ReadConfig:     func(context.Context) (ConfigResult, error) { return ConfigResult{}, unavailable },
+		LongPollConfig: func(context.Context, int64, time.Duration) (ConfigResult, error) { return ConfigResult{}, unavailable },
 		DecodeConfig: func([]byte) (*route.Config, error) {
 			return &route.Config{Version: 7, Services: []route.Service{{Name: "orders"}}}, nil
 		},
-		ReadTargets: func(context.Context) (watch.Delta, []error, error) { return watch.Delta{}, nil, unavailable },
-		PollTargets: func(context.Context, int64) (watch.Delta, []error, error) { return watch.Delta{}, nil, unavailable },
-		ReadMembers: func(context.Context) ([]roster.Member, error) { return nil, unavailable },
-		WriteMember: func(context.Context, roster.Member) error { return unavailable },
-		Addresses:   func(func(string, string) ([]string, time.Duration)) http.Handler { return http.NotFoundHandler() },
-		Readiness:   func(func() bool) http.Handler { return http.NotFoundHandler() },
+		ReadTargets:       func(context.Context) (watch.Delta, []error, error) { return watch.Delta{}, nil, unavailable },
+		ReadTargetChanges: func(context.Context, int64) (watch.Delta, []error, error) { return watch.Delta{}, nil, unavailable },
+		ReadMembers:       func(context.Context) ([]roster.Member, error) { return nil, unavailable },
+		WriteMember:       func(context.Context, roster.Member) error { return unavailable },
+		AddressHandler:    func(func(string, string) ([]string, time.Duration)) http.Handler { return http.NotFoundHandler() },
+		ReadinessHandler:  func(func() bool) http.Handler { return http.NotFoundHandler() },
 	}
 }
 
--- a/core/node/target_list.go
+++ b/core/node/target_list.go
@@ -61,7 +61,7 @@
 	if f.full || version == 0 {
 		return f.platform.ReadTargets(ctx)
 	}
-	return f.platform.PollTargets(ctx, version)
+	return f.platform.ReadTargetChanges(ctx, version)
 }
 
 // listSenderTimeout is the time without a part of the target list from a peer after
--- a/core/proxy/relay.go
+++ b/core/proxy/relay.go
@@ -51,7 +51,7 @@
 	manager     *order.Manager
 	orderMemory orderBodyMemory
 	logger      log.Logger
-	metrics     *stats.Set
+	metrics     *stats.Registry
 	router      http.Handler
 	// active is the number of requests in progress.
 	active atomic.Int64
@@ -72,7 +72,7 @@
 }
 
 // WithStats sets the metrics.
-func WithStats(s *stats.Set) RelayOption {
+func WithStats(s *stats.Registry) RelayOption {
 	return func(rl *Relay) { rl.metrics = s }
 }
 
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -42,7 +42,7 @@
 	headers       Headers
 	budget        RetryBudget
 	logger        log.Logger
-	metrics       *stats.Set
+	metrics       *stats.Registry
 	emit          func(sched.Event)
 	beforeAcquire func(ctx context.Context, service string, repeatable bool)
 	table         atomic.Pointer[route.Table]
@@ -63,7 +63,7 @@
 }
 
 // WithStats sets the set that the relay's metrics are registered in.
-func WithStats(s *stats.Set) Option {
+func WithStats(s *stats.Registry) Option {
 	return func(r *Relay) { r.metrics = s }
 }
 
--- a/core/stats/set.go
+++ b/core/stats/set.go
@@ -20,23 +20,23 @@
 
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// Set is the set of metrics of one process.
-type Set struct {
+// Registry is the set of metrics of one process.
+type Registry struct {
 	registry metrics.Registry
 }
 
 // New returns an empty set.
-func New() *Set {
-	return &Set{registry: metrics.NewRegistry()}
+func New() *Registry {
+	return &Registry{registry: metrics.NewRegistry()}
 }
 
 // Counter returns the counter with the given name, creating it on first use.
-func (s *Set) Counter(name string) metrics.Counter {
+func (s *Registry) Counter(name string) metrics.Counter {
 	return metrics.GetOrRegisterCounter(name, s.registry)
 }
 
 // Histogram returns the histogram with the given name, creating it on first use.
-func (s *Set) Histogram(name string) metrics.Histogram {
+func (s *Registry) Histogram(name string) metrics.Histogram {
 	return s.registry.GetOrRegister(name, func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewExpDecaySample(reservoirSize, reservoirAlpha))
 	}).(metrics.Histogram)
@@ -44,7 +44,7 @@
 
 // Gauge registers a function that returns the value of a gauge; each export calls
 // it.
-func (s *Set) Gauge(name string, read func() int64) {
+func (s *Registry) Gauge(name string, read func() int64) {
 	s.registry.GetOrRegister(name, metrics.NewFunctionalGauge(read))
 }
 
@@ -62,12 +62,12 @@
 }
 
 // ServeHTTP writes all metrics in the Prometheus text format.
-func (s *Set) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (s *Registry) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 	_, _ = w.Write([]byte(s.text()))
 }
 
-func (s *Set) text() string {
+func (s *Registry) text() string {
 	var lines []string
 	s.registry.Each(func(name string, metric any) {
 		lines = append(lines, formatMetric(name, metric)...)
