--- a/core/caller/caller_test.go
+++ b/core/caller/caller_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-func echo(_ context.Context, r *caller.Request) *caller.Answer {
-	return caller.Text(http.StatusOK, r.Method+" "+r.Target+" "+string(r.Body))
+func echo(_ context.Context, r *caller.Request) *caller.Response {
+	return caller.TextResponse(http.StatusOK, r.Method+" "+r.RequestURI+" "+string(r.Body))
 }
 
 func readResponse(g *WithT, r *bufio.Reader) (*http.Response, string) {
@@ -106,12 +106,12 @@
 	g := NewWithT(t)
 	var mu sync.Mutex
 	cancelled := 0
-	_, dial := serve(t, func(ctx context.Context, _ *caller.Request) *caller.Answer {
+	_, dial := serve(t, func(ctx context.Context, _ *caller.Request) *caller.Response {
 		<-ctx.Done()
 		mu.Lock()
 		cancelled++
 		mu.Unlock()
-		return caller.Text(http.StatusOK, "")
+		return caller.TextResponse(http.StatusOK, "")
 	})
 	conn, _ := dial()
 	const count = 3
@@ -135,10 +135,10 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			cancelled := make(chan struct{})
-			_, dial := serve(t, func(ctx context.Context, _ *caller.Request) *caller.Answer {
+			_, dial := serve(t, func(ctx context.Context, _ *caller.Request) *caller.Response {
 				<-ctx.Done()
 				close(cancelled)
-				return caller.Text(http.StatusOK, "")
+				return caller.TextResponse(http.StatusOK, "")
 			})
 			conn, _ := dial()
 			_, _ = fmt.Fprint(conn, request)
@@ -154,11 +154,11 @@
 	g := NewWithT(t)
 	var mu sync.Mutex
 	ran := 0
-	s, dial := serve(t, func(_ context.Context, _ *caller.Request) *caller.Answer {
+	s, dial := serve(t, func(_ context.Context, _ *caller.Request) *caller.Response {
 		mu.Lock()
 		defer mu.Unlock()
 		ran++
-		return caller.Text(http.StatusOK, "")
+		return caller.TextResponse(http.StatusOK, "")
 	})
 	s.Drain()
 	conn, r := dial()
@@ -176,8 +176,8 @@
 // Guards against a truncated response that looks complete.
 func TestTruncatedResponseIsDetectable(t *testing.T) {
 	g := NewWithT(t)
-	_, dial := serve(t, func(context.Context, *caller.Request) *caller.Answer {
-		return &caller.Answer{Status: http.StatusOK, Header: http.Header{}, Body: []byte("part"), Rest: io.NopCloser(failingReader{}), Length: -1}
+	_, dial := serve(t, func(context.Context, *caller.Request) *caller.Response {
+		return &caller.Response{Status: http.StatusOK, Header: http.Header{}, Body: []byte("part"), UnreadBody: io.NopCloser(failingReader{}), ContentLength: -1}
 	})
 	conn, r := dial()
 	_, _ = fmt.Fprint(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -198,7 +198,7 @@
 // Guards against a few callers with large bodies that exhaust the memory.
 func TestBodyMemoryIsBounded(t *testing.T) {
 	g := NewWithT(t)
-	_, dial := serve(t, echo, caller.WithBodyMemory(10))
+	_, dial := serve(t, echo, caller.WithMaxBodyMemory(10))
 	conn, r := dial()
 	_, _ = fmt.Fprint(conn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 20\r\n\r\n"+strings.Repeat("x", 20))
 	resp, _ := readResponse(g, r)
--- a/core/caller/conn.go
+++ b/core/caller/conn.go
@@ -103,7 +103,7 @@
 	reservedBytes int64
 	// closeAfter is set if the connection closes after this response.
 	closeAfter bool
-	response   chan *Answer
+	response   chan *Response
 }
 
 func newConn(s *Server, n net.Conn) *conn {
@@ -198,7 +198,7 @@
 	if strings.EqualFold(req.Header.Get("Expect"), "100-continue") {
 		_, _ = c.netConn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
-	x := &exchange{conn: c, closeAfter: req.Close, response: make(chan *Answer, 1)}
+	x := &exchange{conn: c, closeAfter: req.Close, response: make(chan *Response, 1)}
 	_ = c.netConn.SetReadDeadline(headReadAt.Add(bodyTimeout))
 	body, err := x.readBody(req, limits.BodyBytes)
 	if err != nil {
@@ -206,13 +206,13 @@
 		return nil, err
 	}
 	x.request = &Request{
-		Method:   req.Method,
-		Target:   req.RequestURI,
-		Host:     req.Host,
-		Header:   req.Header,
-		Body:     body,
-		Received: time.Now(),
-		Remote:   c.netConn.RemoteAddr().String(),
+		Method:     req.Method,
+		RequestURI: req.RequestURI,
+		Host:       req.Host,
+		Header:     req.Header,
+		Body:       body,
+		ReceivedAt: time.Now(),
+		RemoteAddr: c.netConn.RemoteAddr().String(),
 	}
 	return x, nil
 }
@@ -270,11 +270,11 @@
 		status = http.StatusBadRequest
 	}
 	_ = c.server.logger.Log("msg", "failed to read request", "status", status, "caller", c.netConn.RemoteAddr(), "err", err)
-	x := &exchange{conn: c, closeAfter: true, response: make(chan *Answer, 1)}
+	x := &exchange{conn: c, closeAfter: true, response: make(chan *Response, 1)}
 	if !c.beginRequest() {
 		return false
 	}
-	x.response <- Text(status, http.StatusText(status)+"\n")
+	x.response <- TextResponse(status, http.StatusText(status)+"\n")
 	c.exchanges <- x
 	return false
 }
--- a/core/caller/server.go
+++ b/core/caller/server.go
@@ -15,7 +15,7 @@
 
 // Handler returns the response to one request. ctx is cancelled when the caller
 // disconnects.
-type Handler func(ctx context.Context, r *Request) *Answer
+type Handler func(ctx context.Context, r *Request) *Response
 
 // Server accepts connections of callers and serves their requests.
 type Server struct {
@@ -38,9 +38,9 @@
 	return func(s *Server) { s.logger = l }
 }
 
-// WithBodyMemory sets the maximum memory, in bytes, for the bodies of all requests in
+// WithMaxBodyMemory sets the maximum memory, in bytes, for the bodies of all requests in
 // progress.
-func WithBodyMemory(bytes int64) Option {
+func WithMaxBodyMemory(bytes int64) Option {
 	return func(s *Server) { s.maxBodyMemory = bytes }
 }
 
@@ -105,8 +105,8 @@
 	s.draining.Store(true)
 }
 
-// Busy returns the number of requests whose response is not written yet.
-func (s *Server) Busy() int {
+// PendingRequests returns the number of requests whose response is not written yet.
+func (s *Server) PendingRequests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	pending := 0
@@ -116,8 +116,8 @@
 	return pending
 }
 
-// Connections returns the number of open connections.
-func (s *Server) Connections() int {
+// OpenConnections returns the number of open connections.
+func (s *Server) OpenConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
--- a/core/caller/writer.go
+++ b/core/caller/writer.go
@@ -34,12 +34,12 @@
 	w.linger()
 }
 
-func (w *responseWriter) writeNext(x *exchange, resp *Answer) {
-	if resp.Done != nil {
-		defer resp.Done()
+func (w *responseWriter) writeNext(x *exchange, resp *Response) {
+	if resp.Release != nil {
+		defer resp.Release()
 	}
-	if resp.Rest != nil {
-		defer resp.Rest.Close()
+	if resp.UnreadBody != nil {
+		defer resp.UnreadBody.Close()
 	}
 	if w.failed {
 		return
@@ -60,7 +60,7 @@
 	}
 }
 
-func (w *responseWriter) writeResponse(x *exchange, resp *Answer, closeAfter bool) error {
+func (w *responseWriter) writeResponse(x *exchange, resp *Response, closeAfter bool) error {
 	c := w.conn
 	_ = c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	w.writeHead(resp, closeAfter)
@@ -84,13 +84,13 @@
 	_, _ = io.Copy(io.Discard, tcp)
 }
 
-func (w *responseWriter) writeHead(resp *Answer, closeAfter bool) {
+func (w *responseWriter) writeHead(resp *Response, closeAfter bool) {
 	b := w.conn.writer
 	_, _ = fmt.Fprintf(b, "HTTP/1.1 %d %s\r\n", resp.Status, http.StatusText(resp.Status))
 	_ = resp.Header.Write(b)
 	switch {
-	case resp.Length >= 0:
-		_, _ = b.WriteString("Content-Length: " + strconv.FormatInt(resp.Length, 10) + "\r\n")
+	case resp.ContentLength >= 0:
+		_, _ = b.WriteString("Content-Length: " + strconv.FormatInt(resp.ContentLength, 10) + "\r\n")
 	default:
 		_, _ = b.WriteString("Transfer-Encoding: chunked\r\n")
 	}
@@ -105,12 +105,12 @@
 
 // writeBody writes the body. After an error, the framing shows the caller that the
 // response is incomplete.
-func (w *responseWriter) writeBody(x *exchange, resp *Answer) error {
+func (w *responseWriter) writeBody(x *exchange, resp *Response) error {
 	if x.request != nil && x.request.Method == http.MethodHead {
 		return nil
 	}
 	out := io.Writer(w.conn.writer)
-	if resp.Length < 0 {
+	if resp.ContentLength < 0 {
 		out = chunkWriter{w.conn.writer}
 	}
 	if len(resp.Body) > 0 {
@@ -118,12 +118,12 @@
 			return err
 		}
 	}
-	if resp.Rest != nil {
-		if _, err := io.Copy(out, deadlineExtender{resp.Rest, w.conn}); err != nil {
+	if resp.UnreadBody != nil {
+		if _, err := io.Copy(out, deadlineExtender{resp.UnreadBody, w.conn}); err != nil {
 			return err
 		}
 	}
-	if resp.Length < 0 {
+	if resp.ContentLength < 0 {
 		_, err := io.WriteString(w.conn.writer, "0\r\n\r\n")
 		return err
 	}
--- a/core/choose/choose.go
+++ b/core/choose/choose.go
@@ -14,8 +14,8 @@
 // The states of a candidate. Closed is the zero value, so that a candidate whose
 // state was never set receives no requests.
 const (
-	// Closed candidates receive no requests.
-	Closed State = iota
+	// Unavailable candidates receive no requests.
+	Unavailable State = iota
 	// Ready candidates receive all requests, up to their limit.
 	Ready
 	// SlowStart candidates receive the part of full traffic that Weight states, and
@@ -156,7 +156,7 @@
 // candidate into one number; the lowest is the best. It is unusableCost if the
 // candidate must not be used.
 func (c *Candidate) cost(idempotent bool, random uint64) uint64 {
-	if c.State == Closed || c.InFlight >= c.Limit {
+	if c.State == Unavailable || c.InFlight >= c.Limit {
 		return unusableCost
 	}
 	class := c.class(idempotent, random)
--- a/core/choose/choose_test.go
+++ b/core/choose/choose_test.go
@@ -57,7 +57,7 @@
 		Entry("fewer own requests in flight", candidate(choose.Ready, 0, 0), candidate(choose.Ready, 1, 0)),
 		Entry("fewer requests of peers in flight", candidate(choose.Ready, 0, 0), candidate(choose.Ready, 0, 1)),
 		Entry("the lower rank among two equals", withRank(candidate(choose.Ready, 0, 0), 1), withRank(candidate(choose.Ready, 0, 0), 2)),
-		Entry("anything over closed", candidate(choose.Avoided, 1, 0), candidate(choose.Closed, 0, 0)),
+		Entry("anything over closed", candidate(choose.Avoided, 1, 0), candidate(choose.Unavailable, 0, 0)),
 	)
 
 	It("gives a target in slow start the fraction of a full share that its weight states", func() {
--- a/core/daemon/failures_test.go
+++ b/core/daemon/failures_test.go
@@ -279,7 +279,7 @@
 		time.Sleep(7 * time.Second)
 		s.g.Expect(s.daemons[0].parts.Relay.Active()).To(BeZero())
 		w, _ := s.daemons[0].parts.Engine.watch("reservas")
-		s.g.Expect(w.carrier.Gate().InUse()).To(BeEmpty())
+		s.g.Expect(w.carrier.Gate().SlotsInUse()).To(BeEmpty())
 		s.g.Expect(c.Close()).To(Succeed())
 		s.close()
 	})
--- a/core/daemon/watch.go
+++ b/core/daemon/watch.go
@@ -164,7 +164,7 @@
 	defer w.mu.Unlock()
 	for vm := range w.peers {
 		if _, ok := carriers[vm]; !ok {
-			w.carrier.Gate().DropPeer(vm)
+			w.carrier.Gate().RemovePeer(vm)
 		}
 	}
 	w.peers = carriers
@@ -211,8 +211,8 @@
 	detect.SlowStart: choose.SlowStart,
 	detect.Trial:     choose.Trial,
 	detect.Avoided:   choose.Avoided,
-	detect.Ejected:   choose.Closed,
-	detect.Leaving:   choose.Closed,
+	detect.Ejected:   choose.Unavailable,
+	detect.Leaving:   choose.Unavailable,
 }
 
 // trialShare is the share of idempotent requests that a target in trial gets.
@@ -235,7 +235,7 @@
 			g.Weight = trialShare
 			g.TrialAllowed = w.isProber(s.Target)
 		} else {
-			g.Confirm = unconfirmed[s.Target] && !g.SameDataCentre
+			g.NeedsEvidence = unconfirmed[s.Target] && !g.SameDataCentre
 		}
 		targets = append(targets, g)
 	}
@@ -316,7 +316,7 @@
 		Leaving:         w.leaving.FirstHand(time.Now()),
 		EjectionVersion: listing.Version,
 	}
-	for _, l := range w.carrier.Gate().InFlight() {
+	for _, l := range w.carrier.Gate().MeanLoads() {
 		if load, ok := inner.NewTargetLoad(l.Target, l.InFlight); ok {
 			report.InFlight = append(report.InFlight, load)
 		}
@@ -338,7 +338,7 @@
 // deliver takes what a peer's report says about the service.
 func (w *watch) deliver(from fleet.VMID, dc fleet.DataCentre, report *inner.ServiceReport, now time.Time) error {
 	service := w.service.Load()
-	w.carrier.Gate().SetPeer(from, loads(service, report.InFlight), now)
+	w.carrier.Gate().SetPeerLoads(from, loads(service, report.InFlight), now)
 	w.ejector.Hear(report.EjectionVersion)
 	if len(report.Leaving) > 0 {
 		w.leaving.Peers(report.Leaving, now)
--- a/core/limit/dispatch.go
+++ b/core/limit/dispatch.go
@@ -23,7 +23,7 @@
 }
 
 // dispatch grants free slots to waiters. The caller holds mu.
-func (g *Gate) dispatch(now time.Duration) {
+func (g *Limiter) dispatch(now time.Duration) {
 	if g.queue.len() == 0 {
 		return
 	}
@@ -41,7 +41,7 @@
 
 // dispatchOne grants a slot to the next waiter that can use one and reports whether
 // there was one. Orders and lookups alternate; batch requests get what they leave.
-func (g *Gate) dispatchOne(step *dispatchStep) bool {
+func (g *Limiter) dispatchOne(step *dispatchStep) bool {
 	if g.queue.interactive() > 0 {
 		first := g.queue.nextInteractive
 		served, exhausted := g.dispatchKind(step, first)
@@ -63,7 +63,7 @@
 // to meet its deadline, the first one is served anyway, so that a wrong estimate of the
 // service time is corrected. exhausted is set if no waiter of any kind can use a slot,
 // so that the search may end.
-func (g *Gate) dispatchKind(step *dispatchStep, k fleet.RequestKind) (served, exhausted bool) {
+func (g *Limiter) dispatchKind(step *dispatchStep, k fleet.RequestKind) (served, exhausted bool) {
 	var late []*waiter
 	serviceTime := g.estimate.serviceTime(k)
 	for w := range g.queue.kinds[k].inTurnOrder() {
@@ -88,7 +88,7 @@
 }
 
 // grantTo grants w a slot if one is free for it.
-func (g *Gate) grantTo(step *dispatchStep, w *waiter) bool {
+func (g *Limiter) grantTo(step *dispatchStep, w *waiter) bool {
 	usage := g.claimFor(step, w.req)
 	if usage == nil {
 		return false
@@ -100,7 +100,7 @@
 }
 
 // refuseLate refuses waiters that cannot meet their deadlines.
-func (g *Gate) refuseLate(late []*waiter, now time.Duration) {
+func (g *Limiter) refuseLate(late []*waiter, now time.Duration) {
 	for _, w := range late {
 		g.counts.refusedLate.Add(1)
 		g.refuse(w, fault.New(fault.DeadlineExceeded, "deadline cannot be met any more: %v left", g.deadlineOf(w.req)-now).
@@ -110,7 +110,7 @@
 
 // claimFor claims a slot for req, or returns nil. While this daemon is below its
 // guarantee, the load that peers report does not count.
-func (g *Gate) claimFor(step *dispatchStep, req *Ask) *targetUsage {
+func (g *Limiter) claimFor(step *dispatchStep, req *Request) *targetUsage {
 	var buf [maxStackCandidates]choose.Candidate
 	pos, limit := g.pick(step.view, req, append(buf[:0], step.cands...))
 	if pos < 0 && step.belowGuarantee {
@@ -154,7 +154,7 @@
 	n := 0
 	for i := range s.cands {
 		c := &s.cands[i]
-		if c.State != choose.Closed && c.State != choose.Trial {
+		if c.State != choose.Unavailable && c.State != choose.Trial {
 			n += max(c.Limit-c.InFlight, 0)
 		}
 	}
@@ -163,7 +163,7 @@
 
 // reservedSlots returns the number of free slots that batch requests must leave for
 // orders and lookups.
-func (g *Gate) reservedSlots(now time.Duration) int {
+func (g *Limiter) reservedSlots(now time.Duration) int {
 	if int64(now)-g.lastInteractive.Load() < int64(reservePeriod) {
 		return 1
 	}
--- a/core/limit/estimate.go
+++ b/core/limit/estimate.go
@@ -56,7 +56,7 @@
 	return e.holdTime.value()
 }
 
-// Expected returns the expected service time of a kind, 0 without any sample.
-func (g *Gate) Expected(k fleet.RequestKind) time.Duration {
+// ExpectedServiceTime returns the expected service time of a kind, 0 without any sample.
+func (g *Limiter) ExpectedServiceTime(k fleet.RequestKind) time.Duration {
 	return g.estimate.serviceTime(k)
 }
--- a/core/limit/gate.go
+++ b/core/limit/gate.go
@@ -28,8 +28,8 @@
 	maxStackCandidates = 48
 )
 
-// Ask describes a request that needs a slot at a target.
-type Ask struct {
+// Request describes a request that needs a slot at a target.
+type Request struct {
 	Workspace  fleet.WorkspaceID
 	Kind       fleet.RequestKind
 	Idempotent bool
@@ -42,9 +42,9 @@
 	NoWait bool
 }
 
-// Gate is the concurrency limiter of one service: it grants the slots of its targets.
+// Limiter is the concurrency limiter of one service: it grants the slots of its targets.
 // It is safe for concurrent use.
-type Gate struct {
+type Limiter struct {
 	daemon  fleet.VMID
 	seed    uint64
 	created time.Time
@@ -70,22 +70,22 @@
 }
 
 // Option configures a Gate.
-type Option func(*Gate)
+type Option func(*Limiter)
 
 // WithSeed fixes the seed of the random choices; the default is 0.
 func WithSeed(seed uint64) Option {
-	return func(g *Gate) { g.seed = seed }
+	return func(g *Limiter) { g.seed = seed }
 }
 
 // WithSnapshot sets the initial targets.
 func WithSnapshot(s *Snapshot) Option {
-	return func(g *Gate) { g.Update(s) }
+	return func(g *Limiter) { g.Update(s) }
 }
 
 // New returns a gate for one service on a daemon. It refuses all requests until it has
 // received a snapshot.
-func New(daemon fleet.VMID, options ...Option) *Gate {
-	g := &Gate{
+func New(daemon fleet.VMID, options ...Option) *Limiter {
+	g := &Limiter{
 		daemon:  daemon,
 		created: time.Now(),
 		usage:   make(map[fleet.TargetID]*targetUsage),
@@ -100,14 +100,14 @@
 }
 
 // now returns the monotonic time since the gate was created.
-func (g *Gate) now() time.Duration {
+func (g *Limiter) now() time.Duration {
 	return time.Since(g.created)
 }
 
 // Acquire returns a grant for one slot. If none is free, the request waits in the queue.
 // Errors are of the kinds NoTarget, QueueFull, DeadlineExceeded and CallerGone; the
 // outcome of each is not-run. A grant must be released.
-func (g *Gate) Acquire(ctx context.Context, req Ask) (*Grant, error) {
+func (g *Limiter) Acquire(ctx context.Context, req Request) (*Grant, error) {
 	if ctx.Err() != nil {
 		return nil, g.contextError(ctx)
 	}
@@ -133,7 +133,7 @@
 }
 
 // tryAcquire grants a free slot without taking mu, or returns nil.
-func (g *Gate) tryAcquire(req *Ask, now time.Duration) *Grant {
+func (g *Limiter) tryAcquire(req *Request, now time.Duration) *Grant {
 	if g.deadlineOf(req) <= now {
 		return nil
 	}
@@ -159,13 +159,13 @@
 }
 
 // unclaim undoes a claim.
-func (g *Gate) unclaim(usage *targetUsage) {
+func (g *Limiter) unclaim(usage *targetUsage) {
 	usage.inFlight.Add(-1)
 	g.dispatchWaiting()
 }
 
 // dispatchWaiting grants free slots to the queue if requests wait in it.
-func (g *Gate) dispatchWaiting() {
+func (g *Limiter) dispatchWaiting() {
 	if g.waiting.Load() == 0 {
 		return
 	}
@@ -183,14 +183,14 @@
 }
 
 // pick returns the index of the best candidate for req and its limit, or -1.
-func (g *Gate) pick(v *view, req *Ask, cands []choose.Candidate) (pos, limit int) {
+func (g *Limiter) pick(v *view, req *Request, cands []choose.Candidate) (pos, limit int) {
 	if len(req.Exclude) > 0 {
 		for i := range cands {
 			// A request that failed once is not put at risk again as a trial or to
 			// collect evidence about a suspect target.
 			cands[i].NeedsEvidence = false
 			if cands[i].State == choose.Trial || slices.Contains(req.Exclude, v.entries[i].usage.id) {
-				cands[i].State = choose.Closed
+				cands[i].State = choose.Unavailable
 			}
 		}
 	}
@@ -203,17 +203,17 @@
 
 // nextRandom returns the next input for choose.Pick, which mixes it into a uniformly
 // distributed number.
-func (g *Gate) nextRandom() uint64 {
+func (g *Limiter) nextRandom() uint64 {
 	const increment = 0x9e3779b97f4a7c15
 	return g.seed + g.randomState.Add(increment)
 }
 
 // canServe reports whether any target of the view may serve req once it has a free slot.
-func (v *view) canServe(req *Ask) bool {
+func (v *view) canServe(req *Request) bool {
 	for i := range v.entries {
 		e := &v.entries[i]
 		switch {
-		case e.base.State == choose.Closed || e.base.Slots <= 0:
+		case e.base.State == choose.Unavailable || e.base.Slots <= 0:
 			continue
 		case e.base.State == choose.Trial && (!req.Idempotent || !e.base.TrialAllowed || len(req.Exclude) > 0):
 			continue
@@ -225,7 +225,7 @@
 }
 
 // deadlineOf returns the deadline of req on the gate's clock, or never.
-func (g *Gate) deadlineOf(req *Ask) time.Duration {
+func (g *Limiter) deadlineOf(req *Request) time.Duration {
 	if req.Deadline.IsZero() {
 		return never
 	}
@@ -233,7 +233,7 @@
 }
 
 // contextError counts a request whose context ended and returns its error.
-func (g *Gate) contextError(ctx context.Context) error {
+func (g *Limiter) contextError(ctx context.Context) error {
 	if ctx.Err() == context.DeadlineExceeded {
 		g.counts.refusedLate.Add(1)
 		return fault.Wrap(context.Cause(ctx), fault.DeadlineExceeded, "deadline passed before a slot was free")
--- a/core/limit/gate_test.go
+++ b/core/limit/gate_test.go
@@ -22,10 +22,10 @@
 		a, b := h.mustAcquire(lookup), h.mustAcquire(lookup)
 		a.Release(limit.Served)
 		a.Release(limit.Shed)
-		h.Expect(h.gate.InUse()).To(gomega.Equal(map[fleet.TargetID]int{"t00": 1}))
+		h.Expect(h.gate.SlotsInUse()).To(gomega.Equal(map[fleet.TargetID]int{"t00": 1}))
 		h.Expect(h.gate.Stats().Shed).To(gomega.BeZero())
 		b.Release(limit.Served)
-		h.Expect(h.gate.InUse()).To(gomega.BeEmpty())
+		h.Expect(h.gate.SlotsInUse()).To(gomega.BeEmpty())
 	})
 }
 
@@ -46,7 +46,7 @@
 		if second.grant() != nil {
 			second.grant().Release(limit.Unused)
 		}
-		h.Expect(h.gate.InUse()).To(gomega.BeEmpty())
+		h.Expect(h.gate.SlotsInUse()).To(gomega.BeEmpty())
 		h.Expect(h.gate.Stats().Waiting).To(gomega.BeZero())
 	})
 }
@@ -72,7 +72,7 @@
 	inBubble(t, readySnapshot(1, 1), func(h *harness) {
 		holder := h.mustAcquire(order)
 		var calls []*call
-		for i, a := range []limit.Ask{batch, batch, lookup, lookup, lookup, lookup, lookup, lookup, order, order, order} {
+		for i, a := range []limit.Request{batch, batch, lookup, lookup, lookup, lookup, lookup, lookup, order, order, order} {
 			calls = append(calls, h.start(fmt.Sprintf("%v%d", a.Kind, i), a))
 		}
 		h.Expect(serveAll(holder, calls, 2*time.Second)).To(gomega.Equal([]string{
@@ -155,7 +155,7 @@
 			}
 			gr.Release(limit.Served)
 		}
-		h.Expect(h.gate.Expected(fleet.Lookup)).To(gomega.BeNumerically("<", 20*time.Millisecond))
+		h.Expect(h.gate.ExpectedServiceTime(fleet.Lookup)).To(gomega.BeNumerically("<", 20*time.Millisecond))
 	})
 }
 
@@ -217,8 +217,8 @@
 
 		h.gate.Update(&limit.Snapshot{Targets: both.Targets[1:]})
 		h.gate.Update(both)
-		h.Expect(h.gate.InUse()).To(gomega.HaveLen(2), "the work at a removed target was forgotten")
-		both.Targets[1].State = choose.Closed
+		h.Expect(h.gate.SlotsInUse()).To(gomega.HaveLen(2), "the work at a removed target was forgotten")
+		both.Targets[1].State = choose.Unavailable
 		h.gate.Update(both)
 		w.grant().Release(limit.Served)
 		stuck := h.expectWaiting(h.start("", lookup), "a closed target received a grant")
@@ -226,7 +226,7 @@
 		synctest.Wait()
 		h.expectRefused(stuck, fault.NoTarget)
 		first.Release(limit.Served)
-		h.Expect(h.gate.InUse()).To(gomega.BeEmpty())
+		h.Expect(h.gate.SlotsInUse()).To(gomega.BeEmpty())
 	})
 }
 
--- a/core/limit/grant.go
+++ b/core/limit/grant.go
@@ -30,7 +30,7 @@
 	Target fleet.TargetID
 	// Waited is the time spent in the queue.
 	Waited   time.Duration
-	gate     *Gate
+	gate     *Limiter
 	usage    *targetUsage
 	start    time.Duration
 	kind     fleet.RequestKind
@@ -38,7 +38,7 @@
 }
 
 // newGrant returns a grant for a slot that is already claimed.
-func (g *Gate) newGrant(usage *targetUsage, kind fleet.RequestKind, now time.Duration) *Grant {
+func (g *Limiter) newGrant(usage *targetUsage, kind fleet.RequestKind, now time.Duration) *Grant {
 	g.counts.granted.Add(1)
 	usage.workOffset.Add(-int64(now))
 	return &Grant{Target: usage.id, gate: g, usage: usage, kind: kind, start: now}
--- a/core/limit/harness_test.go
+++ b/core/limit/harness_test.go
@@ -23,9 +23,9 @@
 // daemonSnapshot returns n ready targets as the given daemon sees them. Daemons and
 // targets are spread over three data centres.
 func daemonSnapshot(n, slots, daemon int) *limit.Snapshot {
-	s := &limit.Snapshot{Members: map[fleet.VMID]fleet.DataCentre{}}
+	s := &limit.Snapshot{DataCentres: map[fleet.VMID]fleet.DataCentre{}}
 	for i := range 6 {
-		s.Members[fleet.VMID(fmt.Sprint("vm", i))] = dataCentre(i)
+		s.DataCentres[fleet.VMID(fmt.Sprint("vm", i))] = dataCentre(i)
 	}
 	for i := range n {
 		id := fleet.TargetID(fmt.Sprintf("t%02d", i))
@@ -37,11 +37,11 @@
 func dataCentre(i int) fleet.DataCentre { return fleet.DataCentre(fmt.Sprint("dc", i%3)) }
 
 // newRequest returns a request without a deadline; only orders are not idempotent.
-func newRequest(k fleet.RequestKind, ws fleet.WorkspaceID) limit.Ask {
-	return limit.Ask{Workspace: ws, Kind: k, Idempotent: k != fleet.Order}
+func newRequest(k fleet.RequestKind, ws fleet.WorkspaceID) limit.Request {
+	return limit.Request{Workspace: ws, Kind: k, Idempotent: k != fleet.Order}
 }
 
-func withDeadline(a limit.Ask, d time.Duration) limit.Ask {
+func withDeadline(a limit.Request, d time.Duration) limit.Request {
 	a.Deadline = time.Now().Add(d)
 	return a
 }
@@ -52,7 +52,7 @@
 // before ended.
 type call struct {
 	name    string
-	req     limit.Ask
+	req     limit.Request
 	cancel  context.CancelFunc
 	counted bool
 	ended   atomic.Bool
@@ -60,7 +60,7 @@
 	err     error
 }
 
-func (c *call) run(ctx context.Context, g *limit.Gate) {
+func (c *call) run(ctx context.Context, g *limit.Limiter) {
 	c.result, c.err = g.Acquire(ctx, c.req)
 	c.ended.Store(true)
 }
@@ -80,7 +80,7 @@
 type harness struct {
 	*gomega.WithT
 	ctx  context.Context
-	gate *limit.Gate
+	gate *limit.Limiter
 }
 
 func inBubble(t *testing.T, s *limit.Snapshot, f func(h *harness)) {
@@ -93,7 +93,7 @@
 }
 
 // start makes a request and returns when it is granted, refused or waiting.
-func (h *harness) start(name string, req limit.Ask) *call {
+func (h *harness) start(name string, req limit.Request) *call {
 	c := &call{name: name, req: req}
 	var ctx context.Context
 	ctx, c.cancel = context.WithCancel(h.ctx)
@@ -103,7 +103,7 @@
 }
 
 // mustAcquire makes a request that must be granted at once.
-func (h *harness) mustAcquire(req limit.Ask) *limit.Grant {
+func (h *harness) mustAcquire(req limit.Request) *limit.Grant {
 	c := h.start("", req)
 	h.ExpectWithOffset(1, c.grant()).NotTo(gomega.BeNil(), "the request waits or is refused")
 	return c.grant()
--- a/core/limit/peers.go
+++ b/core/limit/peers.go
@@ -51,9 +51,9 @@
 	validUntil time.Duration
 }
 
-// SetPeer stores the load that a peer reports, in place of its last report. A report
+// SetPeerLoads stores the load that a peer reports, in place of its last report. A report
 // older than the last one is ignored, and one from the future counts as made now.
-func (g *Gate) SetPeer(vm fleet.VMID, loads []Load, at time.Time) {
+func (g *Limiter) SetPeerLoads(vm fleet.VMID, loads []Load, at time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
@@ -66,8 +66,8 @@
 	g.dispatch(now)
 }
 
-// DropPeer removes the report of a peer that no longer serves the service.
-func (g *Gate) DropPeer(vm fleet.VMID) {
+// RemovePeer removes the report of a peer that no longer serves the service.
+func (g *Limiter) RemovePeer(vm fleet.VMID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.peers, vm)
@@ -78,7 +78,7 @@
 
 // sumPeerLoads adds up the reports that still count and deletes the others. The caller
 // holds mu.
-func (g *Gate) sumPeerLoads(now time.Duration) peerLoads {
+func (g *Limiter) sumPeerLoads(now time.Duration) peerLoads {
 	sum := peerLoads{byTarget: make(map[fleet.TargetID]float64, len(g.targets)), validUntil: never}
 	for vm, p := range g.peers {
 		age := now - p.madeAt
@@ -112,12 +112,12 @@
 	return reportFresh + time.Duration(halvings(age))*reportHalfLife
 }
 
-// InFlight returns the number of requests that this daemon has in flight at each target
+// MeanLoads returns the number of requests that this daemon has in flight at each target
 // for the report to the peers, as the mean over the time since the last call. A report
 // is up to one interval old when it is used, so the number at one moment would say
 // little about short requests. Targets without load are omitted; the result is sorted
 // by target. Calls less than minMeanWindow apart return the same means.
-func (g *Gate) InFlight() []Load {
+func (g *Limiter) MeanLoads() []Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
@@ -133,8 +133,8 @@
 	return loads
 }
 
-// InUse returns the number of slots that this daemon uses now, by target.
-func (g *Gate) InUse() map[fleet.TargetID]int {
+// SlotsInUse returns the number of slots that this daemon uses now, by target.
+func (g *Limiter) SlotsInUse() map[fleet.TargetID]int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	used := make(map[fleet.TargetID]int, len(g.usage))
--- a/core/limit/property_test.go
+++ b/core/limit/property_test.go
@@ -37,14 +37,14 @@
 		m.snap = m.snapshot()
 		m.gate.Update(m.snap)
 	case n < 17 && m.peers:
-		m.gate.SetPeer(fleet.VMID(fmt.Sprint("p", m.rng.IntN(3))), loads(m.rng.IntN(6), m.rng.Float64()*2), time.Now())
+		m.gate.SetPeerLoads(fleet.VMID(fmt.Sprint("p", m.rng.IntN(3))), loads(m.rng.IntN(6), m.rng.Float64()*2), time.Now())
 	default:
 		time.Sleep(time.Duration(m.rng.IntN(400)) * time.Millisecond)
 	}
 	synctest.Wait()
 }
 
-func (m *stateModel) newRequest() limit.Ask {
+func (m *stateModel) newRequest() limit.Request {
 	a := newRequest(fleet.RequestKind(m.rng.IntN(3)), fleet.WorkspaceID(fmt.Sprint("w", m.rng.IntN(4))))
 	if m.rng.IntN(4) == 0 {
 		a.Exclude = []fleet.TargetID{fleet.TargetID(fmt.Sprintf("t%02d", m.rng.IntN(6)))}
@@ -95,13 +95,13 @@
 		if gr := c.grant(); gr != nil && !c.counted && c.name == "" {
 			c.counted, c.name = true, "granted"
 			m.held[gr.Target]++
-			m.Expect(targets[gr.Target].State).NotTo(gomega.Equal(choose.Closed), "%s was granted while closed", gr.Target)
+			m.Expect(targets[gr.Target].State).NotTo(gomega.Equal(choose.Unavailable), "%s was granted while closed", gr.Target)
 			m.Expect(m.held[gr.Target]).To(gomega.BeNumerically("<=", targets[gr.Target].Slots), "%s has no slot", gr.Target)
 		}
 	}
 	m.Expect(m.gate.Stats().Waiting).To(gomega.Equal(waiting))
 	m.Expect(waiting).To(gomega.BeNumerically("<=", 10))
-	used := m.gate.InUse()
+	used := m.gate.SlotsInUse()
 	for id, n := range m.held {
 		m.Expect(used[id]).To(gomega.Equal(n), "slots in use at %s", id)
 	}
@@ -131,7 +131,7 @@
 				m.finish(c, limit.Served)
 				synctest.Wait()
 			}
-			h.Expect(h.gate.InUse()).To(gomega.BeEmpty(), "seed %d", seed)
+			h.Expect(h.gate.SlotsInUse()).To(gomega.BeEmpty(), "seed %d", seed)
 			h.Expect(h.gate.Stats().Waiting).To(gomega.BeZero(), "seed %d", seed)
 		})
 	}
@@ -141,7 +141,7 @@
 // not exceeded.
 type stressTest struct {
 	sync.WaitGroup
-	gate      *limit.Gate
+	gate      *limit.Limiter
 	held      [6]atomic.Int64
 	overSlots atomic.Int64
 }
@@ -173,10 +173,10 @@
 	}
 	for i := range 200 {
 		c.gate.Update(&limit.Snapshot{Targets: readySnapshot(6, 2).Targets[i%3:]})
-		c.gate.SetPeer("p", loads(i%3, 1), time.Now())
+		c.gate.SetPeerLoads("p", loads(i%3, 1), time.Now())
 	}
 	c.Wait()
 	g.Expect(c.overSlots.Load()).To(gomega.BeZero())
-	g.Expect(c.gate.InUse()).To(gomega.BeEmpty())
+	g.Expect(c.gate.SlotsInUse()).To(gomega.BeEmpty())
 	g.Expect(c.gate.Stats().Waiting).To(gomega.BeZero())
 }
--- a/core/limit/queue.go
+++ b/core/limit/queue.go
@@ -9,7 +9,7 @@
 
 // waiter is one request in the queue.
 type waiter struct {
-	req   *Ask
+	req   *Request
 	queue *workspaceQueue
 	// done is closed when grant or err is set.
 	done  chan struct{}
@@ -41,7 +41,7 @@
 	nextInteractive fleet.RequestKind
 }
 
-func kindOf(req *Ask) fleet.RequestKind {
+func kindOf(req *Request) fleet.RequestKind {
 	return min(req.Kind, fleet.Batch)
 }
 
--- a/core/limit/quota.go
+++ b/core/limit/quota.go
@@ -13,12 +13,12 @@
 // usable targets compute the same division without communication: each slot is assigned
 // to the member with the fewest slots so far, and among equals first to one in the
 // target's data centre and then to the one with the lowest rank.
-func (g *Gate) slotQuotas(members []fleet.VMID) []int {
+func (g *Limiter) slotQuotas(members []fleet.VMID) []int {
 	quotas := make([]int, len(g.targets))
 	assigned := make([]int, len(members))
 	ranks := make([]uint64, len(members))
 	for i, t := range g.targets {
-		if t.State == choose.Closed {
+		if t.State == choose.Unavailable {
 			continue
 		}
 		for m, vm := range members {
--- a/core/limit/sim_test.go
+++ b/core/limit/sim_test.go
@@ -40,7 +40,7 @@
 // above a target's slots wait at the target. mu guards the fields below it.
 type simulation struct {
 	sync.WaitGroup
-	gates []*limit.Gate
+	gates []*limit.Limiter
 	slots map[fleet.TargetID]chan struct{}
 	stop  chan struct{}
 
@@ -90,11 +90,11 @@
 
 // simRequest is one simulated request.
 type simRequest struct {
-	req     limit.Ask
+	req     limit.Request
 	service time.Duration
 }
 
-func (q simRequest) run(sim *simulation, g *limit.Gate) {
+func (q simRequest) run(sim *simulation, g *limit.Limiter) {
 	defer sim.Done()
 	gr, err := g.Acquire(context.Background(), q.req)
 	if err != nil {
@@ -129,10 +129,10 @@
 			return
 		case <-tick.C:
 		}
-		loads := sim.gates[i].InFlight()
+		loads := sim.gates[i].MeanLoads()
 		for j, g := range sim.gates {
 			if j != i {
-				g.SetPeer(fleet.VMID(fmt.Sprint("vm", i)), loads, time.Now())
+				g.SetPeerLoads(fleet.VMID(fmt.Sprint("vm", i)), loads, time.Now())
 			}
 		}
 	}
@@ -237,7 +237,7 @@
 					sim := newSimulation(6, 1)
 					sim.startReports()
 					for range 50 {
-						sim.reopen(limit.Target{State: choose.Closed})
+						sim.reopen(limit.Target{State: choose.Unavailable})
 						sim.offerLoad(factor, 6*time.Second)
 						sim.reopen(back)
 						sim.offerLoad(factor, 100*time.Millisecond)
--- a/core/limit/snapshot.go
+++ b/core/limit/snapshot.go
@@ -22,8 +22,8 @@
 	Weight         float64
 	TrialAllowed   bool
 	SameDataCentre bool
-	// Confirm gives the target additional idempotent requests; see choose.Candidate.
-	Confirm bool
+	// NeedsEvidence gives the target additional idempotent requests; see choose.Candidate.
+	NeedsEvidence bool
 	// DataCentre is compared with Snapshot.Members when the slots are divided among
 	// the daemons.
 	DataCentre fleet.DataCentre
@@ -34,9 +34,9 @@
 	Targets []Target
 	// QueueLength is the maximum number of waiting requests; 0 means DefaultQueueLength.
 	QueueLength int
-	// Members holds the data centres of this daemon and its peers, as far as known. The
+	// DataCentres holds the data centres of this daemon and its peers, as far as known. The
 	// slots of a target are divided first among the daemons in its data centre.
-	Members map[fleet.VMID]fleet.DataCentre
+	DataCentres map[fleet.VMID]fleet.DataCentre
 }
 
 // DefaultQueueLength is the queue length if Snapshot.QueueLength is not set.
@@ -105,12 +105,12 @@
 
 // Update replaces the targets and their states; requests may be in flight. After it
 // returns, no slots of targets that are closed or removed are granted.
-func (g *Gate) Update(s *Snapshot) {
+func (g *Limiter) Update(s *Snapshot) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
 	g.targets = slices.Clone(s.Targets)
-	g.dataCentres = maps.Clone(s.Members)
+	g.dataCentres = maps.Clone(s.DataCentres)
 	g.queueLength = s.QueueLength
 	if g.queueLength <= 0 {
 		g.queueLength = DefaultQueueLength
@@ -123,7 +123,7 @@
 
 // rebuildView computes the view from the targets and the reports of the peers. The
 // caller holds mu.
-func (g *Gate) rebuildView(now time.Duration) {
+func (g *Limiter) rebuildView(now time.Duration) {
 	v := &view{entries: make([]entry, 0, len(g.targets)), queueLength: g.queueLength}
 	peers := g.sumPeerLoads(now)
 	v.validUntil = peers.validUntil
@@ -141,7 +141,7 @@
 // newEntry combines a target with the load of the peers there and with this daemon's
 // quota. The load is rounded up, so that it stays within the slots together with this
 // daemon's own. The quota stays usable even if the peers exceed theirs.
-func (g *Gate) newEntry(t Target, peerLoad float64, quota int) entry {
+func (g *Limiter) newEntry(t Target, peerLoad float64, quota int) entry {
 	peerSlots := int(math.Ceil(min(peerLoad, float64(t.Slots))))
 	e := entry{usage: g.usageOf(t.ID), peersIdle: peerLoad < peersIdleBelow}
 	e.base = choose.Candidate{
@@ -149,7 +149,7 @@
 		Weight:         t.Weight,
 		TrialAllowed:   t.TrialAllowed,
 		SameDataCentre: t.SameDataCentre,
-		NeedsEvidence:  t.Confirm,
+		NeedsEvidence:  t.NeedsEvidence,
 		PeerInFlight:   peerSlots,
 		Quota:          quota,
 		Limit:          max(t.Slots-peerSlots, quota),
@@ -166,7 +166,7 @@
 }
 
 // usageOf returns the counters of the target. The caller holds mu.
-func (g *Gate) usageOf(id fleet.TargetID) *targetUsage {
+func (g *Limiter) usageOf(id fleet.TargetID) *targetUsage {
 	u, ok := g.usage[id]
 	if !ok {
 		u = &targetUsage{id: id}
@@ -178,7 +178,7 @@
 // pruneUsage deletes the counters of targets that are removed and idle. It runs after
 // the new view is stored: a claim that a concurrent request makes on an old view is
 // undone when the request sees that the view changed.
-func (g *Gate) pruneUsage() {
+func (g *Limiter) pruneUsage() {
 	v := g.view.Load()
 	for id, u := range g.usage {
 		used := slices.ContainsFunc(v.entries, func(e entry) bool { return e.usage == u })
--- a/core/limit/stats.go
+++ b/core/limit/stats.go
@@ -26,7 +26,7 @@
 }
 
 // Stats returns the current counters.
-func (g *Gate) Stats() Stats {
+func (g *Limiter) Stats() Stats {
 	return Stats{
 		Granted:         g.counts.granted.Load(),
 		Shed:            g.counts.shed.Load(),
--- a/core/limit/wait.go
+++ b/core/limit/wait.go
@@ -18,7 +18,7 @@
 )
 
 // acquireQueued adds the request to the queue and waits until it is granted or refused.
-func (g *Gate) acquireQueued(ctx context.Context, req Ask, now time.Duration) (*Grant, error) {
+func (g *Limiter) acquireQueued(ctx context.Context, req Request, now time.Duration) (*Grant, error) {
 	w := &waiter{req: &req, done: make(chan struct{})}
 	if delay := g.admit(w, now); delay > 0 {
 		return g.wait(ctx, w, now, delay)
@@ -29,7 +29,7 @@
 // admit adds w to the queue and dispatches. It returns the delay after which w must be
 // checked again, or 0 if w is granted or refused. While w waits, its fields grant and
 // err are guarded by mu.
-func (g *Gate) admit(w *waiter, now time.Duration) time.Duration {
+func (g *Limiter) admit(w *waiter, now time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.deadlineOf(w.req) <= now {
@@ -75,7 +75,7 @@
 }
 
 // wait blocks until w is granted or refused, or until ctx ends.
-func (g *Gate) wait(ctx context.Context, w *waiter, queuedAt, delay time.Duration) (*Grant, error) {
+func (g *Limiter) wait(ctx context.Context, w *waiter, queuedAt, delay time.Duration) (*Grant, error) {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	for {
@@ -95,7 +95,7 @@
 }
 
 // abandon removes w from the queue, or releases the slot that it was granted meanwhile.
-func (g *Gate) abandon(w *waiter) {
+func (g *Limiter) abandon(w *waiter) {
 	g.mu.Lock()
 	waiting := g.queue.remove(w)
 	if waiting {
@@ -110,7 +110,7 @@
 
 // recheck dispatches and refuses w if its deadline has passed. It returns the delay
 // until the next check.
-func (g *Gate) recheck(w *waiter) time.Duration {
+func (g *Limiter) recheck(w *waiter) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
@@ -134,7 +134,7 @@
 // recheckDelay returns the time until something may change for w without a release:
 // its deadline, the decay of a peer's report, the end of a halved limit, or the end of
 // the reserve for orders and lookups.
-func (g *Gate) recheckDelay(w *waiter, now time.Duration) time.Duration {
+func (g *Limiter) recheckDelay(w *waiter, now time.Duration) time.Duration {
 	v := g.view.Load()
 	recheckAt := min(g.deadlineOf(w.req), v.validUntil, now+maxRecheckDelay)
 	for i := range v.entries {
@@ -152,7 +152,7 @@
 
 // expectedLatency returns the expected time until w has its response: the time for the
 // waiters ahead of it at the measured rate, and its own service time.
-func (g *Gate) expectedLatency(w *waiter) time.Duration {
+func (g *Limiter) expectedLatency(w *waiter) time.Duration {
 	inFlight := max(g.inFlight(g.view.Load()), 1)
 	rounds := time.Duration(g.queue.ahead(w) + 1)
 	return rounds*g.estimate.holdTime.value()/time.Duration(inFlight) + g.estimate.serviceTime(w.req.Kind)
@@ -160,7 +160,7 @@
 
 // inFlight returns the number of requests that this daemon has in flight at the targets
 // of the view.
-func (g *Gate) inFlight(v *view) int {
+func (g *Limiter) inFlight(v *view) int {
 	n := 0
 	for i := range v.entries {
 		n += int(v.entries[i].usage.inFlight.Load())
@@ -169,7 +169,7 @@
 }
 
 // refuse ends the wait of w with err. The caller holds mu.
-func (g *Gate) refuse(w *waiter, err error) {
+func (g *Limiter) refuse(w *waiter, err error) {
 	g.queue.remove(w)
 	g.publishLengths()
 	w.err = err
@@ -177,7 +177,7 @@
 }
 
 // refuseUnservable refuses the waiters that no target of the view may serve.
-func (g *Gate) refuseUnservable() {
+func (g *Limiter) refuseUnservable() {
 	v := g.view.Load()
 	var unservable []*waiter
 	for k := range g.queue.kinds {
@@ -194,14 +194,14 @@
 }
 
 // publishLengths publishes the length of the queue to readers without mu.
-func (g *Gate) publishLengths() {
+func (g *Limiter) publishLengths() {
 	g.waitingInteractive.Store(int64(g.queue.interactive()))
 	g.waiting.Store(int64(g.queue.len()))
 }
 
 // currentView returns the view, rebuilt if a report of a peer has decayed since. The
 // caller holds mu.
-func (g *Gate) currentView(now time.Duration) *view {
+func (g *Limiter) currentView(now time.Duration) *view {
 	if now >= g.view.Load().validUntil {
 		g.rebuildView(now)
 	}
--- a/core/link/endless_test.go
+++ b/core/link/endless_test.go
@@ -61,13 +61,13 @@
 			p := NewPool("target", WithDial(f.dial))
 			ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 			defer cancel()
-			m := &Message{Method: http.MethodGet, Target: "/", Host: "h", Owns: func(r *http.Response) bool { return r.Header.Get("Request-Id") == "own" }}
+			m := &RawRequest{Method: http.MethodGet, RequestURI: "/", Host: "h", Matches: func(r *http.Response) bool { return r.Header.Get("Request-Id") == "own" }}
 			_, err := p.Forward(ctx, m, time.Minute)
 			g.Expect(err).To(HaveOccurred())
 			g.Expect(ctx.Err()).NotTo(HaveOccurred(), "the exchange lasts until the deadline")
 			<-f.ended
 			g.Expect(f.written.Load()).To(BeNumerically("<", 2*maxUnmatchedBytes))
-			g.Expect(p.Counts().Open).To(BeZero())
+			g.Expect(p.Stats().Open).To(BeZero())
 		})
 	}
 }
@@ -80,11 +80,11 @@
 	own := "HTTP/1.1 200 OK\r\nRequest-Id: own\r\nContent-Length: 2\r\n\r\nok"
 	s := newScriptedTarget(false, lateCopy+own)
 	p := NewPool("target", WithDial(s.dial))
-	m := &Message{Method: http.MethodGet, Target: "/", Host: "h", Owns: func(r *http.Response) bool { return r.Header.Get("Request-Id") == "own" }}
+	m := &RawRequest{Method: http.MethodGet, RequestURI: "/", Host: "h", Matches: func(r *http.Response) bool { return r.Header.Get("Request-Id") == "own" }}
 	resp, err := p.Forward(t.Context(), m, time.Minute)
 	g.Expect(err).NotTo(HaveOccurred())
 	data, err := io.ReadAll(resp.Body)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(string(data)).To(Equal("ok"))
-	g.Expect(p.Counts().Idle).To(BeZero(), "the connection of a target that sent an extra response is not reused")
+	g.Expect(p.Stats().Idle).To(BeZero(), "the connection of a target that sent an extra response is not reused")
 }
--- a/core/link/error.go
+++ b/core/link/error.go
@@ -31,8 +31,8 @@
 	return [...]string{"dial", "unsent", "write", "head", "body"}[s]
 }
 
-// Failure is the error of a failed exchange.
-type Failure struct {
+// Error is the error of a failed exchange.
+type Error struct {
 	Stage Stage
 	// Refused is set if the target's host refused the connection.
 	Refused bool
@@ -46,23 +46,23 @@
 }
 
 // Error returns the stage and the cause.
-func (f *Failure) Error() string {
+func (f *Error) Error() string {
 	return fmt.Sprintf("exchange failed at %s: %v", f.Stage, f.Cause)
 }
 
 // Unwrap returns the cause.
-func (f *Failure) Unwrap() error {
+func (f *Error) Unwrap() error {
 	return f.Cause
 }
 
 // Unsent reports whether it is certain that no byte of the request was sent, so that
 // the request can be retried even if it is not idempotent.
-func (f *Failure) Unsent() bool {
+func (f *Error) Unsent() bool {
 	return f.Stage == StageDial || f.Stage == StageUnsent
 }
 
-func newError(ctx context.Context, stage Stage, cause error) *Failure {
-	f := &Failure{Stage: stage, Cause: cause}
+func newError(ctx context.Context, stage Stage, cause error) *Error {
+	f := &Error{Stage: stage, Cause: cause}
 	f.Refused = errors.Is(cause, syscall.ECONNREFUSED)
 	var netErr net.Error
 	switch {
@@ -76,6 +76,6 @@
 	return f
 }
 
-func newProtocolError(cause error) *Failure {
-	return &Failure{Stage: StageHead, Protocol: true, Cause: cause}
+func newProtocolError(cause error) *Error {
+	return &Error{Stage: StageHead, Protocol: true, Cause: cause}
 }
--- a/core/link/forward.go
+++ b/core/link/forward.go
@@ -17,25 +17,25 @@
 // reads. A larger body is written by another goroutine.
 const maxInlineBody = 16 << 10
 
-// Message is a request that is forwarded as it is: unlike with http.Request, neither
+// RawRequest is a request that is forwarded as it is: unlike with http.Request, neither
 // the request target nor the header is normalised or completed.
-type Message struct {
+type RawRequest struct {
 	Method string
-	// Target is the request target of the request line as the caller sent it, that is,
+	// RequestURI is the request target of the request line as the caller sent it, that is,
 	// usually path and query.
-	Target string
-	Host   string
-	Header http.Header
-	Body   []byte
-	// Owns reports whether a response belongs to this request. Others are read and
-	// discarded, and the next response is read. If Owns is nil, the first response is
+	RequestURI string
+	Host       string
+	Header     http.Header
+	Body       []byte
+	// Matches reports whether a response belongs to this request. Others are read and
+	// discarded, and the next response is read. If Matches is nil, the first response is
 	// returned.
-	Owns func(*http.Response) bool
+	Matches func(*http.Response) bool
 }
 
 // write writes the message in the format of HTTP/1.1.
-func (m *Message) write(w *bufio.Writer) error {
-	_, _ = w.WriteString(m.Method + " " + m.Target + " HTTP/1.1\r\nHost: " + m.Host + "\r\n")
+func (m *RawRequest) write(w *bufio.Writer) error {
+	_, _ = w.WriteString(m.Method + " " + m.RequestURI + " HTTP/1.1\r\nHost: " + m.Host + "\r\n")
 	if err := m.Header.Write(w); err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 // Forward sends the message once and returns the response that belongs to it. The
 // body of the response must be closed. A pooled connection is reused only if it was
 // idle for at most maxIdle. Errors are of type *Failure.
-func (p *Pool) Forward(ctx context.Context, m *Message, maxIdle time.Duration) (*Response, error) {
+func (p *Pool) Forward(ctx context.Context, m *RawRequest, maxIdle time.Duration) (*Response, error) {
 	c, err := p.getConn(ctx, maxIdle)
 	if err != nil {
 		return nil, err
@@ -78,7 +78,7 @@
 	return &Response{Response: resp, Reused: c.reused}, nil
 }
 
-func (x *exchange) forward(m *Message) (*http.Response, error) {
+func (x *exchange) forward(m *RawRequest) (*http.Response, error) {
 	x.conn.bytesSent = 0
 	x.sender = &sender{conn: x.conn, write: m.write, done: make(chan struct{})}
 	if len(m.Body) <= maxInlineBody {
@@ -109,7 +109,7 @@
 // it, the connection is not reused, because its responses no longer correspond to the
 // requests. The heads of all responses together are bounded like a single one, because
 // a target may send responses without end.
-func (x *exchange) readMatching(m *Message) (*http.Response, error) {
+func (x *exchange) readMatching(m *RawRequest) (*http.Response, error) {
 	bytesLeft := int64(maxUnmatchedBytes)
 	x.conn.headBytesLeft = maxHeadBytes
 	for unmatched := 0; unmatched <= maxUnmatched; unmatched++ {
@@ -117,7 +117,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if m.Owns != nil && !m.Owns(resp) {
+		if m.Matches != nil && !m.Matches(resp) {
 			if bytesLeft, err = x.discardResponse(resp, bytesLeft); err != nil {
 				return nil, err
 			}
--- a/core/link/link_test.go
+++ b/core/link/link_test.go
@@ -88,7 +88,7 @@
 			Expect(get(ctx, p, "GET")).To(Equal("ok"))
 		}
 		Expect(s.dials).To(Equal(1))
-		Expect(p.Counts()).To(Equal(Counts{Open: 1, Idle: 1, Dials: 1}))
+		Expect(p.Stats()).To(Equal(Stats{Open: 1, Idle: 1, Dials: 1}))
 	})
 
 	DescribeTable("never reuses a connection that could deliver the response to another request",
@@ -96,8 +96,8 @@
 			s := newScriptedTarget(false, reply, okReply)
 			p := NewPool("target", WithDial(s.dial))
 			_, _ = get(ctx, p, "GET")
-			Expect(p.Counts().Idle).To(BeZero())
-			Expect(p.Counts().Discards).To(BeEquivalentTo(1))
+			Expect(p.Stats().Idle).To(BeZero())
+			Expect(p.Stats().Discards).To(BeEquivalentTo(1))
 		},
 		Entry("bytes after the response", okReply+"HTTP/1.1 200 OK\r\n"),
 		Entry("Connection: close", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"),
@@ -110,7 +110,7 @@
 		func(reply string) {
 			p := NewPool("target", WithDial(newScriptedTarget(true, reply).dial))
 			_, err := get(ctx, p, "GET")
-			var f *Failure
+			var f *Error
 			Expect(errors.As(err, &f)).To(BeTrue())
 			Expect(f.Stage).To(Equal(StageBody))
 		},
@@ -121,14 +121,14 @@
 	It("reports a request as unsent when the dial fails, so that an order may be retried", func() {
 		refuse := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("no route") }
 		_, err := get(ctx, NewPool("target", WithDial(refuse)), "POST")
-		var f *Failure
+		var f *Error
 		Expect(errors.As(err, &f)).To(BeTrue())
 		Expect(f.Unsent()).To(BeTrue())
 	})
 
 	It("does not report a request as unsent when the target closes after it", func() {
 		_, err := get(ctx, NewPool("target", WithDial(newScriptedTarget(true, "").dial)), "POST")
-		var f *Failure
+		var f *Error
 		Expect(errors.As(err, &f)).To(BeTrue())
 		Expect(f.Stage).To(Equal(StageHead))
 		Expect(f.Unsent()).To(BeFalse())
@@ -165,10 +165,10 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		_, err := get(ctx, p, "GET")
-		var f *Failure
+		var f *Error
 		g.Expect(errors.As(err, &f)).To(BeTrue())
 		g.Expect(f.TimedOut).To(BeTrue())
-		g.Expect(p.Counts()).To(Equal(Counts{Dials: 1, Discards: 1}))
+		g.Expect(p.Stats()).To(Equal(Stats{Dials: 1, Discards: 1}))
 	})
 }
 
--- a/core/link/pool.go
+++ b/core/link/pool.go
@@ -46,8 +46,8 @@
 	return func(p *Pool) { p.dial = dial }
 }
 
-// WithMaxIdle sets the maximum number of idle connections.
-func WithMaxIdle(n int) Option {
+// WithMaxIdleConns sets the maximum number of idle connections.
+func WithMaxIdleConns(n int) Option {
 	return func(p *Pool) { p.idle.limit = n }
 }
 
@@ -77,18 +77,18 @@
 	return p
 }
 
-// Counts holds the statistics of a pool for metrics and state dumps: the open and idle
+// Stats holds the statistics of a pool for metrics and state dumps: the open and idle
 // connections now, and the dials and the connections discarded after an exchange so far.
-type Counts struct {
+type Stats struct {
 	Open     int64 `json:"open"`
 	Idle     int   `json:"idle"`
 	Dials    int64 `json:"dials"`
 	Discards int64 `json:"discards"`
 }
 
-// Counts returns the current statistics of the pool.
-func (p *Pool) Counts() Counts {
-	return Counts{Open: p.open.Load(), Idle: p.idle.len(), Dials: p.dials.Load(), Discards: p.discards.Load()}
+// Stats returns the current statistics of the pool.
+func (p *Pool) Stats() Stats {
+	return Stats{Open: p.open.Load(), Idle: p.idle.len(), Dials: p.dials.Load(), Discards: p.discards.Load()}
 }
 
 // Close closes the idle connections. Exchanges in progress continue, and their
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -150,7 +150,7 @@
 func (n *Node) newCallerServer(r *relay.Relay) *caller.Server {
 	opts := []caller.Option{caller.WithLogger(n.logger)}
 	if m := n.settings.Load().MemoryMB; m > 0 {
-		opts = append(opts, caller.WithBodyMemory(m<<20/bodyMemoryDivisor))
+		opts = append(opts, caller.WithMaxBodyMemory(m<<20/bodyMemoryDivisor))
 	}
 	return caller.NewServer(n.handle, r.Limits, opts...)
 }
--- a/core/node/shutdown.go
+++ b/core/node/shutdown.go
@@ -13,12 +13,12 @@
 	began := time.Now()
 	n.leaving.Store(true)
 	n.roster.SetStatus(false, true)
-	_ = n.logger.Log("msg", "leaving", "busy", n.callerServer.Busy(), "connections", n.callerServer.Connections())
+	_ = n.logger.Log("msg", "leaving", "busy", n.callerServer.PendingRequests(), "connections", n.callerServer.OpenConnections())
 	n.gossip.SendHeartbeat()
 	n.callerServer.Drain()
 	d := &callerDrain{node: n, began: began}
 	d.wait(ctx)
-	_ = n.logger.Log("msg", "stopped", "after", time.Since(began), "cut", n.callerServer.Busy())
+	_ = n.logger.Log("msg", "stopped", "after", time.Since(began), "cut", n.callerServer.PendingRequests())
 	return n.app.Stop(ctx)
 }
 
@@ -61,5 +61,5 @@
 	if elapsed >= d.node.settings.Load().ShutdownTimeout()-killMargin {
 		return true
 	}
-	return elapsed >= lookupDrainTime && d.node.callerServer.Busy() == 0
+	return elapsed >= lookupDrainTime && d.node.callerServer.PendingRequests() == 0
 }
--- a/core/node/start.go
+++ b/core/node/start.go
@@ -138,7 +138,7 @@
 
 // handle answers a request. After an outage of all daemons, callers are back before
 // the first daemon has read the store, so requests wait a moment for it.
-func (n *Node) handle(ctx context.Context, req *caller.Request) *caller.Answer {
+func (n *Node) handle(ctx context.Context, req *caller.Request) *caller.Response {
 	if !n.initialized.isSet() {
 		n.initialized.wait(ctx, n.startedAt.Add(startupHold))
 	}
--- a/core/node/start_test.go
+++ b/core/node/start_test.go
@@ -28,7 +28,7 @@
 func handleAfter(n *Node, delay time.Duration) (status int, took time.Duration) {
 	time.Sleep(delay)
 	began := time.Now()
-	a := n.handle(context.Background(), &caller.Request{Method: http.MethodGet, Target: "/x", Header: http.Header{}, Received: began})
+	a := n.handle(context.Background(), &caller.Request{Method: http.MethodGet, RequestURI: "/x", Header: http.Header{}, ReceivedAt: began})
 	return a.Status, time.Since(began)
 }
 
--- a/core/node/state.go
+++ b/core/node/state.go
@@ -23,8 +23,8 @@
 	n.stateDump.Add("targets", func() any { return n.targetState() })
 	n.stateDump.Add("budget", func() any { return n.budgetState() })
 	n.metrics.Gauge("gossip_events_dropped", n.gossip.Dropped)
-	n.metrics.Gauge("caller_connections", func() int64 { return int64(n.callerServer.Connections()) })
-	n.metrics.Gauge("caller_requests_open", func() int64 { return int64(n.callerServer.Busy()) })
+	n.metrics.Gauge("caller_connections", func() int64 { return int64(n.callerServer.OpenConnections()) })
+	n.metrics.Gauge("caller_requests_open", func() int64 { return int64(n.callerServer.PendingRequests()) })
 }
 
 func (n *Node) storeState() storeState {
--- a/core/proxy/attempt.go
+++ b/core/proxy/attempt.go
@@ -125,7 +125,7 @@
 
 // endingOf returns the ending of an attempt that failed with err.
 func endingOf(err error) retry.Ending {
-	var f *link.Failure
+	var f *link.Error
 	if !errors.As(err, &f) {
 		return retry.NoResponse
 	}
@@ -289,7 +289,7 @@
 // timeoutResult returns TimedOut, or Cancelled if the attempt had too little time
 // to count as a failure of the target.
 func (a *attempt) timeoutResult(latency time.Duration) detect.Result {
-	expected := a.upstream.limiter.Expected(a.in.route.Kind)
+	expected := a.upstream.limiter.ExpectedServiceTime(a.in.route.Kind)
 	if expected > 0 && latency < timeoutFailureFactor*expected {
 		return detect.Cancelled
 	}
--- a/core/proxy/exchange.go
+++ b/core/proxy/exchange.go
@@ -52,8 +52,8 @@
 }
 
 // slotRequest returns the request for a slot at a target that was not tried yet.
-func (f *forwarder) slotRequest() limit.Ask {
-	return limit.Ask{
+func (f *forwarder) slotRequest() limit.Request {
+	return limit.Request{
 		Workspace:  f.in.workspace,
 		Kind:       f.in.route.Kind,
 		Idempotent: f.in.route.Idempotent,
@@ -133,7 +133,7 @@
 	if !f.in.route.Idempotent || attemptsLeft <= 1 {
 		return timeLeft
 	}
-	share := max(timeLeft/time.Duration(attemptsLeft), minTimeoutFactor*f.upstream.limiter.Expected(f.in.route.Kind))
+	share := max(timeLeft/time.Duration(attemptsLeft), minTimeoutFactor*f.upstream.limiter.ExpectedServiceTime(f.in.route.Kind))
 	return min(timeLeft, share)
 }
 
@@ -146,7 +146,7 @@
 		Ending:         res.ending,
 		EarlierOutcome: f.outcome,
 		Deadline:       f.in.deadline,
-		ServiceTime:    f.upstream.limiter.Expected(f.in.route.Kind),
+		ServiceTime:    f.upstream.limiter.ExpectedServiceTime(f.in.route.Kind),
 	}, f.upstream.budget, now)
 	if d.Retry && !f.in.buffered {
 		// A streamed body has been read from the caller and cannot be sent again.
--- a/core/proxy/hedge.go
+++ b/core/proxy/hedge.go
@@ -108,7 +108,7 @@
 		Started:     r.started,
 		Copies:      len(r.cancels),
 		Deadline:    f.in.deadline,
-		ServiceTime: f.upstream.limiter.Expected(f.in.route.Kind),
+		ServiceTime: f.upstream.limiter.ExpectedServiceTime(f.in.route.Kind),
 	}, f.upstream.budget, time.Now())
 	if !h.Send {
 		return h.Wait
--- a/core/proxy/proxy_test.go
+++ b/core/proxy/proxy_test.go
@@ -231,7 +231,7 @@
 		resp := tr.do("GET", "/stock", nil, nil)
 		_, err := io.ReadAll(resp.Body)
 		Expect(err).To(MatchError(io.ErrUnexpectedEOF))
-		Eventually(func() int { return len(tr.carrier.Gate().InFlight()) }).WithTimeout(10 * time.Second).Should(BeZero())
+		Eventually(func() int { return len(tr.carrier.Gate().MeanLoads()) }).WithTimeout(10 * time.Second).Should(BeZero())
 	})
 
 	It("streams a large request body and refuses one that is too large", func() {
@@ -253,7 +253,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		defer resp.Body.Close()
 		Expect(resp.StatusCode).To(Equal(http.StatusBadRequest))
-		Expect(tr.carrier.Gate().InFlight()).To(BeEmpty())
+		Expect(tr.carrier.Gate().MeanLoads()).To(BeEmpty())
 	})
 
 	It("hedges a slow request within the retry budget", func() {
@@ -266,7 +266,7 @@
 			resp := tr.do("GET", "/stock", nil, nil)
 			Expect(resp.StatusCode).To(Equal(200))
 		}
-		Eventually(func() int { return len(tr.carrier.Gate().InFlight()) }).WithTimeout(10 * time.Second).Should(BeZero())
+		Eventually(func() int { return len(tr.carrier.Gate().MeanLoads()) }).WithTimeout(10 * time.Second).Should(BeZero())
 	})
 
 	It("responds with the addresses of a service", func() {
--- a/core/proxy/upstream.go
+++ b/core/proxy/upstream.go
@@ -21,7 +21,7 @@
 type Carrier struct {
 	self     fleet.VM
 	routing  atomic.Pointer[routingSnapshot]
-	limiter  *limit.Gate
+	limiter  *limit.Limiter
 	recorder *detect.Recorder
 	budget   *retry.TokenBudget
 	dial     func(ctx context.Context, network, address string) (net.Conn, error)
@@ -100,7 +100,7 @@
 }
 
 // Gate returns the concurrency limiter of the service.
-func (c *Carrier) Gate() *limit.Gate {
+func (c *Carrier) Gate() *limit.Limiter {
 	return c.limiter
 }
 
@@ -133,7 +133,7 @@
 		c.budget.SetRatio(service.Policy.RetryBudget)
 	}
 	c.routing.Store(next)
-	c.limiter.Update(&limit.Snapshot{Targets: states, QueueLength: service.Policy.QueueLength, Members: members})
+	c.limiter.Update(&limit.Snapshot{Targets: states, QueueLength: service.Policy.QueueLength, DataCentres: members})
 	old.closeUnused(next)
 }
 
@@ -148,7 +148,7 @@
 	if pool, ok := old.pools[t.ID]; ok && old.targets[t.ID].Address == t.Address {
 		return pool
 	}
-	return link.NewPool(t.Address, link.WithDial(c.dial), link.WithMaxIdle(maxIdlePerSlot*max(1, t.Slots)))
+	return link.NewPool(t.Address, link.WithDial(c.dial), link.WithMaxIdleConns(maxIdlePerSlot*max(1, t.Slots)))
 }
 
 // closeUnused closes the pools that next does not use any more.
@@ -178,21 +178,21 @@
 
 // CarrierState is the state of a Carrier for the state dump.
 type CarrierState struct {
-	Connections map[fleet.TargetID]link.Counts `json:"connections"`
-	Gate        limit.Stats                    `json:"gate"`
-	Retries     retry.TokenBudgetStats         `json:"retries"`
+	Connections map[fleet.TargetID]link.Stats `json:"connections"`
+	Gate        limit.Stats                   `json:"gate"`
+	Retries     retry.TokenBudgetStats        `json:"retries"`
 }
 
 // State returns the current state for the state dump.
 func (c *Carrier) State() CarrierState {
 	pools := c.routing.Load().pools
 	s := CarrierState{
-		Connections: make(map[fleet.TargetID]link.Counts, len(pools)),
+		Connections: make(map[fleet.TargetID]link.Stats, len(pools)),
 		Gate:        c.limiter.Stats(),
 		Retries:     c.budget.Stats(),
 	}
 	for id, pool := range pools {
-		s.Connections[id] = pool.Counts()
+		s.Connections[id] = pool.Stats()
 	}
 	return s
 }
--- a/core/relay/attempt.go
+++ b/core/relay/attempt.go
@@ -97,20 +97,20 @@
 
 // buildMessage returns the request for the target: that of the caller with the time
 // left and the expected target instance in its header.
-func (t *attempt) buildMessage() *link.Message {
+func (t *attempt) buildMessage() *link.RawRequest {
 	x := t.exchange
 	names := &x.relay.headers
 	h := x.header.Clone()
 	left := max(time.Until(x.deadline).Milliseconds(), 1)
 	h.Set(names.Deadline, strconv.FormatInt(left, 10))
 	h.Set(names.ExpectInstance, t.grant.Target.ID)
-	return &link.Message{
-		Method: x.request.Method,
-		Target: x.request.Target,
-		Host:   x.request.Host,
-		Header: h,
-		Body:   x.request.Body,
-		Owns: func(r *http.Response) bool {
+	return &link.RawRequest{
+		Method:     x.request.Method,
+		RequestURI: x.request.RequestURI,
+		Host:       x.request.Host,
+		Header:     h,
+		Body:       x.request.Body,
+		Matches: func(r *http.Response) bool {
 			id := r.Header.Get(names.RequestID)
 			return id == x.id || id == "" && r.StatusCode >= http.StatusBadRequest
 		},
@@ -121,7 +121,7 @@
 // separates requests that were certainly not sent from those that a target may run.
 func (t *attempt) classifyError(err error) *result {
 	r := &result{attempt: t, observation: judge.Broken, kind: fault.TargetProtocol, err: err}
-	var f *link.Failure
+	var f *link.Error
 	if !errors.As(err, &f) {
 		return r
 	}
--- a/core/relay/error.go
+++ b/core/relay/error.go
@@ -21,13 +21,13 @@
 
 // errorResponse returns the response for a failure that the relay itself reports,
 // as opposed to a failure response of a target. A 503 has a Retry-After header.
-func errorResponse(kind fault.Kind) *caller.Answer {
+func errorResponse(kind fault.Kind) *caller.Response {
 	info := kind.Response()
 	status := info.Status
 	if http.StatusText(status) == "" {
 		status = http.StatusBadGateway
 	}
-	a := caller.Text(status, info.Name+"\n")
+	a := caller.TextResponse(status, info.Name+"\n")
 	if status == http.StatusServiceUnavailable {
 		wait := minRetryAfter + rand.N(retryAfterJitter)
 		a.Header.Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
--- a/core/relay/exchange.go
+++ b/core/relay/exchange.go
@@ -61,7 +61,7 @@
 
 // run makes attempts until there is a response for the caller or no further attempt
 // is allowed.
-func (x *exchange) run(ctx context.Context) *caller.Answer {
+func (x *exchange) run(ctx context.Context) *caller.Response {
 	defer x.finish()
 	deadlineTimer := time.NewTimer(time.Until(x.deadline) + deadlineGrace)
 	defer deadlineTimer.Stop()
@@ -133,7 +133,7 @@
 	if x.route.Objective == 0 {
 		return time.Time{}
 	}
-	return x.request.Received.Add(x.route.Objective)
+	return x.request.ReceivedAt.Add(x.route.Objective)
 }
 
 // deliver passes the result of an attempt to run. A response that arrives after the
--- a/core/relay/expire_test.go
+++ b/core/relay/expire_test.go
@@ -19,7 +19,7 @@
 func expiredExchange(notRun bool) *exchange {
 	x := &exchange{
 		relay:      New("a", Headers{}),
-		request:    &caller.Request{Received: time.Now()},
+		request:    &caller.Request{ReceivedAt: time.Now()},
 		route:      &route.Route{MaxAttempts: 1},
 		targetPool: sched.NewPool("orders", "a"),
 		results:    make(chan *result, 1),
--- a/core/relay/large_test.go
+++ b/core/relay/large_test.go
@@ -104,21 +104,21 @@
 }
 
 // sendRequest sends a request through the relay and returns the response to the caller.
-func sendRequest(ctx context.Context, r *relay.Relay) *caller.Answer {
+func sendRequest(ctx context.Context, r *relay.Relay) *caller.Response {
 	return r.Handle(ctx, &caller.Request{
-		Method: http.MethodGet, Target: "/1", Host: host, Received: time.Now(),
+		Method: http.MethodGet, RequestURI: "/1", Host: host, ReceivedAt: time.Now(),
 		Header: http.Header{"Id": {"own"}},
 	})
 }
 
 // readAll reads a response as its caller does, releases it and returns its length.
-func readAll(g *WithT, a *caller.Answer) (int, error) {
-	defer a.Done()
-	if a.Rest == nil {
+func readAll(g *WithT, a *caller.Response) (int, error) {
+	defer a.Release()
+	if a.UnreadBody == nil {
 		return len(a.Body), nil
 	}
-	defer a.Rest.Close()
-	rest, err := io.ReadAll(a.Rest)
+	defer a.UnreadBody.Close()
+	rest, err := io.ReadAll(a.UnreadBody)
 	return len(a.Body) + len(rest), err
 }
 
@@ -130,15 +130,15 @@
 		a := &largeTarget{}
 		r := a.newRelay(relay.WithResponseMemory(largeBytes + 1))
 		first, second := sendRequest(t.Context(), r), sendRequest(t.Context(), r)
-		g.Expect(first.Rest).To(BeNil())
-		g.Expect(second.Rest).NotTo(BeNil())
-		for _, answer := range []*caller.Answer{second, first} {
+		g.Expect(first.UnreadBody).To(BeNil())
+		g.Expect(second.UnreadBody).NotTo(BeNil())
+		for _, answer := range []*caller.Response{second, first} {
 			size, err := readAll(g, answer)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(size).To(Equal(largeBytes))
 		}
 		third := sendRequest(t.Context(), r)
-		g.Expect(third.Rest).To(BeNil(), "the memory was released")
+		g.Expect(third.UnreadBody).To(BeNil(), "the memory was released")
 		_, _ = readAll(g, third)
 		r.SetTargets(nil)
 	})
@@ -155,10 +155,10 @@
 		g.Expect(a.requestCount()).To(Equal(2), "a buffered response is replaced by that of another target")
 		a.broken = false
 		buffered := sendRequest(t.Context(), r)
-		g.Expect(buffered.Rest).To(BeNil(), "failed attempts keep no memory")
+		g.Expect(buffered.UnreadBody).To(BeNil(), "failed attempts keep no memory")
 		a.broken = true
 		streamed := sendRequest(t.Context(), r)
-		g.Expect(streamed.Rest).NotTo(BeNil())
+		g.Expect(streamed.UnreadBody).NotTo(BeNil())
 		_, err := readAll(g, streamed)
 		g.Expect(err).To(HaveOccurred())
 		_, _ = readAll(g, buffered)
--- a/core/relay/pools.go
+++ b/core/relay/pools.go
@@ -51,7 +51,7 @@
 	}
 	pool := link.NewPool(t.Address, append([]link.Option{
 		link.WithDialTimeout(dialTimeout),
-		link.WithMaxIdle(maxIdleConns),
+		link.WithMaxIdleConns(maxIdleConns),
 		link.WithIdleTimeout(idleTimeout),
 	}, p.opts...)...)
 	p.byKey[key] = pool
--- a/core/relay/record.go
+++ b/core/relay/record.go
@@ -42,7 +42,7 @@
 // recordResponse records and logs the response to a caller; a non-empty reason says
 // why it is an error response of the relay.
 func (r *Relay) recordResponse(x *exchange, status int, reason string) {
-	took := time.Since(x.request.Received)
+	took := time.Since(x.request.ReceivedAt)
 	r.metrics.Histogram(stats.Label("relay_latency_ms", "service", x.service)).Update(took.Milliseconds())
 	r.metrics.Counter(stats.Label("relay_answers", "status-class", string(rune('0'+status/100))+"xx")).Inc(1)
 	fields := []any{
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -215,7 +215,7 @@
 
 // Handle forwards one request and returns the response to the caller. ctx ends when
 // the caller disconnects.
-func (r *Relay) Handle(ctx context.Context, req *caller.Request) *caller.Answer {
+func (r *Relay) Handle(ctx context.Context, req *caller.Request) *caller.Response {
 	table := r.table.Load()
 	if table == nil {
 		return r.refuse(req, fault.NotReady)
@@ -254,7 +254,7 @@
 		retryBudget:   s.retryBudget,
 		id:            req.Header.Get(r.headers.RequestID),
 		header:        withoutHopByHop(req.Header),
-		deadline:      req.Received.Add(timeout),
+		deadline:      req.ReceivedAt.Add(timeout),
 		results:       make(chan *result, match.MaxAttempts+maxUnsentAttempts),
 		granted:       make(chan *attempt, match.MaxAttempts+maxUnsentAttempts),
 		running:       map[*attempt]bool{},
@@ -263,7 +263,7 @@
 }
 
 // refuse returns the error response to a request for which no attempt is made.
-func (r *Relay) refuse(req *caller.Request, kind fault.Kind) *caller.Answer {
+func (r *Relay) refuse(req *caller.Request, kind fault.Kind) *caller.Response {
 	a := errorResponse(kind)
 	r.metrics.Counter(stats.Label("relay_refused", "kind", kind.String())).Inc(1)
 	_ = r.logger.Log("msg", "request refused", "id", req.Header.Get(r.headers.RequestID),
--- a/core/relay/result.go
+++ b/core/relay/result.go
@@ -10,7 +10,7 @@
 
 // handleResult handles the result of an attempt. It returns the response to the
 // caller, or nil if another attempt is running or was started.
-func (x *exchange) handleResult(r *result) *caller.Answer {
+func (x *exchange) handleResult(r *result) *caller.Response {
 	if r.attempt.grant != nil && !x.inFlight[r.attempt] {
 		x.tried = append(x.tried, r.attempt.grant.Target.Key)
 	}
@@ -61,7 +61,7 @@
 // finalResponse returns the response to the caller after the last attempt has failed:
 // the best failure response of a target, or else an error response that states
 // whether the request may have run.
-func (x *exchange) finalResponse() *caller.Answer {
+func (x *exchange) finalResponse() *caller.Response {
 	switch {
 	case x.best.response != nil:
 		return x.relayResponse(x.best.response)
@@ -82,7 +82,7 @@
 // attempts and waits for their results: after a pause of the process, an attempt may
 // have sent the request without the exchange having received its grant, and the
 // response must not state that such a request did not run.
-func (x *exchange) expire() *caller.Answer {
+func (x *exchange) expire() *caller.Response {
 	for t := range x.inFlight {
 		t.grant.Complete(judge.Broken, 0)
 	}
@@ -107,20 +107,20 @@
 
 // relayResponse returns a target's response as the response to the caller, unchanged
 // except for hop-by-hop headers.
-func (x *exchange) relayResponse(r *targetResponse) *caller.Answer {
+func (x *exchange) relayResponse(r *targetResponse) *caller.Response {
 	h := withoutHopByHop(r.header)
 	x.relay.sizes.add(x.route.Name, int64(len(x.request.Body))+max(r.length, int64(len(r.body))))
 	x.relay.recordResponse(x, r.status, "")
-	a := &caller.Answer{Status: r.status, Header: h, Body: r.body, Length: r.length}
+	a := &caller.Response{Status: r.status, Header: h, Body: r.body, ContentLength: r.length}
 	if r.rest != nil {
-		a.Rest = r.rest
+		a.UnreadBody = r.rest
 	}
-	a.Done = func() { r.memory.release(r.reserved) }
+	a.Release = func() { r.memory.release(r.reserved) }
 	return a
 }
 
 // fail returns an error response of the relay itself; reason goes only to the log.
-func (x *exchange) fail(kind fault.Kind, reason string) *caller.Answer {
+func (x *exchange) fail(kind fault.Kind, reason string) *caller.Response {
 	a := errorResponse(kind)
 	x.relay.recordResponse(x, a.Status, reason)
 	return a
