--- a/core/daemon/held.go
+++ b/core/daemon/held.go
@@ -17,20 +17,20 @@
 // heldRows keeps ordinary rows back, so that most reports carry news only.
 type heldRows struct {
 	reports int
-	rows    map[fleet.TargetID]detect.Row
+	rows    map[fleet.TargetID]detect.IntervalStats
 	// sent holds the latency code that the peers know of each target.
-	sent map[fleet.TargetID]detect.Code
+	sent map[fleet.TargetID]detect.LatencyCode
 }
 
 func newHeldRows() *heldRows {
-	return &heldRows{rows: map[fleet.TargetID]detect.Row{}, sent: map[fleet.TargetID]detect.Code{}}
+	return &heldRows{rows: map[fleet.TargetID]detect.IntervalStats{}, sent: map[fleet.TargetID]detect.LatencyCode{}}
 }
 
 // pick returns the rows for the next report. A row with news replaces what is
 // held of its target: older good results beside it would hide a fresh fault.
-func (h *heldRows) pick(fresh []detect.Row) []detect.Row {
+func (h *heldRows) pick(fresh []detect.IntervalStats) []detect.IntervalStats {
 	h.reports++
-	var out []detect.Row
+	var out []detect.IntervalStats
 	for _, r := range fresh {
 		if h.isOrdinary(r) {
 			h.hold(r)
@@ -53,9 +53,9 @@
 	return out
 }
 
-func (h *heldRows) hold(r detect.Row) {
+func (h *heldRows) hold(r detect.IntervalStats) {
 	if old, ok := h.rows[r.Target]; ok {
-		r = detect.MergeRows([]detect.Row{old}, []detect.Row{r})[0]
+		r = detect.MergeStats([]detect.IntervalStats{old}, []detect.IntervalStats{r})[0]
 	}
 	h.rows[r.Target] = r
 }
@@ -76,7 +76,7 @@
 	*h = *kept
 }
 
-func (h *heldRows) isOrdinary(r detect.Row) bool {
+func (h *heldRows) isOrdinary(r detect.IntervalStats) bool {
 	if r.Failures() > 0 || r.Counts[detect.Shed] > 0 || r.ProbesFailed > 0 {
 		return false
 	}
--- a/core/daemon/slope_test.go
+++ b/core/daemon/slope_test.go
@@ -30,11 +30,11 @@
 		Floor: fleet.Floor{Percent: 50}, Carriers: planCarriers, SlowStart: 10 * time.Second,
 		Detection: fleet.Detection{Window: 4 * time.Second, MinRequests: 4, FailureRatio: 0.4, SlowFactor: 3, MinObservers: 2},
 	}}
-	var rows []detect.Row
+	var rows []detect.IntervalStats
 	for i := range targets {
 		id := fleet.TargetID(fmt.Sprintf("reservas-%03d", i))
 		s.Targets = append(s.Targets, fleet.Target{ID: id, Address: "10.1.0.1:80", DataCentre: "mdp", Slots: 2})
-		rows = append(rows, detect.Row{Target: id, Counts: [8]uint32{detect.OK: 1}, Latency: 90})
+		rows = append(rows, detect.IntervalStats{Target: id, Counts: [8]uint32{detect.OK: 1}, Latency: 90})
 	}
 	w := newWatch(watchParts{self: fleet.VM{ID: "vm-0", DataCentre: "mdp"}, onAttempt: nil}, s)
 	var carriers []*fleet.VM
--- a/core/daemon/watch.go
+++ b/core/daemon/watch.go
@@ -34,7 +34,7 @@
 	sink    proxy.RouteSink
 	// reportNow tells the peers of a target that starts or ceases to leave.
 	reportNow func(fleet.ServiceID)
-	evidence  *detect.Service
+	evidence  *detect.Detector
 	ejector   *detect.Ejector
 	prober    *detect.Prober
 	leaving   *detect.LeavingTracker
@@ -46,7 +46,7 @@
 
 	mu sync.Mutex
 	// pending holds the own rows that no report has carried yet.
-	pending [][]detect.Row
+	pending [][]detect.IntervalStats
 	held    *heldRows
 	// sentEjections is the version of the row that was last sent whole.
 	sentEjections uint64
@@ -69,7 +69,7 @@
 func newWatch(p watchParts, service *fleet.Service) *watch {
 	w := &watch{
 		self:     p.self,
-		evidence: detect.NewService(service, p.self.ID),
+		evidence: detect.NewDetector(service, p.self.ID),
 		leaving:  detect.NewLeavingTracker(),
 		held:     newHeldRows(),
 		wake:     make(chan struct{}, 1),
@@ -83,11 +83,11 @@
 	w.carrier = proxy.NewCarrier(p.self, service, proxy.WithTargetDial(p.dial), proxy.WithLeavingSign(w.onResponse), proxy.WithAttempts(w.onAttempt))
 	w.ejector = detect.NewEjector(service.ID, p.incarnation, p.table,
 		detect.WithRank(w.rank),
-		detect.WithChanged(func(detect.Listing) { w.nudge() }))
+		detect.WithOnChange(func(detect.CachedRow) { w.nudge() }))
 	w.prober = detect.NewProber(service, p.probe,
 		detect.WithAssigned(w.isProber),
 		detect.WithSuspect(w.isSuspect),
-		detect.WithReport(detect.Observe(w.carrier.Recorder(), w.leaving, w.ejector)))
+		detect.WithReport(detect.NewReportFunc(w.carrier.Recorder(), w.leaving, w.ejector)))
 	return w
 }
 
@@ -180,17 +180,17 @@
 // tick judges the evidence and renews the target states.
 func (w *watch) tick(now time.Time) {
 	service := w.service.Load()
-	rows := w.carrier.Recorder().Drain()
+	rows := w.carrier.Recorder().Collect()
 	w.evidence.Add(w.self.ID, w.self.DataCentre, rows, now)
 	w.keepRows(rows)
-	w.leaving.Drains(drained(service), now)
+	w.leaving.SetDrained(drained(service), now)
 	w.leaving.Expire(now)
-	signs := w.leaving.Signs()
+	signs := w.leaving.Signals()
 	listing := w.ejector.Current()
-	w.evidence.Follow(listing.Ejections, signs, now)
+	w.evidence.SetOutOfService(listing.Ejections, signs, now)
 	verdicts := w.evidence.Assess(now)
-	w.ejector.Submit(detect.Assessment{Service: service, Verdicts: verdicts, Signs: signs, Typical: w.evidence.Typical()})
-	states := detect.States(service, listing.Ejections, signs, verdicts, w.evidence.Started(), now)
+	w.ejector.Submit(detect.Assessment{Service: service, Verdicts: verdicts, Signals: signs, MedianLatency: w.evidence.MedianLatency()})
+	states := detect.States(service, listing.Ejections, signs, verdicts, w.evidence.StartTimes(), now)
 	w.states.Store(&states)
 	w.carrier.Update(service, w.gateTargets(service, states), w.members())
 	w.carrier.Prune(now)
@@ -219,7 +219,7 @@
 const trialShare = 0.05
 
 func (w *watch) gateTargets(service *fleet.Service, states []detect.TargetState) []limit.Target {
-	unconfirmed := w.evidence.Unconfirmed()
+	unconfirmed := w.evidence.UndersampledSuspects()
 	targets := make([]limit.Target, 0, len(states))
 	for _, s := range states {
 		t := service.Targets[s.Index]
@@ -243,12 +243,12 @@
 }
 
 func (w *watch) onResponse(id fleet.TargetID, leaving bool) {
-	w.leaving.Response(id, leaving, time.Now())
+	w.leaving.RecordResponse(id, leaving, time.Now())
 }
 
 // onAttempt hands the results of requests to targets in trial to the ejector.
 func (w *watch) onAttempt(m proxy.AttemptMsg) {
-	w.ejector.Trial(m.Target, m.Result, m.Latency)
+	w.ejector.RecordTrialRequest(m.Target, m.Result, m.Latency)
 	w.sink(m)
 }
 
@@ -295,7 +295,7 @@
 	return false
 }
 
-func (w *watch) keepRows(rows []detect.Row) {
+func (w *watch) keepRows(rows []detect.IntervalStats) {
 	if len(rows) == 0 {
 		return
 	}
@@ -313,7 +313,7 @@
 	listing := w.ejector.Current()
 	report := inner.ServiceReport{
 		Service:         service.ID,
-		Leaving:         w.leaving.FirstHand(time.Now()),
+		Leaving:         w.leaving.LocallyObserved(time.Now()),
 		EjectionVersion: listing.Version,
 	}
 	for _, l := range w.carrier.Gate().MeanLoads() {
@@ -322,7 +322,7 @@
 		}
 	}
 	w.mu.Lock()
-	rows := w.held.pick(detect.MergeRows(w.pending...))
+	rows := w.held.pick(detect.MergeStats(w.pending...))
 	w.pending = nil
 	if w.sentEjections != listing.Version {
 		w.sentEjections = listing.Version
@@ -330,7 +330,7 @@
 	}
 	w.mu.Unlock()
 	if len(rows) > 0 {
-		report.Evidence = detect.EncodeRows(detect.NewRoster(service), rows)
+		report.Evidence = detect.EncodeStats(detect.NewTargetIndex(service), rows)
 	}
 	return report
 }
@@ -339,13 +339,13 @@
 func (w *watch) deliver(from fleet.VMID, dc fleet.DataCentre, report *inner.ServiceReport, now time.Time) error {
 	service := w.service.Load()
 	w.carrier.Gate().SetPeerLoads(from, loads(service, report.InFlight), now)
-	w.ejector.Hear(report.EjectionVersion)
+	w.ejector.RecordPeerVersion(report.EjectionVersion)
 	if len(report.Leaving) > 0 {
-		w.leaving.Peers(report.Leaving, now)
+		w.leaving.RecordPeerSignals(report.Leaving, now)
 		w.nudge()
 	}
 	if len(report.Ejections) > 0 {
-		if err := w.ejector.Offer(report.EjectionVersion, report.Ejections); err != nil {
+		if err := w.ejector.OfferRow(report.EjectionVersion, report.Ejections); err != nil {
 			return err
 		}
 	}
--- a/core/daemon/watch_test.go
+++ b/core/daemon/watch_test.go
@@ -27,8 +27,8 @@
 // results that are sent with a fresh failure and hide it.
 func TestHeldRowsKeepNewsFree(t *testing.T) {
 	g := NewWithT(t)
-	row := func(ok, failed uint32, latency detect.Code) []detect.Row {
-		return []detect.Row{{Target: "a", Counts: [8]uint32{detect.OK: ok, detect.Failed: failed}, Latency: latency}}
+	row := func(ok, failed uint32, latency detect.LatencyCode) []detect.IntervalStats {
+		return []detect.IntervalStats{{Target: "a", Counts: [8]uint32{detect.OK: ok, detect.Failed: failed}, Latency: latency}}
 	}
 	h := newHeldRows()
 	g.Expect(h.pick(row(1, 0, 90))).To(Equal(row(1, 0, 90)), "a latency that no peer knows is news")
--- a/core/detect/assess.go
+++ b/core/detect/assess.go
@@ -56,7 +56,7 @@
 
 // Assess evaluates all targets by the evidence up to now. It returns the
 // verdicts, the most severe first, or none if the service as a whole fails.
-func (s *Service) Assess(now time.Time) []Verdict {
+func (s *Detector) Assess(now time.Time) []Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	x := s.newEvaluation(now)
@@ -102,7 +102,7 @@
 
 // setSince fills Since of the verdicts. A target keeps its time for as long as
 // each Assess returns a verdict on it.
-func (s *Service) setSince(verdicts []Verdict, now time.Time) {
+func (s *Detector) setSince(verdicts []Verdict, now time.Time) {
 	next := make(map[fleet.TargetID]time.Time, len(verdicts))
 	s.slowTargets = map[fleet.TargetID]bool{}
 	for i := range verdicts {
--- a/core/detect/assess_test.go
+++ b/core/detect/assess_test.go
@@ -13,7 +13,7 @@
 // assessFixture holds a service with six carriers in three data centres.
 type assessFixture struct {
 	svc *fleet.Service
-	s   *Service
+	s   *Detector
 	now time.Time
 }
 
@@ -21,7 +21,7 @@
 
 func newAssessFixture(targets int) *assessFixture {
 	b := &assessFixture{svc: testService(targets), now: epoch}
-	b.s = NewService(b.svc, "vm0")
+	b.s = NewDetector(b.svc, "vm0")
 	b.s.SetCarriers(testCarriers())
 	return b
 }
@@ -38,12 +38,12 @@
 
 // addRound adds the statistics of one second for all carriers and targets: 5 OK
 // requests of 10 ms each, as changed by fill.
-func (b *assessFixture) addRound(fill func(carrier, target int, r *Row)) {
+func (b *assessFixture) addRound(fill func(carrier, target int, r *IntervalStats)) {
 	b.now = b.now.Add(time.Second)
 	for c, dc := range carrierDCs {
-		var rows []Row
+		var rows []IntervalStats
 		for i := range b.svc.Targets {
-			r := Row{Target: targetName(i), Latency: CodeOf(10 * time.Millisecond)}
+			r := IntervalStats{Target: targetName(i), Latency: LatencyCodeOf(10 * time.Millisecond)}
 			r.Counts[OK] = 5
 			fill(c, i, &r)
 			rows = append(rows, r)
@@ -52,7 +52,7 @@
 	}
 }
 
-func setFailing(r *Row, res Result) {
+func setFailing(r *IntervalStats, res Result) {
 	r.Counts[OK], r.Counts[res] = 1, 4
 }
 
@@ -71,7 +71,7 @@
 
 	DescribeTable("condemns a target that all observers find unhealthy",
 		func(res Result, cause string) {
-			b.addRound(func(_, i int, r *Row) {
+			b.addRound(func(_, i int, r *IntervalStats) {
 				if i == 2 {
 					setFailing(r, res)
 				}
@@ -88,12 +88,12 @@
 	// Guards against ejecting a target at which requests queue up for a moment
 	// because all carriers send to the target that was last reported idle.
 	It("condemns a slow target once it is slow for most of the window, and says why", func() {
-		slow := func(_, i int, r *Row) {
+		slow := func(_, i int, r *IntervalStats) {
 			if i == 2 {
-				r.Latency = CodeOf(50 * time.Millisecond)
+				r.Latency = LatencyCodeOf(50 * time.Millisecond)
 			}
 		}
-		b.addRound(func(_, _ int, r *Row) {})
+		b.addRound(func(_, _ int, r *IntervalStats) {})
 		b.addRound(slow)
 		Expect(verdicts()).To(BeEmpty())
 		b.addRound(slow)
@@ -105,14 +105,14 @@
 	})
 
 	It("gives no verdict for shed and cancelled requests", func() {
-		b.addRound(func(_, i int, r *Row) {
+		b.addRound(func(_, i int, r *IntervalStats) {
 			r.Counts[Shed], r.Counts[Cancelled] = 50, 50
 		})
 		Expect(verdicts()).To(BeEmpty())
 	})
 
 	It("only avoids a target that one observer cannot reach", func() {
-		b.addRound(func(c, i int, r *Row) {
+		b.addRound(func(c, i int, r *IntervalStats) {
 			if c == 0 && i == 2 {
 				r.Counts[OK], r.Counts[Unreachable] = 0, 5
 			}
@@ -121,7 +121,7 @@
 	})
 
 	It("does not avoid a target for two isolated failures among few requests", func() {
-		b.addRound(func(c, i int, r *Row) {
+		b.addRound(func(c, i int, r *IntervalStats) {
 			if c == 0 && i == 2 {
 				r.Counts[OK], r.Counts[Failed] = 2, 2
 			}
@@ -130,7 +130,7 @@
 	})
 
 	It("does not condemn when only observers in one data centre agree", func() {
-		b.addRound(func(c, i int, r *Row) {
+		b.addRound(func(c, i int, r *IntervalStats) {
 			if carrierDCs[c] == "pinamar" && i == 2 {
 				setFailing(r, Failed)
 			}
@@ -139,7 +139,7 @@
 	})
 
 	It("does not count observers that fail against most targets", func() {
-		b.addRound(func(c, i int, r *Row) {
+		b.addRound(func(c, i int, r *IntervalStats) {
 			if c < 3 && i < 6 {
 				setFailing(r, Unreachable)
 			}
@@ -152,19 +152,19 @@
 	})
 
 	DescribeTable("gives no verdicts when the service as a whole is",
-		func(degrade func(r *Row)) {
-			b.addRound(func(_, _ int, r *Row) { degrade(r) })
+		func(degrade func(r *IntervalStats)) {
+			b.addRound(func(_, _ int, r *IntervalStats) { degrade(r) })
 			Expect(verdicts()).To(BeEmpty())
 		},
-		Entry("failing", func(r *Row) { setFailing(r, Failed) }),
-		Entry("slow", func(r *Row) { r.Latency = CodeOf(time.Second) }),
+		Entry("failing", func(r *IntervalStats) { setFailing(r, Failed) }),
+		Entry("slow", func(r *IntervalStats) { r.Latency = LatencyCodeOf(time.Second) }),
 	)
 
 	It("gives no verdicts when all targets begin to fail and some pass the limit first", func() {
-		b.addRound(func(_, _ int, _ *Row) {})
-		b.addRound(func(_, _ int, _ *Row) {})
+		b.addRound(func(_, _ int, _ *IntervalStats) {})
+		b.addRound(func(_, _ int, _ *IntervalStats) {})
 		b.now = b.now.Add(time.Second)
-		b.addRound(func(_, i int, r *Row) {
+		b.addRound(func(_, i int, r *IntervalStats) {
 			r.Counts[OK], r.Counts[Failed] = 2, 3
 			if i < 3 {
 				r.Counts[OK], r.Counts[Failed] = 0, 12
@@ -174,7 +174,7 @@
 	})
 
 	It("gives no verdicts when most observers fail everywhere", func() {
-		b.addRound(func(c, i int, r *Row) {
+		b.addRound(func(c, i int, r *IntervalStats) {
 			if c < 4 && i < 6 {
 				setFailing(r, Failed)
 			}
@@ -183,7 +183,7 @@
 	})
 
 	It("condemns an unhealthy third of the service, the most severe first", func() {
-		b.addRound(func(_, i int, r *Row) {
+		b.addRound(func(_, i int, r *IntervalStats) {
 			if i < 3 {
 				setFailing(r, Failed)
 			}
@@ -196,7 +196,7 @@
 
 	It("assesses a target with little traffic by the long window", func() {
 		for step := range 8 {
-			b.addRound(func(c, i int, r *Row) {
+			b.addRound(func(c, i int, r *IntervalStats) {
 				r.Counts[OK] = 0
 				if i == 2 && step%4 == c%4 {
 					r.Counts[Failed] = 1
@@ -211,7 +211,7 @@
 
 	It("condemns a target of which four observers saw one failure each and nothing else", func() {
 		for round := range 4 {
-			b.addRound(func(c, i int, r *Row) {
+			b.addRound(func(c, i int, r *IntervalStats) {
 				r.Counts[OK] = 0
 				if i == 2 && c == round {
 					r.Counts[Failed] = 1
@@ -225,7 +225,7 @@
 	It("avoids a target without traffic whose probes fail, until one succeeds", func() {
 		probe := func(ok, failed uint32) {
 			b.now = b.now.Add(time.Second)
-			b.s.Add("vm3", "pinamar", []Row{{Target: "c", ProbesOK: ok, ProbesFailed: failed}}, b.now)
+			b.s.Add("vm3", "pinamar", []IntervalStats{{Target: "c", ProbesOK: ok, ProbesFailed: failed}}, b.now)
 		}
 		probe(1, 0)
 		probe(0, 1)
@@ -238,33 +238,33 @@
 	})
 
 	It("gives successful requests precedence over failed probes", func() {
-		b.addRound(func(_, _ int, r *Row) {})
-		b.s.Add("vm3", "pinamar", []Row{{Target: "c", ProbesFailed: 9}}, b.now)
+		b.addRound(func(_, _ int, r *IntervalStats) {})
+		b.s.Add("vm3", "pinamar", []IntervalStats{{Target: "c", ProbesFailed: 9}}, b.now)
 		Expect(verdicts()).To(BeEmpty())
 	})
 
 	It("drops the evidence against a target from before it came back", func() {
-		b.addRound(func(_, i int, r *Row) {
+		b.addRound(func(_, i int, r *IntervalStats) {
 			if i == 2 {
 				setFailing(r, Failed)
 			}
 		})
 		listed := Ejections{Entries: []Ejection{{Target: "c"}}}
-		b.s.Follow(listed, nil, b.now)
+		b.s.SetOutOfService(listed, nil, b.now)
 		Expect(verdicts()).To(BeEmpty())
-		b.s.Follow(Ejections{}, nil, b.now)
+		b.s.SetOutOfService(Ejections{}, nil, b.now)
 		Expect(verdicts()).To(BeEmpty())
-		Expect(b.s.Started()).To(HaveKey(fleet.TargetID("c")))
+		Expect(b.s.StartTimes()).To(HaveKey(fleet.TargetID("c")))
 	})
 
 	It("condemns a slow target that gets too few requests for one observer to judge", func() {
 		for range 3 {
-			b.addRound(func(_, _ int, _ *Row) {})
+			b.addRound(func(_, _ int, _ *IntervalStats) {})
 		}
 		for range 6 {
-			b.addRound(func(c, i int, r *Row) {
+			b.addRound(func(c, i int, r *IntervalStats) {
 				if i == 2 {
-					r.Counts[OK], r.Latency = 0, CodeOf(80*time.Millisecond)
+					r.Counts[OK], r.Latency = 0, LatencyCodeOf(80*time.Millisecond)
 					if c%2 == int(b.now.Unix()%2) {
 						r.Counts[OK] = 1
 					}
@@ -280,7 +280,7 @@
 	// target and contradicting it.
 	It("keeps counting observers that find an avoided target healthy", func() {
 		round := 0
-		oneWay := func(c, i int, r *Row) {
+		oneWay := func(c, i int, r *IntervalStats) {
 			if i != 2 {
 				return
 			}
@@ -300,11 +300,11 @@
 	})
 
 	It("weighs slowness less while a target starts", func() {
-		b.s.Follow(Ejections{}, LeavingSignals{"c": {}}, b.now)
-		b.s.Follow(Ejections{}, nil, b.now)
-		slow := func(_, i int, r *Row) {
+		b.s.SetOutOfService(Ejections{}, LeavingSignals{"c": {}}, b.now)
+		b.s.SetOutOfService(Ejections{}, nil, b.now)
+		slow := func(_, i int, r *IntervalStats) {
 			if i == 2 {
-				r.Latency = CodeOf(60 * time.Millisecond)
+				r.Latency = LatencyCodeOf(60 * time.Millisecond)
 			}
 		}
 		b.addRound(slow)
@@ -319,13 +319,13 @@
 	// Guards against evidence that counts against the wrong target, because two
 	// daemons number the targets differently while settings change.
 	It("reads rows of the present and the previous target list only", func() {
-		old := EncodeRows(NewRoster(b.svc), []Row{{Target: "c", ProbesFailed: 3}})
+		old := EncodeStats(NewTargetIndex(b.svc), []IntervalStats{{Target: "c", ProbesFailed: 3}})
 		grown := testService(10)
 		b.s.Update(grown, b.now)
 		Expect(b.s.AddWire("vm3", "pinamar", old, b.now)).To(Succeed())
 		Expect(verdicts()).To(Equal([]string{"avoid c probes-failing"}))
-		Expect(b.s.AddWire("vm3", "pinamar", EncodeRows(NewRoster(testService(4)), nil), b.now)).NotTo(Succeed())
-		states := States(grown, NewEjections(grown.ID), nil, b.s.Assess(b.now), b.s.Started(), b.now.Add(5*time.Second))
+		Expect(b.s.AddWire("vm3", "pinamar", EncodeStats(NewTargetIndex(testService(4)), nil), b.now)).NotTo(Succeed())
+		states := States(grown, NewEjections(grown.ID), nil, b.s.Assess(b.now), b.s.StartTimes(), b.now.Add(5*time.Second))
 		Expect(stateOf(states, "c")).To(Equal(Avoided))
 		Expect(states[9].State).To(Equal(SlowStart), "a target that joins starts slowly")
 		Expect(states[9].Weight).To(BeNumerically("~", 0.55, 0.001))
--- a/core/detect/benchmark_test.go
+++ b/core/detect/benchmark_test.go
@@ -22,7 +22,7 @@
 			e := newAssessFixture(benchmarkTargets)
 			e.svc.Policy.Detection = p.preset
 			for range int(longWindowFactor * p.preset.Window / time.Second) {
-				e.addRound(func(_, i int, r *Row) {
+				e.addRound(func(_, i int, r *IntervalStats) {
 					if i == 2 {
 						r.Counts[Failed] = 1
 					}
@@ -52,7 +52,7 @@
 func BenchmarkRowBytes(b *testing.B) {
 	svc := testService(benchmarkTargets)
 	r := NewRecorder(svc)
-	index := NewRoster(svc)
+	index := NewTargetIndex(svc)
 	var size int
 	for b.Loop() {
 		for i := range svc.Targets {
@@ -61,7 +61,7 @@
 			}
 		}
 		r.RecordProbe("c", OK, 25*time.Millisecond)
-		size = len(EncodeRows(index, r.Drain()))
+		size = len(EncodeStats(index, r.Collect()))
 	}
 	b.ReportMetric(float64(size)/benchmarkTargets, "bytes/target")
 }
--- a/core/detect/detector.go
+++ b/core/detect/detector.go
@@ -15,10 +15,10 @@
 // requests, stays avoided for as long.
 const longWindowFactor = 10
 
-// Service assesses the targets of one service by the evidence of all its
+// Detector assesses the targets of one service by the evidence of all its
 // carriers. Its methods may be called concurrently; none of them is on the
 // request path.
-type Service struct {
+type Detector struct {
 	self fleet.VMID
 
 	mu            sync.Mutex
@@ -44,9 +44,9 @@
 	medianLatency time.Duration
 }
 
-// NewService returns a Service without evidence; self is the VM of this daemon.
-func NewService(svc *fleet.Service, self fleet.VMID) *Service {
-	s := &Service{
+// NewDetector returns a Service without evidence; self is the VM of this daemon.
+func NewDetector(svc *fleet.Service, self fleet.VMID) *Detector {
+	s := &Detector{
 		self:         self,
 		carriers:     map[fleet.VMID]fleet.DataCentre{},
 		observers:    map[fleet.VMID]*observer{},
@@ -57,13 +57,13 @@
 		suspects:     map[fleet.TargetID]bool{},
 	}
 	s.svc = svc
-	s.targetIndex = NewRoster(svc)
+	s.targetIndex = NewTargetIndex(svc)
 	s.previousIndex = s.targetIndex
 	return s
 }
 
 // Update replaces the settings. Targets that are new to the list start slowly.
-func (s *Service) Update(svc *fleet.Service, now time.Time) {
+func (s *Detector) Update(svc *fleet.Service, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	known := map[fleet.TargetID]bool{}
@@ -86,14 +86,14 @@
 		}
 	}
 	s.svc = svc
-	if next := NewRoster(svc); next.digest != s.targetIndex.digest {
+	if next := NewTargetIndex(svc); next.digest != s.targetIndex.digest {
 		s.previousIndex, s.targetIndex = s.targetIndex, next
 	}
 }
 
 // SetCarriers sets which VMs carry the service, and their data centres.
 // Evidence of other observers is dropped.
-func (s *Service) SetCarriers(carriers map[fleet.VMID]fleet.DataCentre) {
+func (s *Detector) SetCarriers(carriers map[fleet.VMID]fleet.DataCentre) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.carriers = carriers
@@ -104,10 +104,10 @@
 	}
 }
 
-// Follow sets which targets are ejected, in trial or leaving. These are not
+// SetOutOfService sets which targets are ejected, in trial or leaving. These are not
 // assessed. When a target comes back, its old evidence is dropped and it is in
 // slow start, during which slowness weighs less.
-func (s *Service) Follow(ej Ejections, signals LeavingSignals, now time.Time) {
+func (s *Detector) SetOutOfService(ej Ejections, signals LeavingSignals, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	outOfService := map[fleet.TargetID]bool{}
@@ -127,12 +127,12 @@
 
 // markStarted begins the slow start of a target, without the evidence from
 // before.
-func (s *Service) markStarted(id fleet.TargetID, now time.Time) {
+func (s *Detector) markStarted(id fleet.TargetID, now time.Time) {
 	s.dropEvidence(id)
 	s.started[id] = now
 }
 
-func (s *Service) dropEvidence(id fleet.TargetID) {
+func (s *Detector) dropEvidence(id fleet.TargetID) {
 	for _, o := range s.observers {
 		delete(o.series, id)
 	}
@@ -141,9 +141,9 @@
 	delete(s.suspects, id)
 }
 
-// Started returns when targets last came up, were added or returned to service;
+// StartTimes returns when targets last came up, were added or returned to service;
 // States derives slow start from it.
-func (s *Service) Started() map[fleet.TargetID]time.Time {
+func (s *Detector) StartTimes() map[fleet.TargetID]time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[fleet.TargetID]time.Time, len(s.started))
@@ -155,7 +155,7 @@
 
 // Add adds the statistics of one observer, which may be this daemon itself. An
 // observer that this daemon can hear but not reach counts like any other.
-func (s *Service) Add(observer fleet.VMID, dc fleet.DataCentre, stats []Row, now time.Time) {
+func (s *Detector) Add(observer fleet.VMID, dc fleet.DataCentre, stats []IntervalStats, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.add(observer, dc, stats, now)
@@ -164,12 +164,12 @@
 // AddWire adds statistics in wire form. Data encoded with a target list that is
 // neither the present nor the previous one is rejected with
 // fault.MessageInvalid, since its positions could stand for other targets.
-func (s *Service) AddWire(observer fleet.VMID, dc fleet.DataCentre, data []byte, now time.Time) error {
+func (s *Detector) AddWire(observer fleet.VMID, dc fleet.DataCentre, data []byte, now time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	stats, err := DecodeRows(s.targetIndex, data)
+	stats, err := DecodeStats(s.targetIndex, data)
 	if err != nil && fault.Is(err, fault.MessageInvalid) {
-		if older, olderErr := DecodeRows(s.previousIndex, data); olderErr == nil {
+		if older, olderErr := DecodeStats(s.previousIndex, data); olderErr == nil {
 			stats, err = older, nil
 		}
 	}
@@ -180,7 +180,7 @@
 	return nil
 }
 
-func (s *Service) add(id fleet.VMID, dc fleet.DataCentre, stats []Row, now time.Time) {
+func (s *Detector) add(id fleet.VMID, dc fleet.DataCentre, stats []IntervalStats, now time.Time) {
 	o := s.observers[id]
 	if o == nil {
 		o = &observer{id: id, series: map[fleet.TargetID]*series{}}
@@ -201,7 +201,7 @@
 	}
 }
 
-func (s *Service) hasTarget(id fleet.TargetID) bool {
+func (s *Detector) hasTarget(id fleet.TargetID) bool {
 	for i := range s.svc.Targets {
 		if s.svc.Targets[i].ID == id {
 			return true
@@ -210,9 +210,9 @@
 	return false
 }
 
-// Typical returns the median latency over the targets as of the last Assess, or
+// MedianLatency returns the median latency over the targets as of the last Assess, or
 // 0 if it is unknown.
-func (s *Service) Typical() time.Duration {
+func (s *Detector) MedianLatency() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.medianLatency
@@ -220,7 +220,7 @@
 
 // Suspects returns the targets that need closer observation as of the last
 // Assess. They are probed and reported on every second.
-func (s *Service) Suspects() map[fleet.TargetID]bool {
+func (s *Detector) Suspects() map[fleet.TargetID]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[fleet.TargetID]bool, len(s.suspects))
@@ -230,11 +230,11 @@
 	return out
 }
 
-// Unconfirmed returns the suspects for which this daemon has too little
+// UndersampledSuspects returns the suspects for which this daemon has too little
 // evidence of its own, as of the last Assess. Daemons use targets of their own
 // data centre first, so without a few requests to these targets the observers
 // in other data centres could never agree or disagree.
-func (s *Service) Unconfirmed() map[fleet.TargetID]bool {
+func (s *Detector) UndersampledSuspects() map[fleet.TargetID]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.undersampled)
--- a/core/detect/ejector.go
+++ b/core/detect/ejector.go
@@ -42,27 +42,27 @@
 	jitterFraction = 0.2
 )
 
-// Listing is a daemon's copy of the row.
-type Listing struct {
+// CachedRow is a daemon's copy of the row.
+type CachedRow struct {
 	Ejections
 	// Version is the version of the table row; 0 means that the row does not
 	// exist.
 	Version uint64
 	// Value is the row value as read, which is passed on to peers.
 	Value []byte
-	// Read is when the row was read or received from a peer; it is zero until
+	// ReadAt is when the row was read or received from a peer; it is zero until
 	// then.
-	Read time.Time
+	ReadAt time.Time
 }
 
 // Assessment is what a daemon submits to its Ejector after each call of Assess.
 type Assessment struct {
 	Service  *fleet.Service
 	Verdicts []Verdict
-	Signs    LeavingSignals
-	// Typical is the median latency over the targets, against which the latency
+	Signals  LeavingSignals
+	// MedianLatency is the median latency over the targets, against which the latency
 	// of targets in trial is compared.
-	Typical time.Duration
+	MedianLatency time.Duration
 }
 
 // Ejector writes the ejections that follow from verdicts to the row of one
@@ -73,10 +73,10 @@
 	writer   fleet.Incarnation
 	table    store.Table
 	rank     func(fleet.TargetID) int
-	onChange func(Listing)
+	onChange func(CachedRow)
 	jitter   func(time.Duration) time.Duration
 
-	cached          atomic.Pointer[Listing]
+	cached          atomic.Pointer[CachedRow]
 	latest          atomic.Pointer[timedAssessment]
 	peerVersion     atomic.Uint64
 	writeCount      atomic.Uint64
@@ -113,9 +113,9 @@
 	return func(e *Ejector) { e.rank = rank }
 }
 
-// WithChanged sets a function that is called after each change of the copy of
+// WithOnChange sets a function that is called after each change of the copy of
 // the row; it must not block.
-func WithChanged(f func(Listing)) EjectorOption {
+func WithOnChange(f func(CachedRow)) EjectorOption {
 	return func(e *Ejector) { e.onChange = f }
 }
 
@@ -124,7 +124,7 @@
 	e := &Ejector{
 		service: service, writer: writer, table: table,
 		rank:            func(fleet.TargetID) int { return 0 },
-		onChange:        func(Listing) {},
+		onChange:        func(CachedRow) {},
 		jitter:          jitter,
 		operatorChanges: make(chan operatorChange),
 		wake:            make(chan struct{}, 1),
@@ -136,7 +136,7 @@
 	for _, o := range opts {
 		o(e)
 	}
-	e.cached.Store(&Listing{Ejections: NewEjections(service)})
+	e.cached.Store(&CachedRow{Ejections: NewEjections(service)})
 	return e
 }
 
@@ -151,7 +151,7 @@
 }
 
 // Current returns the copy of the row.
-func (e *Ejector) Current() Listing {
+func (e *Ejector) Current() CachedRow {
 	return *e.cached.Load()
 }
 
@@ -170,9 +170,9 @@
 	e.latest.Store(&timedAssessment{Assessment: a, at: now})
 }
 
-// Hear records the version of the row that a peer reports. A version higher
+// RecordPeerVersion records the version of the row that a peer reports. A version higher
 // than any before makes run read the row at once.
-func (e *Ejector) Hear(version uint64) {
+func (e *Ejector) RecordPeerVersion(version uint64) {
 	for {
 		old := e.peerVersion.Load()
 		if version <= old {
@@ -185,25 +185,25 @@
 	}
 }
 
-// Offer takes a version of the row, with its value, from a peer's report. A row
+// OfferRow takes a version of the row, with its value, from a peer's report. A row
 // that is not newer is ignored, and a malformed one is rejected with
 // fault.MessageInvalid.
-func (e *Ejector) Offer(version uint64, value []byte) error {
+func (e *Ejector) OfferRow(version uint64, value []byte) error {
 	j, err := DecodeEjections(e.service, value)
 	if err != nil {
 		return err
 	}
-	e.cacheIfNewer(Listing{Ejections: j, Version: version, Value: value, Read: time.Now()})
+	e.cacheIfNewer(CachedRow{Ejections: j, Version: version, Value: value, ReadAt: time.Now()})
 	return nil
 }
 
-// Trial records the result of a request to a target in trial.
-func (e *Ejector) Trial(id fleet.TargetID, res Result, latency time.Duration) {
+// RecordTrialRequest records the result of a request to a target in trial.
+func (e *Ejector) RecordTrialRequest(id fleet.TargetID, res Result, latency time.Duration) {
 	e.trials.recordRequest(id, res, latency)
 }
 
-// TrialProbe records the result of a probe of a target in trial.
-func (e *Ejector) TrialProbe(id fleet.TargetID, res Result) {
+// RecordTrialProbe records the result of a probe of a target in trial.
+func (e *Ejector) RecordTrialProbe(id fleet.TargetID, res Result) {
 	e.trials.recordProbe(id, res)
 }
 
@@ -216,7 +216,7 @@
 		if a == nil {
 			return j, fault.New(fault.NotReady, "service %s is not assessed yet", e.service)
 		}
-		return j.EjectByHand(a.Service, a.Signs, id, operator, reason, time.Now())
+		return j.EjectByHand(a.Service, a.Signals, id, operator, reason, time.Now())
 	})
 }
 
@@ -259,14 +259,14 @@
 
 // cacheIfNewer replaces the copy of the row if l is newer, and reports whether it
 // was.
-func (e *Ejector) cacheIfNewer(l Listing) bool {
+func (e *Ejector) cacheIfNewer(l CachedRow) bool {
 	for {
 		old := e.cached.Load()
-		if !old.Read.IsZero() && l.Version <= old.Version {
+		if !old.ReadAt.IsZero() && l.Version <= old.Version {
 			return false
 		}
 		if e.cached.CompareAndSwap(old, &l) {
-			e.trials.update(l.Ejections, l.Read)
+			e.trials.update(l.Ejections, l.ReadAt)
 			e.onChange(l)
 			return true
 		}
--- a/core/detect/ejector_run.go
+++ b/core/detect/ejector_run.go
@@ -34,7 +34,7 @@
 // applyOperatorChange writes a change for an operator. It reads the row first
 // if the copy is missing or stale.
 func (e *Ejector) applyOperatorChange(c operatorChange) error {
-	if e.cached.Load().Read.IsZero() || e.stale {
+	if e.cached.Load().ReadAt.IsZero() || e.stale {
 		if err := e.read(c.ctx, time.Now()); err != nil {
 			return err
 		}
@@ -70,7 +70,7 @@
 	}
 	a := &latest.Assessment
 	if now.Sub(latest.at) > maxAssessmentAge {
-		a = &Assessment{Service: a.Service, Signs: a.Signs, Typical: a.Typical}
+		a = &Assessment{Service: a.Service, Signals: a.Signals, MedianLatency: a.MedianLatency}
 	}
 	e.trackCondemned(a, now)
 	due, first := e.dueChanges(a, now)
@@ -148,7 +148,7 @@
 		if !ok || now.Sub(since) < e.writeDelay(v.Target) {
 			continue
 		}
-		if next, err := n.Eject(a.Service, a.Signs, v, by, now); err == nil && len(next.Entries) > len(n.Entries) {
+		if next, err := n.Eject(a.Service, a.Signals, v, by, now); err == nil && len(next.Entries) > len(n.Entries) {
 			n = next
 		}
 	}
@@ -167,7 +167,7 @@
 			return next
 		}
 	case PhaseTrial:
-		passed, decided := e.trials.outcome(entry.Target, a.Service.Policy.Detection.SlowFactor, a.Typical, now)
+		passed, decided := e.trials.outcome(entry.Target, a.Service.Policy.Detection.SlowFactor, a.MedianLatency, now)
 		if !decided {
 			return n
 		}
@@ -194,7 +194,7 @@
 	row, err := e.table.Get(ctx, RowKey(e.service))
 	switch {
 	case fault.Is(err, fault.RowMissing):
-		e.cached.CompareAndSwap(before, &Listing{Ejections: NewEjections(e.service), Read: now})
+		e.cached.CompareAndSwap(before, &CachedRow{Ejections: NewEjections(e.service), ReadAt: now})
 	case err != nil:
 		return err
 	default:
@@ -202,7 +202,7 @@
 		if err != nil {
 			return err
 		}
-		e.cacheIfNewer(Listing{Ejections: j, Version: row.Version, Value: row.Value, Read: now})
+		e.cacheIfNewer(CachedRow{Ejections: j, Version: row.Version, Value: row.Value, ReadAt: now})
 	}
 	e.peerVersion.CompareAndSwap(reported, e.cached.Load().Version)
 	e.stale = false
--- a/core/detect/ejector_test.go
+++ b/core/detect/ejector_test.go
@@ -116,7 +116,7 @@
 
 func submitAll(es []*Ejector, svc *fleet.Service, vs ...Verdict) {
 	for _, e := range es {
-		e.Submit(Assessment{Service: svc, Verdicts: vs, Typical: 10 * time.Millisecond})
+		e.Submit(Assessment{Service: svc, Verdicts: vs, MedianLatency: 10 * time.Millisecond})
 	}
 }
 
@@ -223,16 +223,16 @@
 		time.Sleep(time.Second)
 		own := es[0].Current()
 		g.Expect(es[1].Current().Version).To(gomega.BeZero())
-		es[1].Hear(own.Version)
+		es[1].RecordPeerVersion(own.Version)
 		time.Sleep(100 * time.Millisecond)
 		g.Expect(es[1].Current().Version).To(gomega.Equal(own.Version))
 		before, _ := f.counts()
-		es[1].Hear(own.Version + 7)
+		es[1].RecordPeerVersion(own.Version + 7)
 		time.Sleep(refreshInterval / 2)
 		after, _ := f.counts()
 		g.Expect(after-before).To(gomega.BeNumerically("<=", 2), "a version that the table does not have is forgotten")
-		g.Expect(es[1].Offer(9, []byte(`{"service":"x"}`))).NotTo(gomega.Succeed())
-		g.Expect(es[1].Offer(own.Version-1, own.Value)).To(gomega.Succeed())
+		g.Expect(es[1].OfferRow(9, []byte(`{"service":"x"}`))).NotTo(gomega.Succeed())
+		g.Expect(es[1].OfferRow(own.Version-1, own.Value)).To(gomega.Succeed())
 		g.Expect(es[1].Current().Version).To(gomega.Equal(own.Version))
 	})
 }
@@ -251,10 +251,10 @@
 			g.Expect(entry.Phase).To(gomega.Equal(PhaseTrial))
 		}
 		for range trialSuccesses {
-			e.Trial("a", OK, 10*time.Millisecond)
-			e.Trial("b", OK, time.Second)
+			e.RecordTrialRequest("a", OK, 10*time.Millisecond)
+			e.RecordTrialRequest("b", OK, time.Second)
 		}
-		e.TrialProbe("c", OK)
+		e.RecordTrialProbe("c", OK)
 		time.Sleep(time.Second)
 		j := e.Current().Ejections
 		states := States(svc, j, nil, nil, nil, time.Now())
@@ -263,8 +263,8 @@
 		entry, _ := j.Find("b")
 		g.Expect(entry.Period()).To(gomega.Equal(20 * time.Second))
 		g.Expect(stateOf(states, "c")).To(gomega.Equal(Trial))
-		e.TrialProbe("c", OK)
-		e.TrialProbe("c", OK)
+		e.RecordTrialProbe("c", OK)
+		e.RecordTrialProbe("c", OK)
 		time.Sleep(trialProbeGrace)
 		_, listed := e.Current().Find("c")
 		g.Expect(listed).To(gomega.BeFalse(), "probes decide where no request may be tried")
--- a/core/detect/evaluation.go
+++ b/core/detect/evaluation.go
@@ -18,7 +18,7 @@
 // evaluation is the state of one call of Assess. A target is identified by its
 // index in targets, which leaves out the targets that are not assessed.
 type evaluation struct {
-	detector        *Service
+	detector        *Detector
 	detection       fleet.Detection
 	now             time.Time
 	windowStart     time.Time
@@ -38,7 +38,7 @@
 
 // newEvaluation sums the evidence within the window, and drops observers that
 // have not reported within the long window.
-func (s *Service) newEvaluation(now time.Time) *evaluation {
+func (s *Detector) newEvaluation(now time.Time) *evaluation {
 	p := s.svc.Policy.Detection
 	x := &evaluation{detector: s, detection: p, now: now, windowStart: now.Add(-p.Window), longWindowStart: now.Add(-longWindowFactor * p.Window)}
 	for i := range s.svc.Targets {
--- a/core/detect/evidence.go
+++ b/core/detect/evidence.go
@@ -14,7 +14,7 @@
 	probesFailed   uint32
 }
 
-func (t *totals) add(r Row) {
+func (t *totals) add(r IntervalStats) {
 	for i := range r.Counts {
 		t.counts[i] += r.Counts[i]
 	}
@@ -69,7 +69,7 @@
 
 type sample struct {
 	at    time.Time
-	stats Row
+	stats IntervalStats
 }
 
 // series holds what one observer reported about one target, oldest first.
@@ -81,7 +81,7 @@
 }
 
 // add appends the statistics of one interval and drops samples older than keep.
-func (s *series) add(r Row, now time.Time, keep time.Duration) {
+func (s *series) add(r IntervalStats, now time.Time, keep time.Duration) {
 	old := 0
 	for old < len(s.samples) && now.Sub(s.samples[old].at) > keep {
 		old++
--- a/core/detect/leaving.go
+++ b/core/detect/leaving.go
@@ -72,28 +72,28 @@
 	return l
 }
 
-// Signs returns the leaving targets as of the last change or Expire.
-func (l *LeavingTracker) Signs() LeavingSignals {
+// Signals returns the leaving targets as of the last change or Expire.
+func (l *LeavingTracker) Signals() LeavingSignals {
 	return *l.signals.Load()
 }
 
-// Is reports whether the target is leaving; it takes no lock.
-func (l *LeavingTracker) Is(id fleet.TargetID) bool {
+// IsLeaving reports whether the target is leaving; it takes no lock.
+func (l *LeavingTracker) IsLeaving(id fleet.TargetID) bool {
 	_, ok := (*l.signals.Load())[id]
 	return ok
 }
 
-// Response records a target's own response. The request path calls it for every
+// RecordResponse records a target's own response. The request path calls it for every
 // response; it takes the lock only if the target was not known to be leaving.
-func (l *LeavingTracker) Response(id fleet.TargetID, leaving bool, now time.Time) {
-	if leaving && !l.Is(id) {
+func (l *LeavingTracker) RecordResponse(id fleet.TargetID, leaving bool, now time.Time) {
+	if leaving && !l.IsLeaving(id) {
 		l.set(FromResponse, id, now, now.Add(responseSignalTTL))
 	}
 }
 
-// Probe records the answer to a probe. An answer without the signal means that
+// RecordProbe records the answer to a probe. An answer without the signal means that
 // the target is back, and also ends the signal of earlier responses.
-func (l *LeavingTracker) Probe(id fleet.TargetID, leaving bool, now time.Time) {
+func (l *LeavingTracker) RecordProbe(id fleet.TargetID, leaving bool, now time.Time) {
 	if leaving {
 		l.set(FromProbe, id, now, time.Time{})
 		return
@@ -101,32 +101,32 @@
 	l.clear(now, id, FromProbe, FromResponse)
 }
 
-// Peers records the signals that one or more peers report first-hand.
-func (l *LeavingTracker) Peers(ids []fleet.TargetID, now time.Time) {
+// RecordPeerSignals records the signals that one or more peers report first-hand.
+func (l *LeavingTracker) RecordPeerSignals(ids []fleet.TargetID, now time.Time) {
 	for _, id := range ids {
 		l.set(FromPeer, id, now, now.Add(peerSignalTTL))
 	}
 }
 
-// Drains replaces the set of targets that operators drain or that the platform
+// SetDrained replaces the set of targets that operators drain or that the platform
 // lists as leaving.
-func (l *LeavingTracker) Drains(ids []fleet.TargetID, now time.Time) {
+func (l *LeavingTracker) SetDrained(ids []fleet.TargetID, now time.Time) {
 	drained := map[fleet.TargetID]bool{}
 	for _, id := range ids {
 		drained[id] = true
 		l.set(FromDrain, id, now, time.Time{})
 	}
-	for id := range l.Signs() {
+	for id := range l.Signals() {
 		if !drained[id] {
 			l.clear(now, id, FromDrain)
 		}
 	}
 }
 
-// FirstHand returns the targets whose signal this daemon saw itself. Only these
+// LocallyObserved returns the targets whose signal this daemon saw itself. Only these
 // go into reports: a signal received from peers and reported again would never
 // expire.
-func (l *LeavingTracker) FirstHand(now time.Time) []fleet.TargetID {
+func (l *LeavingTracker) LocallyObserved(now time.Time) []fleet.TargetID {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var ids []fleet.TargetID
--- a/core/detect/policy_sim_test.go
+++ b/core/detect/policy_sim_test.go
@@ -68,9 +68,9 @@
 type simCarrier struct {
 	number              int
 	recorder            *Recorder
-	service             *Service
+	service             *Detector
 	ejector             *Ejector
-	pending             [][]Row
+	pending             [][]IntervalStats
 	verdicts            []Verdict
 	states              []TargetState
 	inFlight            []int
@@ -121,7 +121,7 @@
 	}
 	for i := range simCarriers {
 		k := &simCarrier{
-			number: i, recorder: NewRecorder(s.svc), service: NewService(s.svc, vmName(i)), inFlight: make([]int, c.targets),
+			number: i, recorder: NewRecorder(s.svc), service: NewDetector(s.svc, vmName(i)), inFlight: make([]int, c.targets),
 			peerInFlight: make([][]int, simCarriers), consecutiveFailures: make([]int, c.targets), ejectedUntil: make([]time.Duration, c.targets),
 			trialInFlight: map[int]bool{}, lastProbe: make([]time.Duration, c.targets), probeInFlight: make([]bool, c.targets), lastPicked: i,
 		}
@@ -202,7 +202,7 @@
 	k.recorder.Record(id, res, latency)
 	if k.trialInFlight[i] {
 		k.trialInFlight[i] = false
-		k.ejector.Trial(id, res, latency)
+		k.ejector.RecordTrialRequest(id, res, latency)
 	}
 	switch {
 	case res == OK:
@@ -281,17 +281,17 @@
 func (s *sim) runInterval(k *simCarrier) {
 	s.schedule(simAssessInterval, func() { s.runInterval(k) })
 	s.restartTarget()
-	rows := k.recorder.Drain()
+	rows := k.recorder.Collect()
 	if s.policy == consecutivePolicy {
 		s.recordDetection(k)
 		return
 	}
 	now := s.time()
-	k.service.Follow(k.ejector.Current().Ejections, s.signals, now)
+	k.service.SetOutOfService(k.ejector.Current().Ejections, s.signals, now)
 	k.service.Add(vmName(k.number), carrierDCs[k.number], rows, now)
 	k.pending = append(k.pending, rows)
 	k.verdicts = k.service.Assess(now)
-	k.ejector.submit(Assessment{Service: s.svc, Verdicts: k.verdicts, Signs: s.signals, Typical: k.service.Typical()}, now)
+	k.ejector.submit(Assessment{Service: s.svc, Verdicts: k.verdicts, Signals: s.signals, MedianLatency: k.service.MedianLatency()}, now)
 	s.schedule(simWriteDelay, func() {
 		_ = k.ejector.reconcile(context.Background(), s.time())
 		s.useStates(k)
@@ -303,7 +303,7 @@
 }
 
 func (s *sim) useStates(k *simCarrier) {
-	k.states = States(s.svc, k.ejector.Current().Ejections, s.signals, k.verdicts, k.service.Started(), s.time())
+	k.states = States(s.svc, k.ejector.Current().Ejections, s.signals, k.verdicts, k.service.StartTimes(), s.time())
 	for i, st := range k.states {
 		s.recordState(k.number, i, st.State)
 	}
@@ -318,7 +318,7 @@
 		return
 	}
 	k.lastReport = s.now
-	data := EncodeRows(NewRoster(s.svc), MergeRows(k.pending...))
+	data := EncodeStats(NewTargetIndex(s.svc), MergeStats(k.pending...))
 	k.pending = nil
 	cached, inFlight := k.ejector.Current(), append([]int(nil), k.inFlight...)
 	s.schedule(time.Millisecond, func() {
@@ -326,7 +326,7 @@
 			if p != k {
 				_ = p.service.AddWire(vmName(k.number), carrierDCs[k.number], data, s.time())
 				p.peerInFlight[k.number] = inFlight
-				p.ejector.Hear(cached.Version)
+				p.ejector.RecordPeerVersion(cached.Version)
 			}
 		}
 	})
@@ -353,7 +353,7 @@
 				res = Failed
 			}
 			k.recorder.RecordProbe(st.Target, res, s.now-start)
-			k.ejector.TrialProbe(st.Target, res)
+			k.ejector.RecordTrialProbe(st.Target, res)
 		}
 		j := &simJob{work: simProbeWork, done: done}
 		if !s.enqueue(i, j) {
--- a/core/detect/prober.go
+++ b/core/detect/prober.go
@@ -90,19 +90,19 @@
 	return p
 }
 
-// Observe returns a report function that passes results to the recorder, the
+// NewReportFunc returns a report function that passes results to the recorder, the
 // leaving tracker and the trials; ejector may be nil.
-func Observe(rec *Recorder, leaving *LeavingTracker, ejector *Ejector) func(ProbeReport) {
+func NewReportFunc(rec *Recorder, leaving *LeavingTracker, ejector *Ejector) func(ProbeReport) {
 	return func(r ProbeReport) {
 		if r.Answered {
-			leaving.Probe(r.Target, r.Leaving, r.At)
+			leaving.RecordProbe(r.Target, r.Leaving, r.At)
 		}
-		if r.Leaving || leaving.Is(r.Target) {
+		if r.Leaving || leaving.IsLeaving(r.Target) {
 			return
 		}
 		rec.RecordProbe(r.Target, r.Result, r.Latency)
 		if ejector != nil {
-			ejector.TrialProbe(r.Target, r.Result)
+			ejector.RecordTrialProbe(r.Target, r.Result)
 		}
 	}
 }
--- a/core/detect/recorder.go
+++ b/core/detect/recorder.go
@@ -69,7 +69,7 @@
 		return
 	}
 	if res == OK {
-		c.packedOK.Add(1<<codeSumBits | uint64(CodeOf(latency)))
+		c.packedOK.Add(1<<codeSumBits | uint64(LatencyCodeOf(latency)))
 		return
 	}
 	c.counts[res].Add(1)
@@ -84,17 +84,17 @@
 	}
 	switch {
 	case res == OK:
-		c.packedProbeOK.Add(1<<codeSumBits | uint64(CodeOf(latency)))
+		c.packedProbeOK.Add(1<<codeSumBits | uint64(LatencyCodeOf(latency)))
 	case res.IsFailure():
 		c.probesFailed.Add(1)
 	}
 }
 
-// Drain returns the statistics since the previous call, in the order of the
+// Collect returns the statistics since the previous call, in the order of the
 // target list, and resets them. It leaves out targets with nothing to report.
-func (r *Recorder) Drain() []Row {
+func (r *Recorder) Collect() []IntervalStats {
 	s := r.counters.Load()
-	var all []Row
+	var all []IntervalStats
 	for _, id := range s.ids {
 		if stats := s.byTarget[id].collect(id); !stats.IsEmpty() {
 			all = append(all, stats)
@@ -103,8 +103,8 @@
 	return all
 }
 
-func (c *targetCounters) collect(id fleet.TargetID) Row {
-	stats := Row{Target: id}
+func (c *targetCounters) collect(id fleet.TargetID) IntervalStats {
+	stats := IntervalStats{Target: id}
 	for res := range c.counts {
 		stats.Counts[res] = c.counts[res].Swap(0)
 	}
@@ -115,10 +115,10 @@
 }
 
 // unpackMean returns the count and the mean latency code of a packed word.
-func unpackMean(packed uint64) (uint32, Code) {
+func unpackMean(packed uint64) (uint32, LatencyCode) {
 	n := packed >> codeSumBits
 	if n == 0 {
 		return 0, 0
 	}
-	return uint32(n), Code((packed&codeSumMask + n/2) / n)
+	return uint32(n), LatencyCode((packed&codeSumMask + n/2) / n)
 }
--- a/core/detect/result.go
+++ b/core/detect/result.go
@@ -47,26 +47,26 @@
 	}
 }
 
-// Code is a latency on a log scale from 16 µs with 8 steps for each doubling,
+// LatencyCode is a latency on a log scale from 16 µs with 8 steps for each doubling,
 // that is 9% a step.
-type Code uint8
+type LatencyCode uint8
 
 const (
 	codeUnit       = 16 * time.Microsecond
 	codesPerOctave = 8
 )
 
-// CodeOf returns the code nearest to the latency.
-func CodeOf(d time.Duration) Code {
+// LatencyCodeOf returns the code nearest to the latency.
+func LatencyCodeOf(d time.Duration) LatencyCode {
 	if d <= codeUnit {
 		return 0
 	}
 	c := math.Round(codesPerOctave * math.Log2(float64(d)/float64(codeUnit)))
-	return Code(min(c, math.MaxUint8))
+	return LatencyCode(min(c, math.MaxUint8))
 }
 
 // Latency returns the latency that the code stands for.
-func (c Code) Latency() time.Duration {
+func (c LatencyCode) Latency() time.Duration {
 	return latencyOf(float64(c))
 }
 
--- a/core/detect/stats.go
+++ b/core/detect/stats.go
@@ -10,29 +10,29 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Row holds the statistics of one target over one interval, as one observer
+// IntervalStats holds the statistics of one target over one interval, as one observer
 // counted them.
-type Row struct {
+type IntervalStats struct {
 	Target fleet.TargetID
 	// Counts holds the number of requests by result. Cancelled requests are not
 	// sent to peers.
 	Counts [resultCount]uint32
 	// Latency is the geometric mean of the latencies of the OK requests.
-	Latency Code
+	Latency LatencyCode
 	// ProbesOK and ProbesFailed count health probes.
 	ProbesOK, ProbesFailed uint32
 	// ProbeLatency is the geometric mean of the latencies of the successful
 	// probes.
-	ProbeLatency Code
+	ProbeLatency LatencyCode
 }
 
 // IsEmpty reports whether there is nothing to report to peers.
-func (r Row) IsEmpty() bool {
+func (r IntervalStats) IsEmpty() bool {
 	return r.flags() == 0
 }
 
 // Failures returns the number of requests that count against the target.
-func (r Row) Failures() uint32 {
+func (r IntervalStats) Failures() uint32 {
 	return r.Counts[Failed] + r.Counts[TimedOut] + r.Counts[Short] + r.Counts[BodyFailure] + r.Counts[Unreachable]
 }
 
@@ -43,8 +43,8 @@
 	digest uint32
 }
 
-// NewRoster returns the index of the service's targets.
-func NewRoster(svc *fleet.Service) TargetIndex {
+// NewTargetIndex returns the index of the service's targets.
+func NewTargetIndex(svc *fleet.Service) TargetIndex {
 	x := TargetIndex{ids: make([]fleet.TargetID, 0, len(svc.Targets))}
 	for i := range svc.Targets {
 		x.ids = append(x.ids, svc.Targets[i].ID)
@@ -85,7 +85,7 @@
 // flag bits.
 var wireResults = [...]Result{OK, Failed, TimedOut, Short, BodyFailure, Shed, Unreachable}
 
-func (r Row) flags() byte {
+func (r IntervalStats) flags() byte {
 	var f byte
 	for bit, res := range wireResults {
 		if r.Counts[res] > 0 {
@@ -98,11 +98,11 @@
 	return f
 }
 
-// EncodeRows returns the wire form of the statistics. It leaves out targets
+// EncodeStats returns the wire form of the statistics. It leaves out targets
 // with nothing to report and targets that are not in the index. A target with
 // ordinary traffic takes 4 to 6 bytes.
-func EncodeRows(index TargetIndex, stats []Row) []byte {
-	byIndex := make(map[int]Row, len(stats))
+func EncodeStats(index TargetIndex, stats []IntervalStats) []byte {
+	byIndex := make(map[int]IntervalStats, len(stats))
 	for _, r := range stats {
 		if i, ok := slices.BinarySearch(index.ids, r.Target); ok && !r.IsEmpty() {
 			byIndex[i] = r
@@ -124,7 +124,7 @@
 	return b
 }
 
-func appendStats(b []byte, r Row) []byte {
+func appendStats(b []byte, r IntervalStats) []byte {
 	b = append(b, r.flags())
 	for _, res := range wireResults {
 		if n := r.Counts[res]; n > 0 {
@@ -141,10 +141,10 @@
 	return b
 }
 
-// DecodeRows decodes a wire form that was encoded with the same target index.
+// DecodeStats decodes a wire form that was encoded with the same target index.
 // Data with another index or format, with a value out of bounds or with bytes
 // left over is rejected as a whole with fault.MessageInvalid.
-func DecodeRows(index TargetIndex, data []byte) ([]Row, error) {
+func DecodeStats(index TargetIndex, data []byte) ([]IntervalStats, error) {
 	d := statsDecoder{rest: data}
 	if f := d.byte(); d.problem == "" && f != wireFormat {
 		d.fail("unknown format")
@@ -153,7 +153,7 @@
 		d.fail("another target list")
 	}
 	n := d.uvarint(uint64(len(index.ids)))
-	stats := make([]Row, 0, n)
+	stats := make([]IntervalStats, 0, n)
 	next := uint64(0)
 	for range n {
 		i := next + d.uvarint(uint64(len(index.ids)))
@@ -221,8 +221,8 @@
 	return v
 }
 
-func (d *statsDecoder) stats(id fleet.TargetID) Row {
-	r := Row{Target: id}
+func (d *statsDecoder) stats(id fleet.TargetID) IntervalStats {
+	r := IntervalStats{Target: id}
 	flags := d.byte()
 	for bit, res := range wireResults {
 		if flags&(1<<bit) == 0 {
@@ -233,13 +233,13 @@
 			d.fail("empty count")
 		}
 		if res == OK {
-			r.Latency = Code(d.byte())
+			r.Latency = LatencyCode(d.byte())
 		}
 	}
 	if flags&flagProbes != 0 {
 		p := uint32(d.byte())
 		r.ProbesOK, r.ProbesFailed = p>>probeShift, p&maxWireProbes
-		r.ProbeLatency = Code(d.byte())
+		r.ProbeLatency = LatencyCode(d.byte())
 		if p == 0 {
 			d.fail("empty probes")
 		}
@@ -250,10 +250,10 @@
 	return r
 }
 
-// MergeRows returns the sums by target, so that a daemon can collect from its
+// MergeStats returns the sums by target, so that a daemon can collect from its
 // recorder more often than it reports.
-func MergeRows(sets ...[]Row) []Row {
-	var out []Row
+func MergeStats(sets ...[]IntervalStats) []IntervalStats {
+	var out []IntervalStats
 	at := map[fleet.TargetID]int{}
 	for _, set := range sets {
 		for _, r := range set {
@@ -269,7 +269,7 @@
 	return out
 }
 
-func (r Row) mergedWith(o Row) Row {
+func (r IntervalStats) mergedWith(o IntervalStats) IntervalStats {
 	r.Latency = weightedMeanCode(r.Latency, r.Counts[OK], o.Latency, o.Counts[OK])
 	r.ProbeLatency = weightedMeanCode(r.ProbeLatency, r.ProbesOK, o.ProbeLatency, o.ProbesOK)
 	for i := range r.Counts {
@@ -280,11 +280,11 @@
 	return r
 }
 
-func weightedMeanCode(a Code, n uint32, b Code, m uint32) Code {
+func weightedMeanCode(a LatencyCode, n uint32, b LatencyCode, m uint32) LatencyCode {
 	if n+m == 0 {
 		return 0
 	}
 	sum := uint64(a)*uint64(n) + uint64(b)*uint64(m)
 	all := uint64(n) + uint64(m)
-	return Code((sum + all/2) / all)
+	return LatencyCode((sum + all/2) / all)
 }
--- a/core/detect/stats_test.go
+++ b/core/detect/stats_test.go
@@ -13,11 +13,11 @@
 
 var _ = Describe("The wire form of statistics", func() {
 	svc := testService(27)
-	index := NewRoster(svc)
-	rec := func(fill func(r *Recorder)) []Row {
+	index := NewTargetIndex(svc)
+	rec := func(fill func(r *Recorder)) []IntervalStats {
 		r := NewRecorder(svc)
 		fill(r)
-		return r.Drain()
+		return r.Collect()
 	}
 
 	It("takes at most 6 bytes for a target with ordinary traffic", func() {
@@ -29,9 +29,9 @@
 				r.Record(svc.Targets[i].ID, Cancelled, 0)
 			}
 		})
-		data := EncodeRows(index, rows)
+		data := EncodeStats(index, rows)
 		Expect(len(data)).To(BeNumerically("<=", 6*len(svc.Targets)))
-		Expect(EncodeRows(index, nil)).To(HaveLen(6), "without statistics only the header is sent")
+		Expect(EncodeStats(index, nil)).To(HaveLen(6), "without statistics only the header is sent")
 	})
 
 	It("carries all counts, latency and probes", func() {
@@ -42,7 +42,7 @@
 			r.RecordProbe("z", OK, 25*time.Millisecond)
 			r.RecordProbe("z", TimedOut, 0)
 		})
-		back, err := DecodeRows(index, EncodeRows(index, rows))
+		back, err := DecodeStats(index, EncodeStats(index, rows))
 		Expect(err).NotTo(HaveOccurred())
 		rows[0].Counts[Cancelled] = 0
 		Expect(back).To(Equal(rows))
@@ -62,9 +62,9 @@
 		}
 		total := uint32(0)
 		drain := func() {
-			for _, row := range r.Drain() {
+			for _, row := range r.Collect() {
 				total += row.Counts[OK]
-				Expect(row.Latency).To(Equal(CodeOf(time.Millisecond)), "a count goes with its latency")
+				Expect(row.Latency).To(Equal(LatencyCodeOf(time.Millisecond)), "a count goes with its latency")
 			}
 		}
 		for range 50 {
@@ -77,30 +77,30 @@
 	})
 
 	It("rejects statistics of another target list", func() {
-		data := EncodeRows(index, rec(func(r *Recorder) { r.Record("a", Failed, 0) }))
-		_, err := DecodeRows(NewRoster(testService(26)), data)
+		data := EncodeStats(index, rec(func(r *Recorder) { r.Record("a", Failed, 0) }))
+		_, err := DecodeStats(NewTargetIndex(testService(26)), data)
 		Expect(fault.Is(err, fault.MessageInvalid)).To(BeTrue())
 	})
 })
 
 func FuzzDecodeRows(f *testing.F) {
 	svc := testService(27)
-	index := NewRoster(svc)
+	index := NewTargetIndex(svc)
 	r := NewRecorder(svc)
 	r.Record("a", OK, time.Millisecond)
 	r.Record("f", Short, 0)
 	r.RecordProbe("h", OK, time.Millisecond)
-	whole := EncodeRows(index, r.Drain())
+	whole := EncodeStats(index, r.Collect())
 	f.Add(whole)
 	f.Add(whole[:len(whole)-1])
 	f.Add(append(append([]byte{}, whole...), 0))
-	f.Add(EncodeRows(index, nil))
+	f.Add(EncodeStats(index, nil))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		rows, err := DecodeRows(index, data)
+		rows, err := DecodeStats(index, data)
 		if err != nil {
 			return
 		}
-		again, err := DecodeRows(index, EncodeRows(index, rows))
+		again, err := DecodeStats(index, EncodeStats(index, rows))
 		if err != nil || len(again) != len(rows) {
 			t.Fatalf("rows %v do not survive encoding: %v", rows, err)
 		}
--- a/core/detect/trials.go
+++ b/core/detect/trials.go
@@ -59,7 +59,7 @@
 	case p == nil:
 	case res == OK:
 		p.successes++
-		p.latencyCodeSum += float64(CodeOf(latency))
+		p.latencyCodeSum += float64(LatencyCodeOf(latency))
 	case res.IsFailure():
 		p.failed = true
 	}
