--- a/core/admin/admin_test.go
+++ b/core/admin/admin_test.go
@@ -81,7 +81,7 @@
 		r := newRig()
 		r.boot()
 		id := r.floor("marta", "60%")
-		r.platform.Misbehave(stand.PlatformFaults{LoseReplies: 1, DownAfterLoss: true})
+		r.platform.SetFaults(stand.PlatformFaults{LoseReplies: 1, DownAfterLoss: true})
 		var reply CommitReply
 		Expect(r.as("marta", "POST", "/v1/changes/"+id+"/commit", nil, &reply)).To(Equal(http.StatusAccepted))
 		Expect(reply.Outcome).To(Equal(settle.OutcomeNotYetKnown))
@@ -90,7 +90,7 @@
 		var head HeadReply
 		Expect(r.as("marta", "GET", "/v1/settings/head", nil, &head)).To(Equal(http.StatusOK))
 		Expect(head).To(Equal(HeadReply{Revision: 1, InForce: 1, Source: SourceDaemon}))
-		r.platform.Misbehave(stand.PlatformFaults{})
+		r.platform.SetFaults(stand.PlatformFaults{})
 		for _, again := range []string{"resolve", "commit", "resolve"} {
 			Expect(r.as("marta", "POST", "/v1/changes/"+id+"/"+again, nil, &reply)).To(Equal(http.StatusOK))
 			Expect(reply.Outcome).To(Equal(settle.OutcomeAccepted))
--- a/core/admin/message.go
+++ b/core/admin/message.go
@@ -39,7 +39,7 @@
 type DocumentReply struct {
 	Revision settle.Revision `json:"revision"`
 	Source   string          `json:"source"`
-	Document *tree.Doc       `json:"document"`
+	Document *tree.Document  `json:"document"`
 }
 
 // BootstrapReply is the reply to a bootstrap.
--- a/core/admin/problem.go
+++ b/core/admin/problem.go
@@ -57,7 +57,7 @@
 	if e.Cause != nil {
 		p.Detail += ": " + strings.TrimSpace(e.Cause.Error())
 	}
-	var invalid *tree.Invalid
+	var invalid *tree.ValidationError
 	if errors.As(err, &invalid) {
 		p.Problems = invalid.Problems
 	}
--- a/core/admin/settings.go
+++ b/core/admin/settings.go
@@ -20,7 +20,7 @@
 // version is a document with its revision and source.
 type version struct {
 	revision settle.Revision
-	doc      *tree.Doc
+	doc      *tree.Document
 	source   string
 }
 
@@ -76,7 +76,7 @@
 	if reply.Target == "" {
 		value, reply.Origin, err = v.doc.Effective(reply.Path, reply.Key)
 	} else {
-		value, reply.Origin, err = v.doc.EffectiveTarget(reply.Path, reply.Target, reply.Key)
+		value, reply.Origin, err = v.doc.EffectiveForTarget(reply.Path, reply.Target, reply.Key)
 	}
 	reply.Value = value.Raw
 	return reply, err
--- a/core/admin/suite_test.go
+++ b/core/admin/suite_test.go
@@ -65,7 +65,7 @@
 	r := &rig{platform: stand.NewPlatform()}
 	doc, err := tree.ParseFile([]byte(document))
 	Expect(err).NotTo(HaveOccurred())
-	catalog, err := doc.Compile()
+	catalog, err := doc.Catalog()
 	Expect(err).NotTo(HaveOccurred())
 	compiled, _ := catalog.Service(service)
 	table := r.platform.Table()
--- a/core/admin/targets.go
+++ b/core/admin/targets.go
@@ -138,8 +138,8 @@
 }
 
 // drainOp returns the op that drains a target or ends its drain.
-func drainOp(doc *tree.Doc, id fleet.ServiceID, target fleet.TargetID, drained bool) (op tree.Op, changed bool, err error) {
-	catalog, err := doc.Compile()
+func drainOp(doc *tree.Document, id fleet.ServiceID, target fleet.TargetID, drained bool) (op tree.Op, changed bool, err error) {
+	catalog, err := doc.Catalog()
 	if err != nil {
 		return op, false, err
 	}
--- a/core/daemon/bench_test.go
+++ b/core/daemon/bench_test.go
@@ -233,7 +233,7 @@
 				f.start()
 				time.Sleep(5 * time.Second)
 				if f.sick.Store(s); s != nil {
-					f.platform.Misbehave(stand.PlatformFaults{TableDown: true})
+					f.platform.SetFaults(stand.PlatformFaults{TableDown: true})
 				}
 				reports, bytes, packets = f.measure()
 				f.close()
--- a/core/daemon/failures_test.go
+++ b/core/daemon/failures_test.go
@@ -86,7 +86,7 @@
 		time.Sleep(fastWindow)
 		s.fail(0, 1)
 		s.within(2*agreeTime, "both ejected", func() bool { return s.inState(2, "ejected") == 2 })
-		s.targets[2].Misbehave(stand.Faults{Leaving: true})
+		s.targets[2].SetFaults(stand.TargetFaults{Leaving: true})
 		s.change(floorOf(5))
 		time.Sleep(settingsTime)
 		s.throughout(20*time.Second, func() {
@@ -165,7 +165,7 @@
 func TestLeavingIsReportedAtOnce(t *testing.T) {
 	playFleet(t, 6, func(s *session) {
 		time.Sleep(10 * time.Second)
-		s.targets[0].Misbehave(stand.Faults{Leaving: true})
+		s.targets[0].SetFaults(stand.TargetFaults{Leaving: true})
 		s.within(probeTime, "one daemon sees the sign", func() bool { return slices.Contains(s.states(0), "leaving") })
 		time.Sleep(200 * time.Millisecond)
 		s.g.Expect(s.states(0)).To(HaveEach("leaving"))
@@ -178,7 +178,7 @@
 	playFleet(t, 6, func(s *session) {
 		s.loadAll()
 		time.Sleep(fastWindow)
-		s.targets[0].Misbehave(stand.Faults{Leaving: true})
+		s.targets[0].SetFaults(stand.TargetFaults{Leaving: true})
 		time.Sleep(leavingTime)
 		served := s.targets[0].Served()
 		s.throughout(40*time.Second, func() {
@@ -194,7 +194,7 @@
 func TestDaemonKilledDuringOrder(t *testing.T) {
 	playFleet(t, 3, func(s *session) {
 		for _, target := range s.targets {
-			target.Misbehave(stand.Faults{Delay: 500 * time.Millisecond})
+			target.SetFaults(stand.TargetFaults{Delay: 500 * time.Millisecond})
 		}
 		key := s.tokenAt(0) + ".a"
 		late := s.sendOrder(0, key)
--- a/core/daemon/fleet_test.go
+++ b/core/daemon/fleet_test.go
@@ -171,7 +171,7 @@
 // runs returns how often the targets ran the order with the key.
 func (s *session) runs(key string) (n int) {
 	for _, t := range s.targets {
-		for _, r := range t.Runs() {
+		for _, r := range t.Executions() {
 			if strings.Contains(r.Key, key) {
 				n++
 			}
@@ -293,11 +293,11 @@
 
 func (s *session) fail(targets ...int) {
 	for _, t := range targets {
-		s.targets[t].Misbehave(stand.Faults{FailWork: true})
+		s.targets[t].SetFaults(stand.TargetFaults{FailWork: true})
 	}
 }
 
 // platformAway refuses every request to the platform.
 func (s *session) platformAway() {
-	s.platform.Misbehave(stand.PlatformFaults{TableDown: true, ObjectsDown: true, VMsDown: true})
+	s.platform.SetFaults(stand.PlatformFaults{TableDown: true, ObjectsDown: true, VMsDown: true})
 }
--- a/core/daemon/golden_test.go
+++ b/core/daemon/golden_test.go
@@ -47,10 +47,10 @@
 func TestSessionSickTarget(t *testing.T) {
 	play(t, "sick-target", func(s *session) {
 		s.startReady()
-		s.targets[0].Misbehave(stand.Faults{FailWork: true})
-		s.targets[1].Misbehave(stand.Faults{FailWork: true})
+		s.targets[0].SetFaults(stand.TargetFaults{FailWork: true})
+		s.targets[1].SetFaults(stand.TargetFaults{FailWork: true})
 		s.show("l1")
-		s.targets[1].Misbehave(stand.Faults{})
+		s.targets[1].SetFaults(stand.TargetFaults{})
 		for _, id := range []string{"l2", "l3", "l4"} {
 			s.show(id)
 			time.Sleep(100 * time.Millisecond)
@@ -59,35 +59,35 @@
 }
 
 // sessionDeath covers a booking whose target dies before, during and after its work.
-func sessionDeath(t *testing.T, name string, f stand.Faults) {
+func sessionDeath(t *testing.T, name string, f stand.TargetFaults) {
 	play(t, name, func(s *session) {
 		s.startReady()
 		for _, target := range s.targets {
-			target.Misbehave(f)
+			target.SetFaults(f)
 		}
 		key := s.token() + ".counter-3-1"
 		s.book(key, "b1")
 		s.note("the counter asks again once the targets are well")
 		for _, target := range s.targets {
-			target.Misbehave(stand.Faults{})
+			target.SetFaults(stand.TargetFaults{})
 		}
 		s.book(key, "b2")
-		s.note("orders run by the targets: %d", len(s.targets[0].Runs())+len(s.targets[1].Runs()))
+		s.note("orders run by the targets: %d", len(s.targets[0].Executions())+len(s.targets[1].Executions()))
 	})
 }
 
 func TestSessionTargetRefusesBeforeStart(t *testing.T) {
-	sessionDeath(t, "booking-refused", stand.Faults{ShedAll: true})
+	sessionDeath(t, "booking-refused", stand.TargetFaults{ShedAll: true})
 }
 
 func TestSessionTargetDiesBefore(t *testing.T) {
-	sessionDeath(t, "booking-died-before", stand.Faults{CutBefore: true})
+	sessionDeath(t, "booking-died-before", stand.TargetFaults{CutBefore: true})
 }
 
 func TestSessionTargetDiesDuring(t *testing.T) {
-	sessionDeath(t, "booking-died-during", stand.Faults{CutShort: true})
+	sessionDeath(t, "booking-died-during", stand.TargetFaults{CutShort: true})
 }
 
 func TestSessionTargetDiesAfter(t *testing.T) {
-	sessionDeath(t, "booking-died-after", stand.Faults{CutAfter: true})
+	sessionDeath(t, "booking-died-after", stand.TargetFaults{CutAfter: true})
 }
--- a/core/daemon/platform_test.go
+++ b/core/daemon/platform_test.go
@@ -18,7 +18,7 @@
 
 // calls returns the number of calls that reached the platform.
 func (s *session) calls() int64 {
-	c := s.platform.Counts()
+	c := s.platform.RequestCounts()
 	return c.TableReads + c.TableWrites + c.ObjectReads + c.ObjectWrites + c.VMReads + c.VMWrites
 }
 
@@ -44,7 +44,7 @@
 		s.fail(0)
 		s.within(detectTime, "avoided", func() bool { return s.states(0)[0] == "avoided" })
 		s.throughout(30*time.Second, func() { s.g.Expect(s.states(0)).NotTo(ContainElement("ejected")) })
-		s.platform.Misbehave(stand.PlatformFaults{})
+		s.platform.SetFaults(stand.PlatformFaults{})
 		// The breaker's longest wait is 20 s and a half.
 		s.within(30*time.Second+agreeTime, "ejected after the outage", func() bool { return s.states(0)[0] == "ejected" })
 	})
@@ -64,7 +64,7 @@
 		s.platformAway()
 		time.Sleep(10 * time.Second)
 		s.callsWithin(50, polls)
-		s.platform.Misbehave(stand.PlatformFaults{})
+		s.platform.SetFaults(stand.PlatformFaults{})
 		s.callsWithin(30, polls+writes)
 		for i, d := range s.daemons {
 			s.g.Expect(time.Since(d.parts.Engine.follower.State().HeadReadAt)).To(BeNumerically("<", settingsTime), "daemon %d", i)
@@ -147,7 +147,7 @@
 		}
 		s.platformAway()
 		time.Sleep(3 * time.Minute)
-		s.platform.Misbehave(stand.PlatformFaults{})
+		s.platform.SetFaults(stand.PlatformFaults{})
 		revision := s.change(ttl("7s")...)
 		s.within(settingsTime, "in force at all daemons", func() bool {
 			return !slices.ContainsFunc(s.daemons, func(d *Daemon) bool { return d.parts.Engine.follower.Current().Revision != revision })
--- a/core/daemon/session_test.go
+++ b/core/daemon/session_test.go
@@ -89,11 +89,11 @@
 	s.g.Expect(err).NotTo(HaveOccurred())
 	s.authority, err = inner.NewAuthority()
 	s.g.Expect(err).NotTo(HaveOccurred())
-	catalog, err := doc.Compile()
+	catalog, err := doc.Catalog()
 	s.g.Expect(err).NotTo(HaveOccurred())
 	service, _ := catalog.Service("reservas")
 	for _, t := range service.Targets {
-		target := stand.NewTarget(string(t.ID), stand.WithWork(20*time.Millisecond))
+		target := stand.NewTarget(string(t.ID), stand.WithWorkDuration(20*time.Millisecond))
 		s.targets = append(s.targets, target)
 		s.serve(t.Address, s.noting(string(t.ID), target))
 	}
--- a/core/daemon/trouble_golden_test.go
+++ b/core/daemon/trouble_golden_test.go
@@ -36,7 +36,7 @@
 		time.Sleep(5 * time.Second)
 		s.forget()
 		for _, target := range s.targets {
-			target.Misbehave(stand.Faults{Delay: 1500 * time.Millisecond})
+			target.SetFaults(stand.TargetFaults{Delay: 1500 * time.Millisecond})
 		}
 		b := booker{s, s.token() + ".counter-3-1", "b1", make(chan struct{})}
 		go b.run()
@@ -62,7 +62,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		s.note("the platform goes away")
-		s.platform.Misbehave(stand.PlatformFaults{TableDown: true, ObjectsDown: true, VMsDown: true})
+		s.platform.SetFaults(stand.PlatformFaults{TableDown: true, ObjectsDown: true, VMsDown: true})
 		time.Sleep(time.Minute)
 		s.seeds = []string{host(0) + ":7100", host(1) + ":7100", host(2) + ":7100"}
 		s.forget()
@@ -79,7 +79,7 @@
 // TestSessionColdBootAlone guards against a daemon that serves from nothing.
 func TestSessionColdBootAlone(t *testing.T) {
 	play(t, "cold-boot-alone", func(s *session) {
-		s.platform.Misbehave(stand.PlatformFaults{TableDown: true, ObjectsDown: true, VMsDown: true})
+		s.platform.SetFaults(stand.PlatformFaults{TableDown: true, ObjectsDown: true, VMsDown: true})
 		s.seeds = []string{host(1) + ":7100", host(2) + ":7100"}
 		s.start()
 		time.Sleep(10 * time.Second)
@@ -145,15 +145,15 @@
 		apply := table.Apply
 		table.Apply = func(ctx context.Context, tx store.Tx) error {
 			err := apply(ctx, tx)
-			s.platform.Misbehave(stand.PlatformFaults{TableDown: true})
+			s.platform.SetFaults(stand.PlatformFaults{TableDown: true})
 			return err
 		}
 		book := settle.NewChangelog(table)
-		s.platform.Misbehave(f)
+		s.platform.SetFaults(f)
 		s.commit(book, "marta", id)
 		r, err := book.Resolve(context.Background(), id)
 		s.note("asked while the table is away: %s, error %v", r.Outcome, err)
-		s.platform.Misbehave(stand.PlatformFaults{})
+		s.platform.SetFaults(stand.PlatformFaults{})
 		r, err = s.operator().Resolve(context.Background(), id)
 		s.note("asked when the table is back: %s, error %v", r.Outcome, err)
 		s.commit(s.operator(), "marta", id)
--- a/core/order/bench_test.go
+++ b/core/order/bench_test.go
@@ -97,7 +97,7 @@
 				m.Begin(ctx, r).Permit.Finish(fault.Run, response("booked"))
 				_ = m.FlushOutcomes(ctx)
 			}
-			n := f.platform.Counts()
+			n := f.platform.RequestCounts()
 			b.ReportMetric(float64(n.TableWrites)/float64(b.N), "writes/order")
 			b.ReportMetric(float64(n.TableReads)/float64(b.N), "reads/order")
 		})
--- a/core/order/fault_injector_test.go
+++ b/core/order/fault_injector_test.go
@@ -52,7 +52,7 @@
 		s.loss = loss
 		s.mu.Unlock()
 	default:
-		s.platform.Misbehave(t.randomPlatformFaults())
+		s.platform.SetFaults(t.randomPlatformFaults())
 	}
 }
 
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -193,7 +193,7 @@
 
 			It("doesn't run it while issuer and table service are unreachable", func() {
 				f.unreachable[issuer.self] = true
-				f.platform.Misbehave(stand.PlatformFaults{TableDown: true})
+				f.platform.SetFaults(stand.PlatformFaults{TableDown: true})
 				Expect(other.Begin(ctx, r)).To(And(verdict(VerdictUnknown), HaveField("Fault.Outcome", fault.Unknown)))
 				Expect(other.CloseKey(ctx, r)).To(verdict(VerdictUnknown))
 			})
--- a/core/proxy/proxy_test.go
+++ b/core/proxy/proxy_test.go
@@ -47,7 +47,7 @@
 	tr.service.Policy = fleet.Policy{RetryBudget: 1, QueueLength: 16, AddressTTL: 30 * time.Second}
 	var states []limit.Target
 	for i := range n {
-		t := stand.NewTarget(fmt.Sprintf("t%d", i+1), stand.WithWork(0))
+		t := stand.NewTarget(fmt.Sprintf("t%d", i+1), stand.WithWorkDuration(0))
 		s := httptest.NewServer(t)
 		DeferCleanup(s.Close)
 		tr.targets = append(tr.targets, t)
@@ -112,7 +112,7 @@
 		for i := range 20 {
 			id := fmt.Sprintf("caller-%d", i)
 			resp := tr.do("GET", "/stock/azul", http.Header{HeaderRequestID: {id}}, nil)
-			var a stand.WorkAnswer
+			var a stand.WorkResponse
 			Expect(json.NewDecoder(resp.Body).Decode(&a)).To(Succeed())
 			Expect(a.RequestID).To(Equal(id))
 			Expect(a.Path).To(Equal("/stock/azul"))
@@ -120,25 +120,25 @@
 	})
 
 	DescribeTable("tries another target for an idempotent request, so that callers do not notice one faulty target",
-		func(f stand.Faults) {
+		func(f stand.TargetFaults) {
 			tr := newTestRelay(3, lookupRoute())
-			tr.targets[0].Misbehave(f)
+			tr.targets[0].SetFaults(f)
 			for range 12 {
 				Expect(tr.do("GET", "/stock", nil, nil).StatusCode).To(Equal(http.StatusOK))
 			}
 		},
-		Entry("failing work", stand.Faults{FailWork: true}),
-		Entry("truncated responses", stand.Faults{CutShort: true}),
-		Entry("closed before a response", stand.Faults{CutBefore: true}),
-		Entry("closed after the work", stand.Faults{CutAfter: true}),
-		Entry("shedding", stand.Faults{ShedAll: true}),
+		Entry("failing work", stand.TargetFaults{FailWork: true}),
+		Entry("truncated responses", stand.TargetFaults{CutShort: true}),
+		Entry("closed before a response", stand.TargetFaults{CutBefore: true}),
+		Entry("closed after the work", stand.TargetFaults{CutAfter: true}),
+		Entry("shedding", stand.TargetFaults{ShedAll: true}),
 	)
 
 	It("detects a failure in the body of a success response by the route's rule", func() {
 		route := lookupRoute()
 		route.BodyFailure = &fleet.BodyFailure{ContentType: "application/json", Contains: `"error":`, Within: 512}
 		tr := newTestRelay(2, route)
-		tr.targets[0].Misbehave(stand.Faults{BodyFailure: true})
+		tr.targets[0].SetFaults(stand.TargetFaults{BodyFailure: true})
 		for range 8 {
 			resp := tr.do("GET", "/stock", nil, nil)
 			Expect(io.ReadAll(resp.Body)).NotTo(ContainSubstring("error"))
@@ -147,7 +147,7 @@
 
 	It("reports a truncated response as an error if there is no other target", func() {
 		tr := newTestRelay(1, lookupRoute())
-		tr.targets[0].Misbehave(stand.Faults{CutShort: true})
+		tr.targets[0].SetFaults(stand.TargetFaults{CutShort: true})
 		resp := tr.do("GET", "/stock", nil, nil)
 		Expect(resp.StatusCode).To(Equal(http.StatusBadGateway))
 		Expect(decodeProblem(resp).Kind).To(Equal("target-short"))
@@ -260,8 +260,8 @@
 		route := lookupRoute()
 		route.HedgeAfter = 20 * time.Millisecond
 		tr := newTestRelay(2, route)
-		tr.targets[0].Misbehave(stand.Faults{Hang: true})
-		tr.targets[1].Misbehave(stand.Faults{})
+		tr.targets[0].SetFaults(stand.TargetFaults{Hang: true})
+		tr.targets[1].SetFaults(stand.TargetFaults{})
 		for range 4 {
 			resp := tr.do("GET", "/stock", nil, nil)
 			Expect(resp.StatusCode).To(Equal(200))
--- a/core/settle/approval.go
+++ b/core/settle/approval.go
@@ -11,7 +11,7 @@
 // requirement is the approval rule that a change must satisfy and the path that
 // imposes it.
 type requirement struct {
-	rule tree.Rule
+	rule tree.ApprovalRule
 	path tree.Path
 }
 
@@ -21,12 +21,12 @@
 // region of a new service. Both owners must approve any change that weakens a
 // rule: one that lowers the rule of a path from both to one, removes a path
 // under the rule both, or replaces the owners.
-func requiredApproval(before, after *tree.Doc, ops []tree.Op) requirement {
-	required := requirement{rule: tree.RuleOne, path: tree.Root}
+func requiredApproval(before, after *tree.Document, ops []tree.Op) requirement {
+	required := requirement{rule: tree.ApprovalByOne, path: tree.Root}
 	for _, o := range ops {
-		created := !before.Has(o.Path) && approvalRule(after, o.Path) == tree.RuleBoth
-		if o.Key == ownersKey || created || approvalRule(before, o.Path) == tree.RuleBoth {
-			return requirement{rule: tree.RuleBoth, path: o.Path}
+		created := !before.Has(o.Path) && approvalRule(after, o.Path) == tree.ApprovalByBoth
+		if o.Key == ownersKey || created || approvalRule(before, o.Path) == tree.ApprovalByBoth {
+			return requirement{rule: tree.ApprovalByBoth, path: o.Path}
 		}
 		required.path = o.Path
 	}
@@ -34,8 +34,8 @@
 		return required
 	}
 	for p := range before.Paths() {
-		if approvalRule(before, p) == tree.RuleBoth && (!after.Has(p) || approvalRule(after, p) == tree.RuleOne) {
-			return requirement{rule: tree.RuleBoth, path: p}
+		if approvalRule(before, p) == tree.ApprovalByBoth && (!after.Has(p) || approvalRule(after, p) == tree.ApprovalByOne) {
+			return requirement{rule: tree.ApprovalByBoth, path: p}
 		}
 	}
 	return required
@@ -57,10 +57,10 @@
 
 // approvalRule returns the rule of the path, or the strictest rule if the path has
 // none because it is unknown.
-func approvalRule(d *tree.Doc, p tree.Path) tree.Rule {
-	rule, err := d.Approval(p)
+func approvalRule(d *tree.Document, p tree.Path) tree.ApprovalRule {
+	rule, err := d.ApprovalRule(p)
 	if err != nil {
-		return tree.RuleBoth
+		return tree.ApprovalByBoth
 	}
 	return rule
 }
@@ -82,11 +82,11 @@
 // approval is missing, it returns an error of kind SettingsUnsettled that names
 // the owners who have not approved. The owners are those in the document before
 // the change.
-func checkApprovals(before, after *tree.Doc, c Change) ([]string, error) {
+func checkApprovals(before, after *tree.Document, c Change) ([]string, error) {
 	owners := before.Owners()
 	approving := approvingOwners(c, owners)
 	required := requiredApproval(before, after, c.Ops)
-	if len(owners) > 0 && (len(approving) == len(owners) || required.rule == tree.RuleOne && len(approving) > 0) {
+	if len(owners) > 0 && (len(approving) == len(owners) || required.rule == tree.ApprovalByOne && len(approving) > 0) {
 		return approving, nil
 	}
 	var missing []string
--- a/core/settle/bench_test.go
+++ b/core/settle/bench_test.go
@@ -12,12 +12,12 @@
 
 // plannedScaleDoc returns a document with the numbers of workspaces, services and
 // routes in section 1 of the design page and 27 targets for each service.
-func plannedScaleDoc(b *testing.B) *tree.Doc {
+func plannedScaleDoc(b *testing.B) *tree.Document {
 	b.Helper()
 	return scaledDoc(b, 24_000, 360, 4300)
 }
 
-func scaledDoc(b *testing.B, workspaces, services, routes int) *tree.Doc {
+func scaledDoc(b *testing.B, workspaces, services, routes int) *tree.Document {
 	b.Helper()
 	ops := []tree.Op{
 		tree.Set(tree.Root, "owners", []string{"ana", "luis"}), tree.Declare("/region/costa"), tree.Declare("/data-centre/mdp"),
--- a/core/settle/changelog.go
+++ b/core/settle/changelog.go
@@ -26,7 +26,7 @@
 // docRevision is a document with its revision.
 type docRevision struct {
 	revision Revision
-	doc      *tree.Doc
+	doc      *tree.Document
 }
 
 // ChangelogOption configures a Changelog.
@@ -165,7 +165,7 @@
 
 // applyOps applies the ops to the document. It fails if the result has no owners,
 // because nobody could approve a later change.
-func applyOps(doc *tree.Doc, ops []tree.Op) (*tree.Doc, error) {
+func applyOps(doc *tree.Document, ops []tree.Op) (*tree.Document, error) {
 	after, err := doc.Apply(ops)
 	if err != nil {
 		return nil, err
@@ -179,7 +179,7 @@
 // matchExisting returns the stored change found if c proposes the same ops by the
 // same author, and an error if the id belongs to a different change.
 func matchExisting(found, c Change) (Change, error) {
-	if found.Author != c.Author || !slices.EqualFunc(found.Ops, c.Ops, tree.Op.Same) {
+	if found.Author != c.Author || !slices.EqualFunc(found.Ops, c.Ops, tree.Op.Equal) {
 		return Change{}, fault.New(fault.BadRequest, "change id %s is taken by another change", c.ID)
 	}
 	return found, nil
--- a/core/settle/commit.go
+++ b/core/settle/commit.go
@@ -47,7 +47,7 @@
 // commitAttempt is the transaction of one attempt at a commit, with its result.
 type commitAttempt struct {
 	tx       store.Tx
-	after    *tree.Doc
+	after    *tree.Document
 	revision Revision
 	// committed is set if the change was committed before; there is then no
 	// transaction to apply.
--- a/core/settle/fetch.go
+++ b/core/settle/fetch.go
@@ -106,7 +106,7 @@
 	if snap.Revision <= old.Revision {
 		return
 	}
-	doc := snap.Document.Relate(old.Catalog)
+	doc := snap.Document.ReuseServices(old.Catalog)
 	f.setHeld(doc, snap.Revision, "", nil)
 	// Pending deltas above the snapshot may be valid on top of it.
 	pending := f.pending
@@ -128,7 +128,7 @@
 		return
 	}
 	applied := 0
-	failure := applyValid(f.held.Load().Doc, pending, knownInvalid, func(i int, doc *tree.Doc) {
+	failure := applyValid(f.held.Load().Doc, pending, knownInvalid, func(i int, doc *tree.Document) {
 		f.setHeld(doc, pending[i].Revision, pending[i].Change, pending[applied:i+1])
 		applied = i + 1
 	})
@@ -144,9 +144,9 @@
 
 // setHeld makes a valid document the held revision. deltas are the steps from the
 // previously held revision; it is empty if the document comes from a snapshot.
-func (f *Follower) setHeld(doc *tree.Doc, r Revision, change string, deltas []*Delta) {
+func (f *Follower) setHeld(doc *tree.Document, r Revision, change string, deltas []*Delta) {
 	old := f.held.Load()
-	catalog, err := doc.Compile()
+	catalog, err := doc.Catalog()
 	if err != nil {
 		f.reportInvalid(&revisionError{revision: r, cause: err})
 		return
--- a/core/settle/follower.go
+++ b/core/settle/follower.go
@@ -136,7 +136,7 @@
 // emptyRevision returns revision 0, which has an empty document.
 func emptyRevision() *AppliedRevision {
 	doc := tree.New()
-	catalog, _ := doc.Compile()
+	catalog, _ := doc.Catalog()
 	return &AppliedRevision{Doc: doc, Catalog: catalog}
 }
 
--- a/core/settle/follower_test.go
+++ b/core/settle/follower_test.go
@@ -151,7 +151,7 @@
 		// The changelog also finds the object missing and replays all deltas.
 		_, doc, err := NewChangelog(p.table(), WithObjects(p.objectStore())).Head(t.Context())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		g.Expect(tree.Changes(doc, withoutSnapshot.Current().Doc)).To(gomega.BeEmpty())
+		g.Expect(tree.OpsBetween(doc, withoutSnapshot.Current().Doc)).To(gomega.BeEmpty())
 	})
 }
 
--- a/core/settle/history.go
+++ b/core/settle/history.go
@@ -17,8 +17,8 @@
 // Bootstrap writes the document as revision 1 if there are no settings yet. It
 // returns the head revision and whether this call wrote it, which includes an
 // attempt whose reply was lost. The document must name the owners.
-func (l *Changelog) Bootstrap(ctx context.Context, doc *tree.Doc, author string) (Revision, bool, error) {
-	ops := tree.Changes(tree.New(), doc)
+func (l *Changelog) Bootstrap(ctx context.Context, doc *tree.Document, author string) (Revision, bool, error) {
+	ops := tree.OpsBetween(tree.New(), doc)
 	if err := checkChange(bootstrapChangeID, author, ops); err != nil {
 		return 0, false, err
 	}
@@ -77,7 +77,7 @@
 }
 
 // Head returns the newest committed revision and its document.
-func (l *Changelog) Head(ctx context.Context) (Revision, *tree.Doc, error) {
+func (l *Changelog) Head(ctx context.Context) (Revision, *tree.Document, error) {
 	head, err := l.existingHead(ctx)
 	if err != nil {
 		return 0, nil, err
@@ -87,7 +87,7 @@
 }
 
 // Doc returns the document of a committed revision.
-func (l *Changelog) Doc(ctx context.Context, r Revision) (*tree.Doc, error) {
+func (l *Changelog) Doc(ctx context.Context, r Revision) (*tree.Document, error) {
 	head, err := l.existingHead(ctx)
 	if err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 // docAt returns the document of a revision that is known to be committed. It starts
 // from the cached document, from a snapshot if there are many deltas to replay,
 // or from the empty document.
-func (l *Changelog) docAt(ctx context.Context, r Revision) (*tree.Doc, error) {
+func (l *Changelog) docAt(ctx context.Context, r Revision) (*tree.Document, error) {
 	from := docRevision{doc: tree.New()}
 	if cached := l.cached.Load(); cached != nil && cached.revision <= r {
 		from = *cached
@@ -116,7 +116,7 @@
 	if err != nil {
 		return nil, asFault(err)
 	}
-	if invalid := applyValid(from.doc, deltas, 0, func(i int, doc *tree.Doc) {
+	if invalid := applyValid(from.doc, deltas, 0, func(i int, doc *tree.Document) {
 		from = docRevision{revision: deltas[i].Revision, doc: doc}
 	}); invalid != nil {
 		return nil, asFault(invalid)
@@ -178,7 +178,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return tree.Differences(fromDoc, toDoc), nil
+	return tree.Diff(fromDoc, toDoc), nil
 }
 
 // Rollback proposes a change that restores the document of an earlier revision.
@@ -193,7 +193,7 @@
 	if err != nil {
 		return Change{}, err
 	}
-	ops := tree.Changes(headDoc, oldDoc)
+	ops := tree.OpsBetween(headDoc, oldDoc)
 	if len(ops) == 0 {
 		return Change{}, fault.New(fault.BadRequest, "revision %d equals the head %d", to, head)
 	}
--- a/core/settle/reader.go
+++ b/core/settle/reader.go
@@ -119,8 +119,8 @@
 
 // snapshot is the content of a snapshot object.
 type snapshot struct {
-	Revision Revision  `json:"revision"`
-	Document *tree.Doc `json:"document"`
+	Revision Revision       `json:"revision"`
+	Document *tree.Document `json:"document"`
 }
 
 func decodeSnapshot(data []byte) (snapshot, error) {
@@ -193,7 +193,7 @@
 // invalid one. The first knownInvalid deltas produced no valid document before;
 // they are deferred without another attempt. If the last attempt failed,
 // applyValid returns its error.
-func applyValid(doc *tree.Doc, deltas []*Delta, knownInvalid int, accept func(i int, doc *tree.Doc)) error {
+func applyValid(doc *tree.Document, deltas []*Delta, knownInvalid int, accept func(i int, doc *tree.Document)) error {
 	var deferred []tree.Op
 	var failure error
 	for i, d := range deltas {
--- a/core/settle/snapshot.go
+++ b/core/settle/snapshot.go
@@ -21,7 +21,7 @@
 // another daemon has written it.
 type dueSnapshot struct {
 	revision Revision
-	doc      *tree.Doc
+	doc      *tree.Document
 	at       time.Time
 }
 
@@ -92,7 +92,7 @@
 
 // encodeSnapshot returns the encoded snapshot of the document. The bytes are the same
 // on every daemon, so it does not matter which one writes the object.
-func encodeSnapshot(r Revision, doc *tree.Doc) ([]byte, error) {
+func encodeSnapshot(r Revision, doc *tree.Document) ([]byte, error) {
 	raw, err := json.Marshal(snapshot{Revision: r, Document: doc})
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Internal, "snapshot %d", r)
--- a/core/settle/state.go
+++ b/core/settle/state.go
@@ -13,7 +13,7 @@
 	// Change is the id of the change that created the revision. It is empty if
 	// the revision was loaded from a snapshot.
 	Change  string
-	Doc     *tree.Doc
+	Doc     *tree.Document
 	Catalog *tree.Catalog
 	// HeadReadAt is the start time of the last read of the head row after which
 	// all revisions up to the head had been fetched. It is zero before that.
--- a/core/settle/suite_test.go
+++ b/core/settle/suite_test.go
@@ -182,7 +182,7 @@
 
 const stockService = tree.Path("/workspace/team/service/stock")
 
-func baseDoc() *tree.Doc {
+func baseDoc() *tree.Document {
 	doc, err := tree.ParseFile([]byte(baseSettings))
 	if err != nil {
 		panic(err)
--- a/core/stand/platform.go
+++ b/core/stand/platform.go
@@ -96,9 +96,9 @@
 	return func(p *Platform) { p.rng = rand.New(rand.NewPCG(seed, pcgStream)) }
 }
 
-// WithVMLog sets how many changes of the VM list are kept. A caller that knows an
+// WithVMLogLength sets how many changes of the VM list are kept. A caller that knows an
 // older version gets the full list.
-func WithVMLog(n int) PlatformOption {
+func WithVMLogLength(n int) PlatformOption {
 	return func(p *Platform) { p.vms.maxLength = n }
 }
 
@@ -123,16 +123,16 @@
 	return NewPlatform().Table()
 }
 
-// Misbehave replaces the platform's faults.
-func (p *Platform) Misbehave(f PlatformFaults) {
+// SetFaults replaces the platform's faults.
+func (p *Platform) SetFaults(f PlatformFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.loseReplies, p.loseRequests = f.LoseReplies, f.LoseRequests
 	p.faults.Store(&f)
 }
 
-// Counts returns the numbers of requests since the platform was created.
-func (p *Platform) Counts() RequestCounts {
+// RequestCounts returns the numbers of requests since the platform was created.
+func (p *Platform) RequestCounts() RequestCounts {
 	return RequestCounts{
 		TableReads: p.tableReads.Load(), TableWrites: p.tableWrites.Load(),
 		ObjectReads: p.objectReads.Load(), ObjectWrites: p.objectWrites.Load(),
--- a/core/stand/platform_http.go
+++ b/core/stand/platform_http.go
@@ -40,7 +40,7 @@
 		writeReply(w, nil, err)
 		return
 	}
-	p.Misbehave(f)
+	p.SetFaults(f)
 	writeReply(w, emptyResult{}, nil)
 }
 
--- a/core/stand/platform_test.go
+++ b/core/stand/platform_test.go
@@ -33,7 +33,7 @@
 	var p *stand.Platform
 	var t store.Table
 	BeforeEach(func() {
-		p = stand.NewPlatform(stand.WithVMLog(4))
+		p = stand.NewPlatform(stand.WithVMLogLength(4))
 		t = p.Table()
 	})
 
@@ -93,9 +93,9 @@
 
 	DescribeTable("injects faults into writes",
 		func(f stand.PlatformFaults, kind fault.Kind, applied bool) {
-			p.Misbehave(f)
+			p.SetFaults(f)
 			Expect(t.Apply(ctx, insertTx("a", "1"))).To(beOfKind(kind))
-			p.Misbehave(stand.PlatformFaults{})
+			p.SetFaults(stand.PlatformFaults{})
 			_, err := t.Get(ctx, "a")
 			Expect(err == nil).To(Equal(applied))
 		},
@@ -150,7 +150,7 @@
 		g := NewWithT(t)
 		ctx := context.Background()
 		p := stand.NewPlatform()
-		p.Misbehave(stand.PlatformFaults{VMLag: time.Minute, LoseReplies: 1, LateBy: time.Second})
+		p.SetFaults(stand.PlatformFaults{VMLag: time.Minute, LoseReplies: 1, LateBy: time.Second})
 		g.Expect(p.Table().Apply(ctx, insertTx("a", "1"))).To(beOfKind(fault.StoreAmbiguous))
 		_, err := p.Table().Get(ctx, "a")
 		g.Expect(err).To(beOfKind(fault.RowMissing))
--- a/core/stand/target.go
+++ b/core/stand/target.go
@@ -20,8 +20,8 @@
 	HeaderLoad           = "X-Load"
 )
 
-// Faults are the faults that a target injects. The zero value injects none.
-type Faults struct {
+// TargetFaults are the faults that a target injects. The zero value injects none.
+type TargetFaults struct {
 	// Delay is added to each work request.
 	Delay time.Duration `json:"delay-ns,omitempty"`
 	// FailWork answers work requests with status 500 without executing the work, while
@@ -72,7 +72,7 @@
 	slots          chan struct{}
 	waiting        atomic.Int64
 	served         atomic.Int64
-	faults         atomic.Pointer[Faults]
+	faults         atomic.Pointer[TargetFaults]
 	started        time.Time
 
 	mu         sync.Mutex
@@ -94,8 +94,8 @@
 	return func(t *Target) { t.slots = make(chan struct{}, n) }
 }
 
-// WithWork sets how long the work of a request takes.
-func WithWork(d time.Duration) TargetOption {
+// WithWorkDuration sets how long the work of a request takes.
+func WithWorkDuration(d time.Duration) TargetOption {
 	return func(t *Target) { t.workDuration = d }
 }
 
@@ -124,15 +124,15 @@
 		slots:          make(chan struct{}, defaultSlots),
 		started:        time.Now(),
 	}
-	t.faults.Store(&Faults{})
+	t.faults.Store(&TargetFaults{})
 	for _, o := range opts {
 		o(t)
 	}
 	return t
 }
 
-// Misbehave replaces the target's faults.
-func (t *Target) Misbehave(f Faults) {
+// SetFaults replaces the target's faults.
+func (t *Target) SetFaults(f TargetFaults) {
 	t.faults.Store(&f)
 }
 
@@ -142,8 +142,8 @@
 	return t.served.Load()
 }
 
-// Runs returns the executed orders in the sequence of their execution.
-func (t *Target) Runs() []Execution {
+// Executions returns the executed orders in the sequence of their execution.
+func (t *Target) Executions() []Execution {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]Execution(nil), t.executions...)
@@ -151,10 +151,10 @@
 
 // activeFaults returns the faults that apply now. With FlapEvery they are turned off
 // in every second period.
-func (t *Target) activeFaults() Faults {
+func (t *Target) activeFaults() TargetFaults {
 	f := *t.faults.Load()
 	if f.FlapEvery > 0 && int64(time.Since(t.started)/f.FlapEvery)%2 == 1 {
-		return Faults{Leaving: f.Leaving}
+		return TargetFaults{Leaving: f.Leaving}
 	}
 	return f
 }
@@ -178,14 +178,14 @@
 }
 
 // load returns the share of slots in use, or the load that the faults set.
-func (t *Target) load(f Faults) float64 {
+func (t *Target) load(f TargetFaults) float64 {
 	if f.Load != nil {
 		return *f.Load
 	}
 	return float64(len(t.slots)) / float64(cap(t.slots))
 }
 
-func (t *Target) serveProbe(w http.ResponseWriter, r *http.Request, f Faults) {
+func (t *Target) serveProbe(w http.ResponseWriter, r *http.Request, f TargetFaults) {
 	if f.FailProbe {
 		http.Error(w, "unhealthy", http.StatusServiceUnavailable)
 		return
@@ -199,7 +199,7 @@
 	fmt.Fprintln(w, `{"status":"ok"}`)
 }
 
-func (t *Target) serveWork(w http.ResponseWriter, r *http.Request, f Faults) {
+func (t *Target) serveWork(w http.ResponseWriter, r *http.Request, f TargetFaults) {
 	if f.ShedAll || !t.acquireSlot(r.Context()) {
 		w.Header().Set(HeaderShed, "true")
 		w.Header().Set("Retry-After", "1")
@@ -241,8 +241,8 @@
 	t.mu.Unlock()
 }
 
-// WorkAnswer is the body of a successful response to a work request.
-type WorkAnswer struct {
+// WorkResponse is the body of a successful response to a work request.
+type WorkResponse struct {
 	Target    string `json:"target"`
 	Method    string `json:"method"`
 	Path      string `json:"path"`
@@ -250,7 +250,7 @@
 	Key       string `json:"key,omitempty"`
 }
 
-func (t *Target) respond(w http.ResponseWriter, r *http.Request, f Faults) {
+func (t *Target) respond(w http.ResponseWriter, r *http.Request, f TargetFaults) {
 	switch {
 	case f.CutAfter:
 		panic(http.ErrAbortHandler)
@@ -258,7 +258,7 @@
 		http.Error(w, "failed after the work", http.StatusInternalServerError)
 		return
 	}
-	a := WorkAnswer{Target: t.id, Method: r.Method, Path: r.URL.Path, RequestID: r.Header.Get(HeaderRequestID), Key: r.Header.Get(HeaderIdempotencyKey)}
+	a := WorkResponse{Target: t.id, Method: r.Method, Path: r.URL.Path, RequestID: r.Header.Get(HeaderRequestID), Key: r.Header.Get(HeaderIdempotencyKey)}
 	body, err := json.Marshal(a)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
--- a/core/store/store_test.go
+++ b/core/store/store_test.go
@@ -80,7 +80,7 @@
 
 	DescribeTable("returns the error kind that tells whether a write may have taken effect",
 		func(faults stand.PlatformFaults, kind fault.Kind) {
-			p.Misbehave(faults)
+			p.SetFaults(faults)
 			Expect(c.Table().Apply(ctx, insert("a", "1"))).To(beKind(kind))
 		},
 		Entry("down", stand.PlatformFaults{TableDown: true}, fault.StoreUnavailable),
@@ -102,12 +102,12 @@
 	})
 
 	It("stops requests to a component that is down, and to no other component", func() {
-		p.Misbehave(stand.PlatformFaults{TableDown: true})
+		p.SetFaults(stand.PlatformFaults{TableDown: true})
 		for range 20 {
 			_, err := c.Table().Get(ctx, "a")
 			Expect(err).To(beKind(fault.StoreUnavailable))
 		}
-		Expect(p.Counts().TableReads).To(BeEquivalentTo(3))
+		Expect(p.RequestCounts().TableReads).To(BeEquivalentTo(3))
 		Expect(c.State().Table.OpenSince).NotTo(BeZero())
 		Expect(c.Objects().Put(ctx, "o", nil)).To(Succeed())
 	})
@@ -130,7 +130,7 @@
 		g := NewWithT(t)
 		const daemons, minutes = 40, 3
 		p := stand.NewPlatform()
-		p.Misbehave(stand.PlatformFaults{TableDown: true})
+		p.SetFaults(stand.PlatformFaults{TableDown: true})
 		writers := make([]writer, daemons)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer time.Sleep(writePause)
@@ -141,21 +141,21 @@
 			go writers[i].run(ctx)
 		}
 		time.Sleep(minutes * time.Minute)
-		duringOutage := p.Counts().TableWrites
+		duringOutage := p.RequestCounts().TableWrites
 		// Three failures, six trials while the wait doubles, then at most one trial
 		// per 10 s.
 		g.Expect(duringOutage).To(BeNumerically("<=", daemons*(3+6+minutes*6)))
-		p.Misbehave(stand.PlatformFaults{})
-		last := p.Counts().TableWrites
+		p.SetFaults(stand.PlatformFaults{})
+		last := p.RequestCounts().TableWrites
 		for range 45 {
 			time.Sleep(time.Second)
-			now := p.Counts().TableWrites
+			now := p.RequestCounts().TableWrites
 			g.Expect(now-last).To(BeNumerically("<=", 400+daemons), "writes in one second")
 			last = now
 		}
-		start := p.Counts().TableWrites
+		start := p.RequestCounts().TableWrites
 		time.Sleep(10 * time.Second)
-		g.Expect(p.Counts().TableWrites - start).To(BeNumerically("~", 4000, 400))
+		g.Expect(p.RequestCounts().TableWrites - start).To(BeNumerically("~", 4000, 400))
 	})
 }
 
@@ -190,7 +190,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				p := stand.NewPlatform()
-				p.Misbehave(c.faults)
+				p.SetFaults(c.faults)
 				g.Expect(store.ApplyOnce(t.Context(), p.Table(), insert("a", "1"), valueMarker("a", "1"))).To(Succeed())
 				g.Expect(store.ApplyOnce(t.Context(), p.Table(), insert("a", "1"), valueMarker("a", "1"))).To(Succeed())
 				g.Expect(store.ApplyOnce(t.Context(), p.Table(), insert("a", "2"), valueMarker("a", "2"))).To(beKind(fault.StoreConflict))
@@ -209,7 +209,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		p := stand.NewPlatform()
-		p.Misbehave(stand.PlatformFaults{OneWay: true})
+		p.SetFaults(stand.PlatformFaults{OneWay: true})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		g.Expect(store.ApplyOnce(ctx, p.Table(), insert("a", "1"), valueMarker("a", "1"))).To(beKind(fault.StoreAmbiguous))
--- a/core/tree/apply.go
+++ b/core/tree/apply.go
@@ -12,7 +12,7 @@
 // docBuilder applies ops to a copy of a document. The copy is copy-on-write: it
 // shares every part that the ops do not change with the original document.
 type docBuilder struct {
-	doc              Doc
+	doc              Document
 	copiedServices   bool
 	copiedWorkspaces bool
 	copiedShards     [shardCount]bool
@@ -21,13 +21,13 @@
 	problems []Problem
 }
 
-func newDocBuilder(d *Doc) *docBuilder {
+func newDocBuilder(d *Document) *docBuilder {
 	return &docBuilder{doc: *d, changed: map[Path]location{}}
 }
 
 // Apply returns a new document with the ops applied in order. The result is
 // validated as a whole: an error of kind SettingsInvalid lists all its problems.
-func (d *Doc) Apply(ops []Op) (*Doc, error) {
+func (d *Document) Apply(ops []Op) (*Document, error) {
 	b := newDocBuilder(d)
 	for _, o := range ops {
 		b.applyOp(o)
@@ -37,7 +37,7 @@
 
 // build validates and compiles the document. It reuses the services of the
 // previous catalog that did not change.
-func (b *docBuilder) build(previous *Catalog) (*Doc, error) {
+func (b *docBuilder) build(previous *Catalog) (*Document, error) {
 	for p, loc := range b.changed {
 		b.addInvalidValues(p, b.doc.node(loc))
 	}
--- a/core/tree/bench_test.go
+++ b/core/tree/bench_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func plannedFleetDoc(b *testing.B) *Doc {
+func plannedFleetDoc(b *testing.B) *Document {
 	b.Helper()
 	doc, err := New().Apply(plannedFleetOps())
 	if err != nil {
--- a/core/tree/catalog.go
+++ b/core/tree/catalog.go
@@ -50,15 +50,15 @@
 // WorkspaceCount returns the number of workspaces.
 func (c *Catalog) WorkspaceCount() int { return c.workspaces.count }
 
-// Compile returns the catalog of the document. A document is compiled when it is
+// Catalog returns the catalog of the document. A document is compiled when it is
 // created, so the call is cheap. A service that did not change since the previous
 // document has the same pointer as in the catalog of that document.
-func (d *Doc) Compile() (*Catalog, error) { return d.catalog, nil }
+func (d *Document) Catalog() (*Catalog, error) { return d.catalog, nil }
 
-// Relate returns a document equal to d whose catalog reuses the services of the
+// ReuseServices returns a document equal to d whose catalog reuses the services of the
 // previous catalog that are equal. It is needed for a document decoded from a
 // snapshot, which shares no parts with the previous document.
-func (d *Doc) Relate(previous *Catalog) *Doc {
+func (d *Document) ReuseServices(previous *Catalog) *Document {
 	c := &Catalog{servicesByID: make(map[fleet.ServiceID]compiledService, len(d.catalog.servicesByID)), workspaces: d.workspaces}
 	for _, svc := range d.catalog.sortedServices {
 		cs := d.catalog.servicesByID[svc.ID]
--- a/core/tree/check.go
+++ b/core/tree/check.go
@@ -11,7 +11,7 @@
 // serviceChecker collects the problems of one service that only show when
 // several values are compared.
 type serviceChecker struct {
-	doc      *Doc
+	doc      *Document
 	path     Path
 	problems []Problem
 }
--- a/core/tree/compile.go
+++ b/core/tree/compile.go
@@ -9,7 +9,7 @@
 
 // compile builds the catalog of the document and lists the problems of all
 // services. It reuses a service of the previous catalog if its inputs did not change.
-func (d *Doc) compile(previous *Catalog) (*Catalog, []Problem) {
+func (d *Document) compile(previous *Catalog) (*Catalog, []Problem) {
 	c := &Catalog{
 		servicesByID:   make(map[fleet.ServiceID]compiledService, len(d.services)),
 		sortedServices: make([]*fleet.Service, 0, len(d.services)),
@@ -41,7 +41,7 @@
 	c.sortedServices = append(c.sortedServices, s.service)
 }
 
-func (d *Doc) inputsOf(key serviceKey) compileInputs {
+func (d *Document) inputsOf(key serviceKey) compileInputs {
 	return compileInputs{
 		key:         key,
 		root:        d.root,
@@ -55,7 +55,7 @@
 // compileService returns no service if a value in the inheritance chain did not
 // parse. The problem of that value is reported by the docBuilder, and the errors
 // that follow from it would only hide it.
-func (d *Doc) compileService(key serviceKey, inputs compileInputs) (*fleet.Service, []Problem) {
+func (d *Document) compileService(key serviceKey, inputs compileInputs) (*fleet.Service, []Problem) {
 	checker := serviceChecker{doc: d, path: key.path()}
 	if inputs.workspace == nil {
 		checker.addProblem("", "", "a declared workspace; an op without a key declares it")
@@ -88,7 +88,7 @@
 
 // compileTargets returns the targets of a service with their effective values. A
 // target is drained if the service lists it as drained or its data centre is drained.
-func (d *Doc) compileTargets(chain inheritanceChain) []fleet.Target {
+func (d *Document) compileTargets(chain inheritanceChain) []fleet.Target {
 	entries := effective[[]TargetEntry](chain, keyTargets)
 	drained := effective[[]fleet.TargetID](chain, keyDrained)
 	targets := make([]fleet.Target, 0, len(entries))
--- a/core/tree/diff.go
+++ b/core/tree/diff.go
@@ -18,9 +18,9 @@
 	After json.RawMessage `json:"after,omitempty"`
 }
 
-// Changes returns the ops that turn document a into document b. A removed path
+// OpsBetween returns the ops that turn document a into document b. A removed path
 // removes everything below it, so paths below it need no op of their own.
-func Changes(a, b *Doc) []Op {
+func OpsBetween(a, b *Document) []Op {
 	var ops []Op
 	a.walk(func(p Path, _ *node) bool {
 		if !b.Has(p) && b.hasParent(p) {
@@ -37,7 +37,7 @@
 
 // hasParent reports whether the parent of the path exists: for a service its
 // workspace, for a route its service. The other paths always have a parent.
-func (d *Doc) hasParent(p Path) bool {
+func (d *Document) hasParent(p Path) bool {
 	loc, err := p.parse()
 	if err != nil {
 		return false
@@ -76,7 +76,7 @@
 }
 
 // nodeAt returns the node at the path, or nil.
-func (d *Doc) nodeAt(p Path) *node {
+func (d *Document) nodeAt(p Path) *node {
 	loc, err := p.parse()
 	if err != nil {
 		return nil
@@ -84,8 +84,8 @@
 	return d.node(loc)
 }
 
-// Differences returns the values and paths that differ between documents a and b.
-func Differences(a, b *Doc) []Difference {
+// Diff returns the values and paths that differ between documents a and b.
+func Diff(a, b *Document) []Difference {
 	var out []Difference
 	a.walk(func(p Path, before *node) bool {
 		after := b.nodeAt(p)
@@ -94,7 +94,7 @@
 		}
 		return true
 	})
-	for _, o := range Changes(a, b) {
+	for _, o := range OpsBetween(a, b) {
 		if o.Unset {
 			continue
 		}
--- a/core/tree/document.go
+++ b/core/tree/document.go
@@ -8,8 +8,8 @@
 	"wisteriarelay.example/core/fleet"
 )
 
-// Doc is an immutable settings document that is valid as a whole.
-type Doc struct {
+// Document is an immutable settings document that is valid as a whole.
+type Document struct {
 	root        *node
 	regions     *nodeIndex
 	dataCentres *nodeIndex
@@ -19,8 +19,8 @@
 }
 
 // New returns the empty document.
-func New() *Doc {
-	d := &Doc{
+func New() *Document {
+	d := &Document{
 		root:        emptyNode,
 		regions:     &nodeIndex{nodes: map[string]*node{}},
 		dataCentres: &nodeIndex{nodes: map[string]*node{}},
@@ -32,7 +32,7 @@
 }
 
 // node returns the node at the location, or nil.
-func (d *Doc) node(loc location) *node {
+func (d *Document) node(loc location) *node {
 	switch loc.level {
 	case LevelDeployment:
 		return d.root
@@ -53,20 +53,20 @@
 }
 
 // Has reports whether the path exists.
-func (d *Doc) Has(p Path) bool {
+func (d *Document) Has(p Path) bool {
 	loc, err := p.parse()
 	return err == nil && d.node(loc) != nil
 }
 
 // Paths returns all paths of the document in a fixed order, parents first.
-func (d *Doc) Paths() iter.Seq[Path] {
+func (d *Document) Paths() iter.Seq[Path] {
 	return func(yield func(Path) bool) {
 		d.walk(func(p Path, _ *node) bool { return yield(p) })
 	}
 }
 
 // walk calls visit for each node in a fixed order until visit returns false.
-func (d *Doc) walk(visit func(p Path, n *node) bool) {
+func (d *Document) walk(visit func(p Path, n *node) bool) {
 	if !visit(Root, d.root) {
 		return
 	}
@@ -104,21 +104,21 @@
 	return true
 }
 
-func (d *Doc) serviceKeys() []serviceKey {
+func (d *Document) serviceKeys() []serviceKey {
 	return slices.SortedFunc(maps.Keys(d.services), compareServiceKeys)
 }
 
 // Owners returns the names of the operators who may approve changes.
-func (d *Doc) Owners() []string {
+func (d *Document) Owners() []string {
 	return slices.Clone(effective[[]string](d.chainOf(location{level: LevelDeployment}), keyOwners))
 }
 
-// Approval returns the approval rule for a change at the path. A path that does
+// ApprovalRule returns the approval rule for a change at the path. A path that does
 // not exist inherits the rule of the levels above it.
-func (d *Doc) Approval(p Path) (Rule, error) {
+func (d *Document) ApprovalRule(p Path) (ApprovalRule, error) {
 	loc, err := p.parse()
 	if err != nil {
-		return RuleBoth, invalidError([]Problem{{Path: p, Allowed: pathAllowed}})
+		return ApprovalByBoth, invalidError([]Problem{{Path: p, Allowed: pathAllowed}})
 	}
-	return effective[Rule](d.chainOf(loc), keyApproval), nil
+	return effective[ApprovalRule](d.chainOf(loc), keyApproval), nil
 }
--- a/core/tree/effective.go
+++ b/core/tree/effective.go
@@ -62,7 +62,7 @@
 // chainOf returns the inheritance chain of a path: route, service, workspace,
 // region of the service, deployment. Values of a data centre apply to targets
 // only, so the data centre is added by withDataCentre.
-func (d *Doc) chainOf(loc location) inheritanceChain {
+func (d *Document) chainOf(loc location) inheritanceChain {
 	chain := inheritanceChain{level: loc.level}
 	if loc.level >= LevelRoute {
 		chain.appendNode(RoutePath(fleet.WorkspaceID(loc.name), loc.service, loc.route), d.node(loc))
@@ -120,7 +120,7 @@
 }
 
 // serviceNode returns the node of a service, or nil.
-func (d *Doc) serviceNode(key serviceKey) *node {
+func (d *Document) serviceNode(key serviceKey) *node {
 	if svc := d.services[key]; svc != nil {
 		return svc.node
 	}
@@ -128,7 +128,7 @@
 }
 
 // regionOf returns the region of a service, or "" if none or an invalid one is set.
-func (d *Doc) regionOf(key serviceKey) fleet.Region {
+func (d *Document) regionOf(key serviceKey) fleet.Region {
 	if e, found := d.serviceNode(key).findKey(keyRegion); found && e.problem == nil {
 		return fleet.Region(e.parsed.(string))
 	}
@@ -138,7 +138,7 @@
 // Effective returns the effective value of a key at a path and its origin. The
 // error is of kind fault.NotFound for an unknown path, and of kind
 // fault.SettingsInvalid for a malformed path or an unknown key.
-func (d *Doc) Effective(p Path, key string) (Value, Origin, error) {
+func (d *Document) Effective(p Path, key string) (Value, Origin, error) {
 	loc, k, err := d.locate(p, key)
 	if err != nil {
 		return Value{}, Origin{}, err
@@ -147,9 +147,9 @@
 	return value, origin, nil
 }
 
-// EffectiveTarget returns the effective value of a key for a target of the
+// EffectiveForTarget returns the effective value of a key for a target of the
 // service at the path. It takes the values of the target's data centre into account.
-func (d *Doc) EffectiveTarget(p Path, id fleet.TargetID, key string) (Value, Origin, error) {
+func (d *Document) EffectiveForTarget(p Path, id fleet.TargetID, key string) (Value, Origin, error) {
 	loc, k, err := d.locate(p, key)
 	if err != nil {
 		return Value{}, Origin{}, err
@@ -165,7 +165,7 @@
 }
 
 // locate resolves the path and the key of a lookup.
-func (d *Doc) locate(p Path, key string) (location, *Key, error) {
+func (d *Document) locate(p Path, key string) (location, *Key, error) {
 	loc, err := p.parse()
 	if err != nil {
 		return location{}, nil, invalidError([]Problem{{Path: p, Allowed: pathAllowed}})
--- a/core/tree/example_test.go
+++ b/core/tree/example_test.go
@@ -8,7 +8,7 @@
 
 // A value is set for the deployment and overridden for one workspace. The origin
 // of each effective value names the path that sets it.
-func ExampleDoc_Effective() {
+func ExampleDocument_Effective() {
 	doc, err := tree.ParseFile([]byte(`{
 		"/": {"owners": ["marta", "hector"], "floor": "50%"},
 		"/workspace/shop": {"floor": "70%"}, // shops are small
--- a/core/tree/fuzz_test.go
+++ b/core/tree/fuzz_test.go
@@ -45,7 +45,7 @@
 	})
 }
 
-func checkRoundTrip(t *testing.T, doc *Doc) {
+func checkRoundTrip(t *testing.T, doc *Document) {
 	t.Helper()
 	raw, err := json.Marshal(doc)
 	if err != nil {
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatalf("decode of %s: %v", raw, err)
 	}
-	if ops := Changes(doc, decoded); len(ops) > 0 {
+	if ops := OpsBetween(doc, decoded); len(ops) > 0 {
 		t.Fatalf("%s changed by encoding: %v", raw, ops)
 	}
 }
--- a/core/tree/json.go
+++ b/core/tree/json.go
@@ -18,7 +18,7 @@
 
 // MarshalJSON encodes the document as an object that maps each path to an object
 // of keys and values. The order is fixed, so that equal documents have equal bytes.
-func (d *Doc) MarshalJSON() ([]byte, error) {
+func (d *Document) MarshalJSON() ([]byte, error) {
 	var b bytes.Buffer
 	b.WriteByte('{')
 	first := true
@@ -46,7 +46,7 @@
 }
 
 // UnmarshalJSON decodes a document and validates it as a whole.
-func (d *Doc) UnmarshalJSON(data []byte) error {
+func (d *Document) UnmarshalJSON(data []byte) error {
 	doc, err := Decode(data)
 	if err != nil {
 		return err
@@ -57,7 +57,7 @@
 
 // ParseFile decodes a settings file written by an operator. The file is JSON that
 // may contain comments and trailing commas.
-func ParseFile(data []byte) (*Doc, error) {
+func ParseFile(data []byte) (*Document, error) {
 	standard, err := hujson.Standardize(bytes.Clone(data))
 	if err != nil {
 		return nil, fault.Wrap(err, fault.SettingsInvalid, "settings file")
@@ -67,7 +67,7 @@
 
 // Decode decodes a document and validates it as a whole. A duplicate path or key
 // is a problem, because one of the two values would be lost.
-func Decode(data []byte) (*Doc, error) {
+func Decode(data []byte) (*Document, error) {
 	ops, problems, err := decodeNodes(data)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.SettingsInvalid, "settings document")
--- a/core/tree/key.go
+++ b/core/tree/key.go
@@ -32,15 +32,15 @@
 	defaultValue func(chain inheritanceChain) any
 }
 
-// Rule is a value of the approval key. It says who must approve a change.
-type Rule string
+// ApprovalRule is a value of the approval key. It says who must approve a change.
+type ApprovalRule string
 
 // The approval rules.
 const (
-	// RuleOne requires the approval of one owner.
-	RuleOne Rule = "one"
-	// RuleBoth requires the approval of both owners.
-	RuleBoth Rule = "both"
+	// ApprovalByOne requires the approval of one owner.
+	ApprovalByOne ApprovalRule = "one"
+	// ApprovalByBoth requires the approval of both owners.
+	ApprovalByBoth ApprovalRule = "both"
 )
 
 // Keys returns all keys, in the order of the table in docs/design.md.
--- a/core/tree/keys.go
+++ b/core/tree/keys.go
@@ -62,7 +62,7 @@
 
 var (
 	keyOwners      = newKey("owners", deploymentOnly, "none", "names of the operators whose approval counts", ownersAllowed, parseOwners, []string(nil))
-	keyApproval    = computedDefaultKey("approval", allLevels, "both at the deployment, one below", "who must approve a change at this path and below", `"one" or "both"`, parseOneOf(RuleOne, RuleBoth), defaultApproval)
+	keyApproval    = computedDefaultKey("approval", allLevels, "both at the deployment, one below", "who must approve a change at this path and below", `"one" or "both"`, parseOneOf(ApprovalByOne, ApprovalByBoth), defaultApproval)
 	keyRegion      = newKey("region", serviceOnly, "none", "region of the service", nameAllowed, parseName, "")
 	keyTargets     = newKey("targets", serviceOnly, "none", "targets of the service", targetsAllowed, parseTargets, []TargetEntry(nil))
 	keySlots       = intKey("slots", targetLevels, 1, maxSlots, 2, "requests a target works on at once")
@@ -164,9 +164,9 @@
 
 func defaultApproval(chain inheritanceChain) any {
 	if chain.level == LevelDeployment {
-		return RuleBoth
+		return ApprovalByBoth
 	}
-	return RuleOne
+	return ApprovalByOne
 }
 
 func defaultIdempotent(chain inheritanceChain) any {
--- a/core/tree/op.go
+++ b/core/tree/op.go
@@ -43,10 +43,10 @@
 // Remove returns an op that removes a path and everything below it.
 func Remove(p Path) Op { return Op{Path: p, Unset: true} }
 
-// Check returns an error if the op is malformed. Whether the key exists and
+// Validate returns an error if the op is malformed. Whether the key exists and
 // accepts the value is checked by Apply after the last op, so that a later op of
 // the same change may correct it.
-func (o Op) Check() error {
+func (o Op) Validate() error {
 	if p, isInvalid := o.findProblem(); isInvalid {
 		return invalidError([]Problem{p})
 	}
@@ -95,7 +95,7 @@
 		return fault.Wrap(err, fault.SettingsInvalid, "op")
 	}
 	*o = Op(p)
-	return o.Check()
+	return o.Validate()
 }
 
 // UnmarshalCBOR decodes an op and checks it.
@@ -105,7 +105,7 @@
 		return fault.Wrap(err, fault.SettingsInvalid, "op")
 	}
 	*o = Op(p)
-	return o.Check()
+	return o.Validate()
 }
 
 // DecodeOps decodes a JSON list of ops. The error lists the problems of all ops.
@@ -126,8 +126,8 @@
 	return ops, invalidError(problems)
 }
 
-// Same reports whether the ops are equal.
-func (o Op) Same(p Op) bool {
+// Equal reports whether the ops are equal.
+func (o Op) Equal(p Op) bool {
 	return o.Path == p.Path && o.Key == p.Key && o.Unset == p.Unset && bytes.Equal(o.Value, p.Value)
 }
 
--- a/core/tree/problem.go
+++ b/core/tree/problem.go
@@ -43,13 +43,13 @@
 	return strings.ToValidUTF8(s[:maxShownBytes], "") + "..."
 }
 
-// Invalid is the error for an invalid document or change. It lists all problems.
-type Invalid struct {
+// ValidationError is the error for an invalid document or change. It lists all problems.
+type ValidationError struct {
 	Problems []Problem `json:"problems"`
 }
 
 // Error returns all problems, separated by semicolons.
-func (e *Invalid) Error() string {
+func (e *ValidationError) Error() string {
 	lines := make([]string, 0, len(e.Problems))
 	for _, p := range e.Problems {
 		lines = append(lines, p.String())
@@ -65,7 +65,7 @@
 	}
 	slices.SortFunc(problems, compareProblems)
 	problems = slices.Compact(problems)
-	return fault.Wrap(&Invalid{Problems: problems}, fault.SettingsInvalid, "%d problems", len(problems))
+	return fault.Wrap(&ValidationError{Problems: problems}, fault.SettingsInvalid, "%d problems", len(problems))
 }
 
 func compareProblems(a, b Problem) int {
--- a/core/tree/suite_test.go
+++ b/core/tree/suite_test.go
@@ -41,7 +41,7 @@
 	stockPath    = reservasPath + "/route/stock"
 )
 
-func sampleDoc() *Doc {
+func sampleDoc() *Document {
 	doc, err := ParseFile([]byte(sampleSettings))
 	Expect(err).NotTo(HaveOccurred())
 	return doc
--- a/core/tree/tree_test.go
+++ b/core/tree/tree_test.go
@@ -15,7 +15,7 @@
 
 // problemTexts returns the text of each problem of an error.
 func problemTexts(err error) []string {
-	var e *Invalid
+	var e *ValidationError
 	if !errors.As(err, &e) || !fault.Is(err, fault.SettingsInvalid) {
 		return nil
 	}
@@ -95,7 +95,7 @@
 		check(stockPath, "attempts", `2`, Origin{Default: true})
 		check(Root, "approval", `"both"`, Origin{Default: true})
 		check(reservasPath, "approval", `"one"`, Origin{Default: true})
-		value, origin, err := doc.EffectiveTarget(reservasPath, "r1", "slots")
+		value, origin, err := doc.EffectiveForTarget(reservasPath, "r1", "slots")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(value.Parsed).To(Equal(4))
 		Expect(origin).To(Equal(Origin{Path: "/data-centre/mdp", Level: "data-centre"}))
@@ -106,7 +106,7 @@
 	})
 
 	It("compiles effective values", func() {
-		catalog, err := sampleDoc().Compile()
+		catalog, err := sampleDoc().Catalog()
 		Expect(err).NotTo(HaveOccurred())
 		svc, found := catalog.Service("reservas")
 		Expect(found).To(BeTrue())
@@ -210,7 +210,7 @@
 
 	It("reuses the services of the previous catalog for a decoded document", func() {
 		doc := sampleDoc()
-		related := sampleDoc().Relate(doc.catalog)
+		related := sampleDoc().ReuseServices(doc.catalog)
 		Expect(related.catalog.Services()[0]).To(BeIdenticalTo(doc.catalog.Services()[0]))
 		// The reuse must not hide a later change of the service.
 		next, err := related.Apply([]Op{Set(reservasPath, "floor", 1)})
@@ -224,14 +224,14 @@
 			Remove(bookPath), Set(stockPath, "deadline", "2s"), Unset(reservasPath, "detection"), Declare("/workspace/new"), Set("/workspace/new", "floor", 1),
 		})
 		Expect(err).NotTo(HaveOccurred())
-		for _, pair := range [][2]*Doc{{doc, next}, {next, doc}, {New(), doc}, {doc, New()}} {
-			got, err := pair[0].Apply(Changes(pair[0], pair[1]))
+		for _, pair := range [][2]*Document{{doc, next}, {next, doc}, {New(), doc}, {doc, New()}} {
+			got, err := pair[0].Apply(OpsBetween(pair[0], pair[1]))
 			Expect(err).NotTo(HaveOccurred())
 			want, _ := json.Marshal(pair[1])
 			Expect(json.Marshal(got)).To(MatchJSON(want))
 		}
-		Expect(Changes(doc, doc)).To(BeEmpty())
-		Expect(Differences(doc, next)).To(ContainElements(
+		Expect(OpsBetween(doc, doc)).To(BeEmpty())
+		Expect(Diff(doc, next)).To(ContainElements(
 			Difference{Path: stockPath, Key: "deadline", Before: json.RawMessage(`"1s"`), After: json.RawMessage(`"2s"`)},
 			Difference{Path: reservasPath, Key: "detection", Before: json.RawMessage(`"careful"`)},
 			Difference{Path: bookPath, Before: json.RawMessage(`{}`)},
@@ -243,9 +243,9 @@
 		doc := sampleDoc()
 		raw, err := json.Marshal(doc)
 		Expect(err).NotTo(HaveOccurred())
-		var decoded Doc
+		var decoded Document
 		Expect(json.Unmarshal(raw, &decoded)).To(Succeed())
-		Expect(Changes(doc, &decoded)).To(BeEmpty())
+		Expect(OpsBetween(doc, &decoded)).To(BeEmpty())
 		_, err = Decode([]byte(`{"/":{"floor":1,"floor":2},"/region/a":{},"/region/a":{}}`))
 		Expect(problemTexts(err)).To(ConsistOf(ContainSubstring("each key once"), ContainSubstring("each path once")))
 		_, err = Decode([]byte(`{"/":{}} {}`))
@@ -260,11 +260,11 @@
 			raw, err := json.Marshal(o)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(json.Unmarshal(raw, &fromJSON)).To(Succeed())
-			Expect(fromJSON.Same(o)).To(BeTrue(), "%s", raw)
+			Expect(fromJSON.Equal(o)).To(BeTrue(), "%s", raw)
 			raw, err = cbor.Marshal(o)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(cbor.Unmarshal(raw, &fromCBOR)).To(Succeed())
-			Expect(fromCBOR.Same(o)).To(BeTrue())
+			Expect(fromCBOR.Equal(o)).To(BeTrue())
 		}
 	})
 
--- a/standin/demo/caller.go
+++ b/standin/demo/caller.go
@@ -106,7 +106,7 @@
 	err     error
 	status  int
 	outcome fault.Outcome
-	answer  stand.WorkAnswer
+	answer  stand.WorkResponse
 	problem proxy.Problem
 }
 
--- a/standin/demo/control.go
+++ b/standin/demo/control.go
@@ -90,12 +90,12 @@
 		http.Error(w, "no such target", http.StatusNotFound)
 		return
 	}
-	var f stand.Faults
+	var f stand.TargetFaults
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxFaults)).Decode(&f); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	t.Misbehave(f)
+	t.SetFaults(f)
 	fmt.Fprintln(w, "done")
 }
 
--- a/standin/demo/control_test.go
+++ b/standin/demo/control_test.go
@@ -38,7 +38,7 @@
 			defer resp.Body.Close()
 			return resp.StatusCode
 		}
-		f.Platform.Misbehave(stand.PlatformFaults{TableDown: true, ObjectsDown: true, VMsDown: true})
+		f.Platform.SetFaults(stand.PlatformFaults{TableDown: true, ObjectsDown: true, VMsDown: true})
 		Expect(call("POST", "/v1/boot?vm=new-1", "")).To(Equal(http.StatusOK))
 		Expect(call("POST", "/v1/boot?vm=new-1", "")).To(Equal(http.StatusBadRequest))
 		Expect(call("POST", "/v1/stop?vm=nobody", "")).To(Equal(http.StatusNotFound))
--- a/standin/demo/demo.go
+++ b/standin/demo/demo.go
@@ -64,7 +64,7 @@
 // jobs returns one kind of work for each route of the settings.
 func (d *Demo) jobs() []work {
 	var jobs []work
-	catalog, err := d.fleet.Doc.Compile()
+	catalog, err := d.fleet.Doc.Catalog()
 	if err != nil {
 		return nil
 	}
--- a/standin/demo/examples_test.go
+++ b/standin/demo/examples_test.go
@@ -25,7 +25,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		doc, err := tree.ParseFile(data)
 		Expect(err).NotTo(HaveOccurred())
-		catalog, err := doc.Compile()
+		catalog, err := doc.Catalog()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(catalog.Services()).To(HaveLen(len(sizes)))
 		for id, n := range sizes {
--- a/standin/demo/fleet.go
+++ b/standin/demo/fleet.go
@@ -35,7 +35,7 @@
 // Fleet is the platform, the targets and the daemons of a demo.
 type Fleet struct {
 	Platform  *stand.Platform
-	Doc       *tree.Doc
+	Doc       *tree.Document
 	Region    fleet.Region
 	Centres   []fleet.DataCentre
 	authority *inner.Authority
@@ -186,7 +186,7 @@
 func (f *Fleet) Runs() map[string]int {
 	runs := map[string]int{}
 	for _, t := range f.targets {
-		for _, r := range t.Runs() {
+		for _, r := range t.Executions() {
 			runs[strings.Trim(r.Key, `"`)]++
 		}
 	}
--- a/standin/demo/owners.go
+++ b/standin/demo/owners.go
@@ -47,7 +47,7 @@
 		return
 	}
 	d.say("FAULT  the platform's next reply to a write is lost while %s commits", owner)
-	d.fleet.Platform.Misbehave(stand.PlatformFaults{LoseReplies: 1})
+	d.fleet.Platform.SetFaults(stand.PlatformFaults{LoseReplies: 1})
 	revision, err := changelog.Commit(ctx, c.ID)
 	if err == nil {
 		d.say("       the commit read its own change back: revision %d", revision)
@@ -60,7 +60,7 @@
 
 // workspacePath returns the first workspace of the settings.
 func (d *Demo) workspacePath() tree.Path {
-	catalog, err := d.fleet.Doc.Compile()
+	catalog, err := d.fleet.Doc.Catalog()
 	if err != nil {
 		return "/"
 	}
--- a/standin/demo/script.go
+++ b/standin/demo/script.go
@@ -54,7 +54,7 @@
 
 // sick returns the first target of each service.
 func (d *Demo) sick() []fleet.TargetID {
-	catalog, err := d.fleet.Doc.Compile()
+	catalog, err := d.fleet.Doc.Catalog()
 	if err != nil {
 		return nil
 	}
@@ -65,33 +65,33 @@
 	return out
 }
 
-func (d *Demo) misbehave(f stand.Faults) {
+func (d *Demo) misbehave(f stand.TargetFaults) {
 	for _, id := range d.sick() {
-		d.fleet.Target(id).Misbehave(f)
+		d.fleet.Target(id).SetFaults(f)
 	}
 }
 
 func (d *Demo) failTargets(context.Context) {
 	d.say("FAULT  targets %v answer probes but fail their work", d.sick())
-	d.misbehave(stand.Faults{FailWork: true})
+	d.misbehave(stand.TargetFaults{FailWork: true})
 	d.watchTargets()
 }
 
 func (d *Demo) healTargets(context.Context) {
 	d.say("HEAL   targets %v are well again", d.sick())
-	d.misbehave(stand.Faults{})
+	d.misbehave(stand.TargetFaults{})
 }
 
 func (d *Demo) truncate(context.Context) {
 	d.say("FAULT  targets %v cut their answers short", d.sick())
-	d.misbehave(stand.Faults{CutShort: true})
+	d.misbehave(stand.TargetFaults{CutShort: true})
 	d.watchTargets()
 }
 
 func (d *Demo) startOutage(context.Context) {
-	d.misbehave(stand.Faults{})
+	d.misbehave(stand.TargetFaults{})
 	d.say("FAULT  table service, object store and VM list are away")
-	d.fleet.Platform.Misbehave(stand.PlatformFaults{TableDown: true, ObjectsDown: true, VMsDown: true})
+	d.fleet.Platform.SetFaults(stand.PlatformFaults{TableDown: true, ObjectsDown: true, VMsDown: true})
 }
 
 func (d *Demo) bootDuringOutage(ctx context.Context) {
@@ -134,7 +134,7 @@
 
 func (d *Demo) endOutage(context.Context) {
 	d.say("HEAL   the platform is back")
-	d.fleet.Platform.Misbehave(stand.PlatformFaults{})
+	d.fleet.Platform.SetFaults(stand.PlatformFaults{})
 }
 
 // drainTarget lets a target announce that it leaves and counts the work that
@@ -142,7 +142,7 @@
 func (d *Demo) drainTarget(ctx context.Context) {
 	id := d.sick()[0]
 	d.say("LEAVE  target %s starts to leave", id)
-	d.fleet.Target(id).Misbehave(stand.Faults{Leaving: true})
+	d.fleet.Target(id).SetFaults(stand.TargetFaults{Leaving: true})
 	go leaveWatch{demo: d, target: id}.run(ctx)
 }
 
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -14,7 +14,7 @@
 )
 
 // targetFaults are the faults of a target by name.
-var targetFaults = map[string]stand.Faults{
+var targetFaults = map[string]stand.TargetFaults{
 	"body-failure": {BodyFailure: true},
 	"cut-after":    {CutAfter: true},
 	"cut-before":   {CutBefore: true},
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -100,13 +100,13 @@
 			&cli.StringFlag{Name: "fault", Usage: "one of " + strings.Join(faultNames(), ", ")},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			t := stand.NewTarget(c.String("id"), stand.WithSlots(c.Int("slots")), stand.WithWork(c.Duration("work")))
+			t := stand.NewTarget(c.String("id"), stand.WithSlots(c.Int("slots")), stand.WithWorkDuration(c.Duration("work")))
 			if name := c.String("fault"); name != "" {
 				f, ok := targetFaults[name]
 				if !ok {
 					return fault.New(fault.ConfigInvalid, "fault %q is not known; allowed are %s", name, strings.Join(faultNames(), ", "))
 				}
-				t.Misbehave(f)
+				t.SetFaults(f)
 			}
 			return listen(ctx, c.String("listen"), t)
 		},
--- a/wisteriactl/check.go
+++ b/wisteriactl/check.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	catalog, err := doc.Compile()
+	catalog, err := doc.Catalog()
 	if err != nil {
 		return err
 	}
--- a/wisteriactl/main_test.go
+++ b/wisteriactl/main_test.go
@@ -119,11 +119,11 @@
 		}
 		code, _, _ = c.run("hector", "rebase", "third")
 		Expect(code).To(Equal(exitDone))
-		c.platform.Misbehave(stand.PlatformFaults{LoseReplies: 1, DownAfterLoss: true})
+		c.platform.SetFaults(stand.PlatformFaults{LoseReplies: 1, DownAfterLoss: true})
 		code, _, errOut = c.run("marta", "commit", "third")
 		Expect(code).To(Equal(exitUnknown))
 		Expect(errOut).To(ContainSubstring("wisteriactl resolve third"))
-		c.platform.Misbehave(stand.PlatformFaults{})
+		c.platform.SetFaults(stand.PlatformFaults{})
 		code, out, _ := c.run("marta", "resolve", "third")
 		Expect(code).To(Equal(exitDone))
 		Expect(out).To(ContainSubstring("accepted"))
