--- a/core/daemon/admin.go
+++ b/core/daemon/admin.go
@@ -59,7 +59,7 @@
 	}
 	suspects := w.evidence.Suspects()
 	inFlight := map[fleet.TargetID]int{}
-	for _, load := range w.carrier.Gate().MeanLoads() {
+	for _, load := range w.carrier.Limiter().MeanLoads() {
 		inFlight[load.Target] = int(load.InFlight)
 	}
 	out := []admin.Target{}
--- a/core/daemon/bench_test.go
+++ b/core/daemon/bench_test.go
@@ -153,7 +153,7 @@
 			result = detect.Failed
 		}
 	}
-	grant, err := c.watch.carrier.Gate().Acquire(context.Background(), limit.Request{Kind: fleet.Lookup, Idempotent: true})
+	grant, err := c.watch.carrier.Limiter().Acquire(context.Background(), limit.Request{Kind: fleet.Lookup, Idempotent: true})
 	must(err)
 	time.Sleep(took)
 	grant.Release(limit.Served)
--- a/core/daemon/engine.go
+++ b/core/daemon/engine.go
@@ -173,9 +173,9 @@
 }
 
 // view returns what the request path reads.
-func (e *engine) view() proxy.Fleet {
-	return proxy.Fleet{
-		Carrier:      e.carrier,
+func (e *engine) view() proxy.FleetView {
+	return proxy.FleetView{
+		Upstream:     e.carrier,
 		Service:      e.service,
 		HasWorkspace: e.hasWorkspace,
 		Addresses:    e.addresses,
@@ -184,7 +184,7 @@
 	}
 }
 
-func (e *engine) carrier(id fleet.ServiceID) (*proxy.Carrier, bool) {
+func (e *engine) carrier(id fleet.ServiceID) (*proxy.Upstream, bool) {
 	w, ok := e.watch(id)
 	if !ok {
 		return nil, false
--- a/core/daemon/handlers.go
+++ b/core/daemon/handlers.go
@@ -79,7 +79,7 @@
 	dump.Add("daemon", func() any {
 		return daemonState{
 			VM: s.Self(), Incarnation: inc, Started: started, Ready: e.isReady(), Leaving: e.leaving.Load(),
-			Active: rl.Active(), Revision: e.revision(),
+			Active: rl.ActiveRequests(), Revision: e.revision(),
 		}
 	})
 	dump.Add("process-settings", func() any { return s })
@@ -91,6 +91,6 @@
 	if p.State != nil {
 		dump.Add("platform", p.State)
 	}
-	set.Gauge("wisteria_requests_active", rl.Active)
+	set.Gauge("wisteria_requests_active", rl.ActiveRequests)
 	set.Gauge("wisteria_settings_revision", func() int64 { return int64(e.revision()) })
 }
--- a/core/daemon/parts.go
+++ b/core/daemon/parts.go
@@ -124,9 +124,9 @@
 	logger log.Logger
 }
 
-func (s *attemptSink) take(m proxy.AttemptMsg) {
+func (s *attemptSink) take(m proxy.AttemptReport) {
 	s.stats.Counter(stats.Label("wisteria_attempts", "ending", m.Ending.String())).Inc(1)
-	if !m.Result.IsFailure() {
+	if !m.TargetResult.IsFailure() {
 		return
 	}
 	_ = level.Info(s.logger).Log("msg", "attempt failed", "request-id", m.RequestID, "service", m.Service, "route", m.Route,
--- a/core/daemon/shutdown.go
+++ b/core/daemon/shutdown.go
@@ -23,14 +23,14 @@
 	wait := d.parts.Engine.longestTTL() + addressGrace
 	d.parts.Engine.leaving.Store(true)
 	d.parts.Members.Leave()
-	_ = level.Info(d.logger).Log("msg", "leaving", "serving-on-for", wait, "active", d.parts.Relay.Active())
+	_ = level.Info(d.logger).Log("msg", "leaving", "serving-on-for", wait, "active", d.parts.Relay.ActiveRequests())
 	d.waitForCallers(ctx, wait)
 	d.waitForRequests(ctx)
 	copies := d.parts.Peers.handOver(ctx, d.parts.Manager.ExportLedgers())
 	if err := d.parts.Manager.FlushOutcomes(ctx); err != nil {
 		_ = level.Warn(d.logger).Log("msg", "order outcomes not written", "detail", err)
 	}
-	_ = level.Info(d.logger).Log("msg", "left", "ledger-copies", copies, "active", d.parts.Relay.Active())
+	_ = level.Info(d.logger).Log("msg", "left", "ledger-copies", copies, "active", d.parts.Relay.ActiveRequests())
 }
 
 // Hurry ends the wait for callers that may still hold the daemon's address.
@@ -45,7 +45,7 @@
 	select {
 	case <-timer.C:
 	case <-d.hurry:
-		_ = level.Info(d.logger).Log("msg", "wait for callers shortened by a second signal", "active", d.parts.Relay.Active())
+		_ = level.Info(d.logger).Log("msg", "wait for callers shortened by a second signal", "active", d.parts.Relay.ActiveRequests())
 	case <-ctx.Done():
 	}
 }
@@ -53,11 +53,11 @@
 func (d *Daemon) waitForRequests(ctx context.Context) {
 	ticker := time.NewTicker(activePoll)
 	defer ticker.Stop()
-	for d.parts.Relay.Active() > 0 {
+	for d.parts.Relay.ActiveRequests() > 0 {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			_ = level.Error(d.logger).Log("msg", "shutdown limit reached with requests in progress", "active", d.parts.Relay.Active())
+			_ = level.Error(d.logger).Log("msg", "shutdown limit reached with requests in progress", "active", d.parts.Relay.ActiveRequests())
 			return
 		}
 	}
--- a/core/daemon/watch.go
+++ b/core/daemon/watch.go
@@ -30,8 +30,8 @@
 type watch struct {
 	self    fleet.VM
 	service atomic.Pointer[fleet.Service]
-	carrier *proxy.Carrier
-	sink    proxy.RouteSink
+	carrier *proxy.Upstream
+	sink    proxy.AttemptFunc
 	// reportNow tells the peers of a target that starts or ceases to leave.
 	reportNow func(fleet.ServiceID)
 	evidence  *detect.Detector
@@ -60,7 +60,7 @@
 	table       store.Table
 	dial        func(ctx context.Context, network, address string) (net.Conn, error)
 	// onAttempt takes the end of each attempt, for metrics and logs.
-	onAttempt proxy.RouteSink
+	onAttempt proxy.AttemptFunc
 	// reportNow sends the service's report to the peers out of turn.
 	reportNow func(fleet.ServiceID)
 	probe     func(context.Context, fleet.Target, fleet.Probe) detect.ProbeAnswer
@@ -80,7 +80,7 @@
 	w.carriers.Store(&[]fleet.VMID{})
 	w.sink = p.onAttempt
 	w.reportNow = p.reportNow
-	w.carrier = proxy.NewCarrier(p.self, service, proxy.WithTargetDial(p.dial), proxy.WithLeavingSign(w.onResponse), proxy.WithAttempts(w.onAttempt))
+	w.carrier = proxy.NewUpstream(p.self, service, proxy.WithTargetDial(p.dial), proxy.WithLeavingFunc(w.onResponse), proxy.WithAttemptFunc(w.onAttempt))
 	w.ejector = detect.NewEjector(service.ID, p.incarnation, p.table,
 		detect.WithRank(w.rank),
 		detect.WithOnChange(func(detect.CachedRow) { w.nudge() }))
@@ -164,7 +164,7 @@
 	defer w.mu.Unlock()
 	for vm := range w.peers {
 		if _, ok := carriers[vm]; !ok {
-			w.carrier.Gate().RemovePeer(vm)
+			w.carrier.Limiter().RemovePeer(vm)
 		}
 	}
 	w.peers = carriers
@@ -247,8 +247,8 @@
 }
 
 // onAttempt hands the results of requests to targets in trial to the ejector.
-func (w *watch) onAttempt(m proxy.AttemptMsg) {
-	w.ejector.RecordTrialRequest(m.Target, m.Result, m.Latency)
+func (w *watch) onAttempt(m proxy.AttemptReport) {
+	w.ejector.RecordTrialRequest(m.Target, m.TargetResult, m.Latency)
 	w.sink(m)
 }
 
@@ -316,7 +316,7 @@
 		Leaving:         w.leaving.LocallyObserved(time.Now()),
 		EjectionVersion: listing.Version,
 	}
-	for _, l := range w.carrier.Gate().MeanLoads() {
+	for _, l := range w.carrier.Limiter().MeanLoads() {
 		if load, ok := inner.NewTargetLoad(l.Target, l.InFlight); ok {
 			report.InFlight = append(report.InFlight, load)
 		}
@@ -338,7 +338,7 @@
 // deliver takes what a peer's report says about the service.
 func (w *watch) deliver(from fleet.VMID, dc fleet.DataCentre, report *inner.ServiceReport, now time.Time) error {
 	service := w.service.Load()
-	w.carrier.Gate().SetPeerLoads(from, loads(service, report.InFlight), now)
+	w.carrier.Limiter().SetPeerLoads(from, loads(service, report.InFlight), now)
 	w.ejector.RecordPeerVersion(report.EjectionVersion)
 	if len(report.Leaving) > 0 {
 		w.leaving.RecordPeerSignals(report.Leaving, now)
@@ -371,11 +371,11 @@
 
 // serviceState is the state of a carried service for the dump.
 type serviceState struct {
-	Carriers []fleet.VMID       `json:"carriers"`
-	Targets  []targetState      `json:"targets"`
-	Carrier  proxy.CarrierState `json:"carrier"`
-	Ejection detect.Ejections   `json:"ejections"`
-	Version  uint64             `json:"ejections-version"`
+	Carriers []fleet.VMID        `json:"carriers"`
+	Targets  []targetState       `json:"targets"`
+	Carrier  proxy.UpstreamState `json:"carrier"`
+	Ejection detect.Ejections    `json:"ejections"`
+	Version  uint64              `json:"ejections-version"`
 }
 
 type targetState struct {
--- a/core/proxy/attempt.go
+++ b/core/proxy/attempt.go
@@ -63,7 +63,7 @@
 
 // attempt is one try of a caller's request at one target.
 type attempt struct {
-	upstream *Carrier
+	upstream *Upstream
 	in       *inboundRequest
 	grant    *limit.Grant
 	pool     *link.Pool
--- a/core/proxy/bench_test.go
+++ b/core/proxy/bench_test.go
@@ -58,10 +58,10 @@
 		service.Targets = append(service.Targets, fleet.Target{ID: id, Address: target, Slots: 200})
 		states = append(states, limit.Target{ID: id, Slots: 200, State: choose.Ready, Weight: 1, SameDataCentre: true})
 	}
-	carrier := NewCarrier(fleet.VM{ID: "vm1"}, service)
+	carrier := NewUpstream(fleet.VM{ID: "vm1"}, service)
 	carrier.Update(service, states, nil)
-	relay := NewRelay(fleet.VM{ID: "vm1"}, Fleet{
-		Carrier:      func(fleet.ServiceID) (*Carrier, bool) { return carrier, true },
+	relay := NewRelay(fleet.VM{ID: "vm1"}, FleetView{
+		Upstream:     func(fleet.ServiceID) (*Upstream, bool) { return carrier, true },
 		Service:      func(fleet.ServiceID) (*fleet.Service, bool) { return service, true },
 		HasWorkspace: func(id fleet.WorkspaceID) bool { return id != "nowhere" },
 		Ready:        func() bool { return true },
@@ -192,10 +192,10 @@
 	target := startBenchServer(b, benchTarget{body: make([]byte, 200)})
 	service := &fleet.Service{ID: "disponible", Routes: []fleet.Route{lookupRoute()}}
 	service.Targets = []fleet.Target{{ID: "t1", Address: target, Slots: 2}}
-	carrier := NewCarrier(fleet.VM{ID: "vm1"}, service)
+	carrier := NewUpstream(fleet.VM{ID: "vm1"}, service)
 	carrier.Update(service, []limit.Target{{ID: "t1", Slots: 2, State: choose.Ready, Weight: 1}}, nil)
-	relay := NewRelay(fleet.VM{ID: "vm1"}, Fleet{
-		Carrier:      func(fleet.ServiceID) (*Carrier, bool) { return carrier, true },
+	relay := NewRelay(fleet.VM{ID: "vm1"}, FleetView{
+		Upstream:     func(fleet.ServiceID) (*Upstream, bool) { return carrier, true },
 		HasWorkspace: func(id fleet.WorkspaceID) bool { return id != "nowhere" },
 		Ready:        func() bool { return true },
 		Leaving:      func() bool { return false },
--- a/core/proxy/exchange.go
+++ b/core/proxy/exchange.go
@@ -13,7 +13,7 @@
 
 // forwarder sends one request of a caller to targets, in one or more attempts.
 type forwarder struct {
-	upstream *Carrier
+	upstream *Upstream
 	in       *inboundRequest
 	// tried names the targets of the attempts so far.
 	tried []fleet.TargetID
@@ -154,16 +154,16 @@
 		d.Retry = false
 	}
 	f.outcome = d.Outcome
-	f.upstream.onAttempt(AttemptMsg{
-		RequestID: f.in.requestID,
-		Service:   f.in.service.ID,
-		Route:     f.in.route.Name,
-		Target:    res.target,
-		Number:    f.attempts,
-		Ending:    res.ending,
-		Result:    res.targetResult,
-		Decision:  d,
-		Latency:   res.latency,
+	f.upstream.onAttempt(AttemptReport{
+		RequestID:    f.in.requestID,
+		Service:      f.in.service.ID,
+		Route:        f.in.route.Name,
+		Target:       res.target,
+		Number:       f.attempts,
+		Ending:       res.ending,
+		TargetResult: res.targetResult,
+		Decision:     d,
+		Latency:      res.latency,
 	})
 	return d
 }
--- a/core/proxy/order.go
+++ b/core/proxy/order.go
@@ -62,7 +62,7 @@
 
 // serveOrder sends a non-idempotent request to a target if the order manager
 // permits it.
-func (c *call) serveOrder(ctx context.Context, upstream *Carrier) {
+func (c *call) serveOrder(ctx context.Context, upstream *Upstream) {
 	c.offerToken()
 	decision := c.relay.manager.Begin(ctx, c.orderRequest(true))
 	if c.respondWithoutRun(decision) {
@@ -209,7 +209,7 @@
 	id := requestID(r)
 	w.Header().Set(HeaderRequestID, id)
 	service := fleet.ServiceID(r.URL.Query().Get("service"))
-	if _, ok := rl.fleet.Carrier(service); !ok || rl.fleet.Leaving() {
+	if _, ok := rl.fleet.Upstream(service); !ok || rl.fleet.Leaving() {
 		p := newProblem(fault.New(fault.NotCarried, "ask a carrier of service %q for its tokens", service), id)
 		list := rl.fleet.Addresses(service, rl.self.DataCentre, id)
 		p.Addresses = &list
--- a/core/proxy/proxy_test.go
+++ b/core/proxy/proxy_test.go
@@ -31,7 +31,7 @@
 // testRelay is a Relay with stand-in targets on the loopback interface.
 type testRelay struct {
 	service *fleet.Service
-	carrier *Carrier
+	carrier *Upstream
 	targets []*stand.Target
 	relay   *Relay
 	server  *httptest.Server
@@ -55,10 +55,10 @@
 		tr.service.Targets = append(tr.service.Targets, fleet.Target{ID: id, Address: s.Listener.Addr().String(), Slots: 2})
 		states = append(states, limit.Target{ID: id, Slots: 2, State: choose.Ready, Weight: 1, SameDataCentre: true})
 	}
-	tr.carrier = NewCarrier(fleet.VM{ID: "vm1"}, tr.service)
+	tr.carrier = NewUpstream(fleet.VM{ID: "vm1"}, tr.service)
 	tr.carrier.Update(tr.service, states, nil)
-	tr.relay = NewRelay(fleet.VM{ID: "vm1"}, Fleet{
-		Carrier: func(id fleet.ServiceID) (*Carrier, bool) { return tr.carrier, id == tr.service.ID },
+	tr.relay = NewRelay(fleet.VM{ID: "vm1"}, FleetView{
+		Upstream: func(id fleet.ServiceID) (*Upstream, bool) { return tr.carrier, id == tr.service.ID },
 		Service: func(id fleet.ServiceID) (*fleet.Service, bool) {
 			return tr.service, id == tr.service.ID || id == "reservas"
 		},
@@ -231,7 +231,7 @@
 		resp := tr.do("GET", "/stock", nil, nil)
 		_, err := io.ReadAll(resp.Body)
 		Expect(err).To(MatchError(io.ErrUnexpectedEOF))
-		Eventually(func() int { return len(tr.carrier.Gate().MeanLoads()) }).WithTimeout(10 * time.Second).Should(BeZero())
+		Eventually(func() int { return len(tr.carrier.Limiter().MeanLoads()) }).WithTimeout(10 * time.Second).Should(BeZero())
 	})
 
 	It("streams a large request body and refuses one that is too large", func() {
@@ -253,7 +253,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		defer resp.Body.Close()
 		Expect(resp.StatusCode).To(Equal(http.StatusBadRequest))
-		Expect(tr.carrier.Gate().MeanLoads()).To(BeEmpty())
+		Expect(tr.carrier.Limiter().MeanLoads()).To(BeEmpty())
 	})
 
 	It("hedges a slow request within the retry budget", func() {
@@ -266,7 +266,7 @@
 			resp := tr.do("GET", "/stock", nil, nil)
 			Expect(resp.StatusCode).To(Equal(200))
 		}
-		Eventually(func() int { return len(tr.carrier.Gate().MeanLoads()) }).WithTimeout(10 * time.Second).Should(BeZero())
+		Eventually(func() int { return len(tr.carrier.Limiter().MeanLoads()) }).WithTimeout(10 * time.Second).Should(BeZero())
 	})
 
 	It("responds with the addresses of a service", func() {
--- a/core/proxy/relay.go
+++ b/core/proxy/relay.go
@@ -16,12 +16,12 @@
 	"wisteriarelay.example/core/stats"
 )
 
-// Fleet provides the state of the fleet that a Relay needs. Its functions read
+// FleetView provides the state of the fleet that a Relay needs. Its functions read
 // immutable snapshots and never block.
-type Fleet struct {
-	// Carrier returns the state of a service that this daemon carries, or that it
+type FleetView struct {
+	// Upstream returns the state of a service that this daemon carries, or that it
 	// no longer carries but still serves for a while.
-	Carrier func(fleet.ServiceID) (*Carrier, bool)
+	Upstream func(fleet.ServiceID) (*Upstream, bool)
 	// Service returns the settings of a service.
 	Service func(fleet.ServiceID) (*fleet.Service, bool)
 	// HasWorkspace reports whether the settings contain a workspace.
@@ -47,7 +47,7 @@
 type Relay struct {
 	self        fleet.VM
 	domain      string
-	fleet       Fleet
+	fleet       FleetView
 	manager     *order.Manager
 	orderMemory orderBodyMemory
 	logger      log.Logger
@@ -78,7 +78,7 @@
 
 // NewRelay returns a Relay for the daemon self. The manager decides which orders
 // may run.
-func NewRelay(self fleet.VM, f Fleet, manager *order.Manager, opts ...RelayOption) *Relay {
+func NewRelay(self fleet.VM, f FleetView, manager *order.Manager, opts ...RelayOption) *Relay {
 	rl := &Relay{self: self, fleet: f, manager: manager, orderMemory: newOrderBodyMemory(), logger: log.NewNopLogger(), metrics: stats.New()}
 	for _, o := range opts {
 		o(rl)
@@ -97,8 +97,8 @@
 	return r
 }
 
-// Active returns the number of requests in progress.
-func (rl *Relay) Active() int64 {
+// ActiveRequests returns the number of requests in progress.
+func (rl *Relay) ActiveRequests() int64 {
 	return rl.active.Load()
 }
 
@@ -155,7 +155,7 @@
 // serve validates the request, sends it to a target and responds to the caller.
 func (c *call) serve() {
 	rl := c.relay
-	upstream, ok := rl.fleet.Carrier(c.serviceID)
+	upstream, ok := rl.fleet.Upstream(c.serviceID)
 	if !ok {
 		c.refuseNotCarried()
 		return
--- a/core/proxy/respond.go
+++ b/core/proxy/respond.go
@@ -125,7 +125,7 @@
 	if c.request.Context().Err() != nil {
 		return
 	}
-	if upstream, ok := c.relay.fleet.Carrier(c.serviceID); ok {
+	if upstream, ok := c.relay.fleet.Upstream(c.serviceID); ok {
 		upstream.recorder.Record(res.target, detect.Short, 0)
 	}
 }
--- a/core/proxy/upstream.go
+++ b/core/proxy/upstream.go
@@ -15,10 +15,10 @@
 	"wisteriarelay.example/core/retry"
 )
 
-// Carrier is the run-time state that this daemon keeps to forward the requests
+// Upstream is the run-time state that this daemon keeps to forward the requests
 // of one service to its targets: the connection pools, the concurrency limiter,
 // the retry budget and the recorder of the target statistics.
-type Carrier struct {
+type Upstream struct {
 	self     fleet.VM
 	routing  atomic.Pointer[routingSnapshot]
 	limiter  *limit.Limiter
@@ -29,15 +29,15 @@
 	// that it is leaving.
 	onLeaving func(fleet.TargetID, bool)
 	// onAttempt is called after each attempt.
-	onAttempt RouteSink
+	onAttempt AttemptFunc
 }
 
-// RouteSink is a function that is called after each attempt, for metrics and logs.
-type RouteSink func(AttemptMsg)
+// AttemptFunc is a function that is called after each attempt, for metrics and logs.
+type AttemptFunc func(AttemptReport)
 
-// AttemptMsg describes an attempt at a target that has ended. Of the concurrent
+// AttemptReport describes an attempt at a target that has ended. Of the concurrent
 // attempts of a hedged request, only the one whose result is used is reported.
-type AttemptMsg struct {
+type AttemptReport struct {
 	RequestID string
 	Service   fleet.ServiceID
 	Route     string
@@ -45,8 +45,8 @@
 	// Number is the number of the attempt within its request, from 1.
 	Number int
 	Ending retry.Ending
-	// Result is what the attempt says about the health of the target.
-	Result detect.Result
+	// TargetResult is what the attempt says about the health of the target.
+	TargetResult detect.Result
 	// Decision says whether the attempt is followed by a retry.
 	Decision retry.Decision
 	// Latency is the time to the response head, or to the failure.
@@ -61,36 +61,36 @@
 	targets map[fleet.TargetID]fleet.Target
 }
 
-// CarrierOption configures a Carrier.
-type CarrierOption func(*Carrier)
+// UpstreamOption configures a Carrier.
+type UpstreamOption func(*Upstream)
 
 // WithTargetDial sets the function that opens connections to targets.
-func WithTargetDial(dial func(ctx context.Context, network, address string) (net.Conn, error)) CarrierOption {
-	return func(c *Carrier) { c.dial = dial }
+func WithTargetDial(dial func(ctx context.Context, network, address string) (net.Conn, error)) UpstreamOption {
+	return func(c *Upstream) { c.dial = dial }
 }
 
-// WithLeavingSign sets the function that is called for each response; leaving is
+// WithLeavingFunc sets the function that is called for each response; leaving is
 // true if its target announces that it is leaving.
-func WithLeavingSign(f func(id fleet.TargetID, leaving bool)) CarrierOption {
-	return func(c *Carrier) { c.onLeaving = f }
+func WithLeavingFunc(f func(id fleet.TargetID, leaving bool)) UpstreamOption {
+	return func(c *Upstream) { c.onLeaving = f }
 }
 
-// WithAttempts sets the function that is called after each attempt.
-func WithAttempts(f RouteSink) CarrierOption {
-	return func(c *Carrier) { c.onAttempt = f }
+// WithAttemptFunc sets the function that is called after each attempt.
+func WithAttemptFunc(f AttemptFunc) UpstreamOption {
+	return func(c *Upstream) { c.onAttempt = f }
 }
 
-// NewCarrier returns the state of a service that the daemon self starts to
+// NewUpstream returns the state of a service that the daemon self starts to
 // carry. It has no target until Update is called.
-func NewCarrier(self fleet.VM, service *fleet.Service, opts ...CarrierOption) *Carrier {
-	c := &Carrier{
+func NewUpstream(self fleet.VM, service *fleet.Service, opts ...UpstreamOption) *Upstream {
+	c := &Upstream{
 		self:      self,
 		limiter:   limit.New(self.ID),
 		recorder:  detect.NewRecorder(service),
 		budget:    retry.NewTokenBudget(service.Policy.RetryBudget, time.Now()),
 		dial:      (&net.Dialer{}).DialContext,
 		onLeaving: func(fleet.TargetID, bool) {},
-		onAttempt: func(AttemptMsg) {},
+		onAttempt: func(AttemptReport) {},
 	}
 	for _, o := range opts {
 		o(c)
@@ -99,25 +99,25 @@
 	return c
 }
 
-// Gate returns the concurrency limiter of the service.
-func (c *Carrier) Gate() *limit.Limiter {
+// Limiter returns the concurrency limiter of the service.
+func (c *Upstream) Limiter() *limit.Limiter {
 	return c.limiter
 }
 
 // Recorder returns the recorder of the target statistics.
-func (c *Carrier) Recorder() *detect.Recorder {
+func (c *Upstream) Recorder() *detect.Recorder {
 	return c.recorder
 }
 
 // Service returns the current settings of the service.
-func (c *Carrier) Service() *fleet.Service {
+func (c *Upstream) Service() *fleet.Service {
 	return c.routing.Load().service
 }
 
 // Update replaces the settings, the target states and the data centres of the
 // daemons that share the targets. Requests in progress keep the connections that
 // they use. Concurrent calls are not allowed.
-func (c *Carrier) Update(service *fleet.Service, states []limit.Target, members map[fleet.VMID]fleet.DataCentre) {
+func (c *Upstream) Update(service *fleet.Service, states []limit.Target, members map[fleet.VMID]fleet.DataCentre) {
 	old := c.routing.Load()
 	next := &routingSnapshot{
 		service: service,
@@ -144,7 +144,7 @@
 
 // poolFor returns the pool of the target in the old snapshot, or a new one if the
 // target is new or has another address.
-func (c *Carrier) poolFor(old *routingSnapshot, t fleet.Target) *link.Pool {
+func (c *Upstream) poolFor(old *routingSnapshot, t fleet.Target) *link.Pool {
 	if pool, ok := old.pools[t.ID]; ok && old.targets[t.ID].Address == t.Address {
 		return pool
 	}
@@ -162,7 +162,7 @@
 }
 
 // Prune closes connections that have been idle for too long.
-func (c *Carrier) Prune(now time.Time) {
+func (c *Upstream) Prune(now time.Time) {
 	for _, pool := range c.routing.Load().pools {
 		pool.Prune(now)
 	}
@@ -170,25 +170,25 @@
 
 // Close closes the idle connections to all targets. It is called when the service
 // is no longer carried.
-func (c *Carrier) Close() {
+func (c *Upstream) Close() {
 	for _, pool := range c.routing.Load().pools {
 		pool.Close()
 	}
 }
 
-// CarrierState is the state of a Carrier for the state dump.
-type CarrierState struct {
+// UpstreamState is the state of a Carrier for the state dump.
+type UpstreamState struct {
 	Connections map[fleet.TargetID]link.Stats `json:"connections"`
-	Gate        limit.Stats                   `json:"gate"`
+	Limiter     limit.Stats                   `json:"gate"`
 	Retries     retry.TokenBudgetStats        `json:"retries"`
 }
 
 // State returns the current state for the state dump.
-func (c *Carrier) State() CarrierState {
+func (c *Upstream) State() UpstreamState {
 	pools := c.routing.Load().pools
-	s := CarrierState{
+	s := UpstreamState{
 		Connections: make(map[fleet.TargetID]link.Stats, len(pools)),
-		Gate:        c.limiter.Stats(),
+		Limiter:     c.limiter.Stats(),
 		Retries:     c.budget.Stats(),
 	}
 	for id, pool := range pools {
