--- a/core/admin/api.go
+++ b/core/admin/api.go
@@ -14,32 +14,37 @@
 	"wisteriarelay.example/core/settle"
 )
 
-// Deps are the parts of a daemon that the API works with.
+// Deps holds the parts of a daemon that the API depends on. The carriers of a
+// service are the daemons that proxy its requests.
 type Deps struct {
 	VM        fleet.VMID
 	Operators []config.Operator
 	Changelog *settle.Changelog
-	// Applied returns the revision in force at this daemon, or nil.
-	Applied func() *settle.AppliedRevision
-	// Live returns the VMs of the membership, this one included.
+	// Applied returns the settings revision that this daemon has applied, or nil if
+	// it has none yet.
+	Applied func() *settle.Applied
+	// Live returns the live VMs of the fleet's membership, including this one.
 	Live func() []fleet.VM
-	// Carriers returns the carriers of a service; nil if it is unknown.
+	// Carriers returns the carriers of a service, or nil if the service is unknown.
 	Carriers func(fleet.ServiceID) []fleet.VM
-	// Addresses returns the carriers in the order in which a caller tries them.
+	// Addresses returns the addresses of the carriers in the order in which the
+	// given caller tries them.
 	Addresses func(id fleet.ServiceID, dc fleet.DataCentre, caller string) any
-	// Targets returns the targets of a service that this daemon carries.
+	// Targets returns the targets of a service, or false if this daemon does not
+	// carry the service.
 	Targets func(fleet.ServiceID) ([]Target, bool)
-	// Eject and Return change the ejection list of a service that this daemon carries.
+	// Eject and Return add a target to, or remove it from, the ejection list of a
+	// service that this daemon carries.
 	Eject  func(ctx context.Context, o HandOrder) error
 	Return func(ctx context.Context, o HandOrder) error
-	// State returns a part of this daemon's state, or all parts.
+	// State returns one part of this daemon's state, or all parts if part is empty.
 	State func(part string) any
-	// Ask asks another daemon for a part of its state.
+	// Ask requests a part of another daemon's state.
 	Ask    func(ctx context.Context, vm fleet.VM, part string) (*inner.StateReplyMsg, error)
 	Logger log.Logger
 }
 
-// HandOrder is an operator's order to eject or return a target.
+// HandOrder is an operator's request to eject a target or to return it to service.
 type HandOrder struct {
 	Service  fleet.ServiceID
 	Target   fleet.TargetID
@@ -47,31 +52,33 @@
 	Reason   string
 }
 
-// api serves the requests.
+// api implements the endpoints.
 type api struct {
 	Deps
-	tokens []token
+	credentials []credential
 }
 
-// endpoint answers one request with a value that is encoded as JSON.
+// endpoint handles one authenticated request and returns the reply, which is
+// then encoded as JSON.
 type endpoint func(r *http.Request) (any, error)
 
-// Mount adds the API to a router.
-func Mount(r *mux.Router, d Deps) error {
+// Mount registers the API below /v1 on a router. It fails if the token digest of
+// an operator is malformed.
+func Mount(router *mux.Router, d Deps) error {
 	if d.Logger == nil {
 		d.Logger = log.NewNopLogger()
 	}
-	tokens, err := parseTokens(d.Operators)
+	credentials, err := parseCredentials(d.Operators)
 	if err != nil {
 		return err
 	}
-	a := &api{Deps: d, tokens: tokens}
-	a.routes(r.PathPrefix("/v1").Subrouter())
+	a := &api{Deps: d, credentials: credentials}
+	a.routes(router.PathPrefix("/v1").Subrouter())
 	return nil
 }
 
-func (a *api) routes(r *mux.Router) {
-	for _, e := range []struct {
+func (a *api) routes(router *mux.Router) {
+	for _, route := range []struct {
 		method, path string
 		serve        endpoint
 	}{
@@ -94,18 +101,18 @@
 		{http.MethodGet, "/services/{service}/addresses", a.addresses},
 		{http.MethodGet, "/services/{service}/targets", a.targets},
 		{http.MethodPost, "/services/{service}/targets/{target}/eject", a.eject},
-		{http.MethodPost, "/services/{service}/targets/{target}/return", a.giveBack},
+		{http.MethodPost, "/services/{service}/targets/{target}/return", a.returnTarget},
 		{http.MethodPost, "/services/{service}/targets/{target}/drain", a.drain},
 		{http.MethodPost, "/services/{service}/targets/{target}/undrain", a.undrain},
 		{http.MethodGet, "/rollout", a.rollout},
 		{http.MethodGet, "/state", a.state},
 	} {
-		r.Handle(e.path, a.guard(e.serve)).Methods(e.method)
+		router.Handle(route.path, a.handler(route.serve)).Methods(route.method)
 	}
-	r.NotFoundHandler = a.guard(func(r *http.Request) (any, error) {
+	router.NotFoundHandler = a.handler(func(r *http.Request) (any, error) {
 		return nil, fault.New(fault.NotFound, "no endpoint %s", r.URL.Path)
 	})
-	r.MethodNotAllowedHandler = a.guard(func(r *http.Request) (any, error) {
+	router.MethodNotAllowedHandler = a.handler(func(r *http.Request) (any, error) {
 		return nil, fault.New(fault.MethodNotAllowed, "%s %s", r.Method, r.URL.Path)
 	})
 }
--- a/core/admin/auth.go
+++ b/core/admin/auth.go
@@ -15,36 +15,38 @@
 	"wisteriarelay.example/core/fault"
 )
 
-// token is an operator with the digest of the bearer token.
-type token struct {
-	operator string
-	digest   [sha256.Size]byte
+// credential is an operator's name with the SHA-256 digest of a bearer token. An
+// operator may have several credentials.
+type credential struct {
+	operator    string
+	tokenDigest [sha256.Size]byte
 }
 
-func parseTokens(operators []config.Operator) ([]token, error) {
-	tokens := make([]token, 0, len(operators))
+func parseCredentials(operators []config.Operator) ([]credential, error) {
+	credentials := make([]credential, 0, len(operators))
 	for _, o := range operators {
 		digest, err := hex.DecodeString(o.TokenSHA256)
 		if err != nil || len(digest) != sha256.Size {
 			return nil, fault.New(fault.ConfigInvalid, "operator %s: token-sha256 is not a SHA-256 in hex", o.Name)
 		}
-		tokens = append(tokens, token{operator: o.Name, digest: [sha256.Size]byte(digest)})
+		credentials = append(credentials, credential{operator: o.Name, tokenDigest: [sha256.Size]byte(digest)})
 	}
-	return tokens, nil
+	return credentials, nil
 }
 
-// authenticate returns the operator of the request. It compares with every
-// token, so that the time taken does not depend on which one matches.
+// authenticate returns the operator whose bearer token the request carries. It
+// compares the token with every credential, so that the time taken does not
+// reveal which one matches.
 func (a *api) authenticate(r *http.Request) (string, error) {
-	scheme, given, _ := strings.Cut(r.Header.Get("Authorization"), " ")
-	if !strings.EqualFold(scheme, "Bearer") || given == "" {
+	scheme, token, _ := strings.Cut(r.Header.Get("Authorization"), " ")
+	if !strings.EqualFold(scheme, "Bearer") || token == "" {
 		return "", fault.New(fault.Unauthenticated, "header Authorization with a bearer token is needed")
 	}
-	digest := sha256.Sum256([]byte(given))
+	digest := sha256.Sum256([]byte(token))
 	operator := ""
-	for _, t := range a.tokens {
-		if subtle.ConstantTimeCompare(digest[:], t.digest[:]) == 1 {
-			operator = t.operator
+	for _, c := range a.credentials {
+		if subtle.ConstantTimeCompare(digest[:], c.tokenDigest[:]) == 1 {
+			operator = c.operator
 		}
 	}
 	if operator == "" {
@@ -53,51 +55,54 @@
 	return operator, nil
 }
 
-// callKey is the context key of the call.
-type callKey struct{}
+// requestInfoKey is the context key of the requestInfo.
+type requestInfoKey struct{}
 
-// call is the operator and the id of a request.
-type call struct {
+// requestInfo holds the authenticated operator and the id of a request.
+type requestInfo struct {
 	operator  string
 	requestID string
 }
 
-func callOf(r *http.Request) call {
-	c, _ := r.Context().Value(callKey{}).(call)
-	return c
+func requestInfoOf(r *http.Request) requestInfo {
+	info, _ := r.Context().Value(requestInfoKey{}).(requestInfo)
+	return info
 }
 
 const headerRequestID = "X-Request-Id"
 
-// guard admits operators only and writes the reply of the endpoint.
-func (a *api) guard(serve endpoint) http.Handler {
+// handler returns the HTTP handler of an endpoint. It authenticates the operator,
+// limits the size of the request body, calls the endpoint, and writes its reply
+// or a problem document.
+func (a *api) handler(serve endpoint) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		c := call{requestID: r.Header.Get(headerRequestID)}
-		if c.requestID == "" {
-			c.requestID = rand.Text()
+		info := requestInfo{requestID: r.Header.Get(headerRequestID)}
+		if info.requestID == "" {
+			info.requestID = rand.Text()
 		}
-		w.Header().Set(headerRequestID, c.requestID)
+		w.Header().Set(headerRequestID, info.requestID)
 		var err error
-		if c.operator, err = a.authenticate(r); err != nil {
+		if info.operator, err = a.authenticate(r); err != nil {
 			w.Header().Set("WWW-Authenticate", "Bearer")
-			newProblem(err, c.requestID).write(w)
+			newProblem(err, info.requestID).write(w)
 			return
 		}
-		r.Body = http.MaxBytesReader(w, r.Body, maxBody)
-		reply, err := serve(r.WithContext(context.WithValue(r.Context(), callKey{}, c)))
+		r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
+		reply, err := serve(r.WithContext(context.WithValue(r.Context(), requestInfoKey{}, info)))
 		if err != nil {
-			newProblem(err, c.requestID).write(w)
+			newProblem(err, info.requestID).write(w)
 			return
 		}
 		writeReply(w, reply)
 	})
 }
 
-// record logs a change of an operator with its result.
-func (a *api) record(r *http.Request, action, change string, err error, more ...any) {
-	c := callOf(r)
-	fields := []any{"msg", "operator change", "operator", c.operator, "action", action, "change", change, "request-id", c.requestID}
-	fields = append(fields, more...)
+// logAction logs an operator's action with its result, so that each change can
+// be traced to the operator who made it.
+func (a *api) logAction(r *http.Request, action, change string, err error, extra ...any) {
+	info := requestInfoOf(r)
+	fields := []any{"msg", "operator change", "operator", info.operator, "action", action, "change", change, "request-id", info.requestID}
+	fields = append(fields, extra...)
 	if err != nil {
 		_ = level.Warn(a.Logger).Log(append(fields, "result", fault.From(err).Kind, "detail", err)...)
 		return
--- a/core/admin/changes.go
+++ b/core/admin/changes.go
@@ -13,7 +13,7 @@
 )
 
 func (a *api) changes(r *http.Request) (any, error) {
-	limit, err := page(r)
+	limit, err := pageLimit(r)
 	if err != nil {
 		return nil, err
 	}
@@ -38,45 +38,47 @@
 	return a.Changelog.Change(r.Context(), mux.Vars(r)["id"])
 }
 
-// propose keeps a change. The id is chosen here if the operator names none, so
-// that a refusal whose outcome is unknown can name it.
+// propose stores a proposed change. It generates the id if the request has none:
+// the operator needs the id to look up a proposal whose outcome is unknown.
 func (a *api) propose(r *http.Request) (any, error) {
 	var body ProposeBody
 	if err := readBody(r, &body); err != nil {
 		return nil, err
 	}
-	p := settle.Proposal{ID: body.ID, Base: body.Base, Ops: body.Ops, Author: callOf(r).operator, Note: body.Note}
+	p := settle.Proposal{ID: body.ID, Base: body.Base, Ops: body.Ops, Author: requestInfoOf(r).operator, Note: body.Note}
 	if p.ID == "" {
-		p.ID = newID()
+		p.ID = newChangeID()
 	}
 	c, err := a.Changelog.Propose(r.Context(), p)
-	a.record(r, "propose", p.ID, err)
+	a.logAction(r, "propose", p.ID, err)
 	if err != nil {
-		return nil, &about{cause: err, change: p.ID, askAgain: "GET /v1/changes/" + p.ID}
+		return nil, &annotatedError{cause: err, change: p.ID, followUp: "GET /v1/changes/" + p.ID}
 	}
 	return c, nil
 }
 
-// idLength keeps ids short enough to type; 16 characters hold 80 random bits.
-const idLength = 16
+// changeIDLength keeps change ids short enough to type; 16 characters hold 80
+// random bits.
+const changeIDLength = 16
 
-func newID() string {
-	return strings.ToLower(rand.Text()[:idLength])
+func newChangeID() string {
+	return strings.ToLower(rand.Text()[:changeIDLength])
 }
 
-// step changes a proposal on behalf of an operator.
-func (a *api) step(r *http.Request, action string, act func(ctx context.Context, id, operator string) (settle.Change, error)) (any, error) {
+// updateChange applies an operator's action, such as an approval, to the change
+// named in the path.
+func (a *api) updateChange(r *http.Request, action string, update func(ctx context.Context, id, operator string) (settle.Change, error)) (any, error) {
 	id := mux.Vars(r)["id"]
-	c, err := act(r.Context(), id, callOf(r).operator)
-	a.record(r, action, id, err)
+	c, err := update(r.Context(), id, requestInfoOf(r).operator)
+	a.logAction(r, action, id, err)
 	if err != nil {
-		return nil, &about{cause: err, change: id, askAgain: "GET /v1/changes/" + id}
+		return nil, &annotatedError{cause: err, change: id, followUp: "GET /v1/changes/" + id}
 	}
 	return c, nil
 }
 
 func (a *api) approve(r *http.Request) (any, error) {
-	return a.step(r, "approve", a.Changelog.Approve)
+	return a.updateChange(r, "approve", a.Changelog.Approve)
 }
 
 func (a *api) reject(r *http.Request) (any, error) {
@@ -84,40 +86,43 @@
 	if err := readBody(r, &body); err != nil {
 		return nil, err
 	}
-	return a.step(r, "reject", func(ctx context.Context, id, operator string) (settle.Change, error) {
+	return a.updateChange(r, "reject", func(ctx context.Context, id, operator string) (settle.Change, error) {
 		return a.Changelog.Reject(ctx, id, operator, body.Reason)
 	})
 }
 
 func (a *api) withdraw(r *http.Request) (any, error) {
-	return a.step(r, "withdraw", a.Changelog.Withdraw)
+	return a.updateChange(r, "withdraw", a.Changelog.Withdraw)
 }
 
 func (a *api) rebase(r *http.Request) (any, error) {
-	return a.step(r, "rebase", a.Changelog.Rebase)
+	return a.updateChange(r, "rebase", a.Changelog.Rebase)
 }
 
 func (a *api) commit(r *http.Request) (any, error) {
 	id := mux.Vars(r)["id"]
 	revision, err := a.Changelog.Commit(r.Context(), id)
-	a.record(r, "commit", id, err, "revision", revision)
-	return committed(id, revision, err)
+	a.logAction(r, "commit", id, err, "revision", revision)
+	return commitReply(id, revision, err)
 }
 
-// committed turns the result of a commit into its reply.
-func committed(id string, revision settle.Revision, err error) (any, error) {
+// commitReply converts the result of a commit to a reply. A commit that may have
+// taken effect although the store did not answer is a reply, not an error.
+func commitReply(id string, revision settle.Revision, err error) (any, error) {
 	switch {
 	case err == nil:
 		return CommitReply{Change: id, Outcome: settle.OutcomeAccepted, Revision: revision}, nil
 	case fault.Is(err, fault.StoreAmbiguous):
-		return unsettled(id), nil
+		return notYetKnownReply(id), nil
 	}
-	return nil, &about{cause: err, change: id}
+	return nil, &annotatedError{cause: err, change: id}
 }
 
-func unsettled(id string) CommitReply {
+// notYetKnownReply returns the reply for a commit whose outcome the store has not
+// confirmed.
+func notYetKnownReply(id string) CommitReply {
 	return CommitReply{
-		Change: id, Outcome: settle.OutcomeNotYetKnown, AskAgain: "POST /v1/changes/" + id + "/resolve",
+		Change: id, Outcome: settle.NotYetKnown, FollowUp: "POST /v1/changes/" + id + "/resolve",
 		Detail: "the platform's table has not answered; asking again never applies the change twice",
 	}
 }
@@ -125,12 +130,12 @@
 func (a *api) resolve(r *http.Request) (any, error) {
 	id := mux.Vars(r)["id"]
 	resolution, err := a.Changelog.Resolve(r.Context(), id)
-	a.record(r, "resolve", id, err, "outcome", resolution.Outcome)
+	a.logAction(r, "resolve", id, err, "outcome", resolution.Outcome)
 	if err != nil {
-		return nil, &about{cause: err, change: id}
+		return nil, &annotatedError{cause: err, change: id}
 	}
-	if resolution.Outcome == settle.OutcomeNotYetKnown {
-		return unsettled(id), nil
+	if resolution.Outcome == settle.NotYetKnown {
+		return notYetKnownReply(id), nil
 	}
 	return CommitReply{Change: id, Outcome: resolution.Outcome, Revision: resolution.Revision}, nil
 }
--- a/core/admin/doc.go
+++ b/core/admin/doc.go
@@ -1,4 +1,5 @@
-// Package admin is the administration API of a daemon: settings and their
-// changes, targets, roll-out and state dumps over HTTP with JSON bodies, for
-// operators with a bearer token. It keeps no state of its own.
+// Package admin implements the administration API of a daemon. Operators, who
+// authenticate with a bearer token, use it over HTTP with JSON bodies to read and
+// change settings, to manage targets, to follow a roll-out and to read state
+// dumps. The package is stateless: all state belongs to the parts in Deps.
 package admin
--- a/core/admin/problem.go
+++ b/core/admin/problem.go
@@ -14,46 +14,51 @@
 	"wisteriarelay.example/core/tree"
 )
 
-// maxBody bounds a request body; the settings of 24,000 workspaces take less.
-const maxBody = 8 << 20
+// maxBodyBytes limits the size of a request body. The settings of 24,000
+// workspaces fit.
+const maxBodyBytes = 8 << 20
 
-// Problem is the body of a failure response on the administration port.
+// Problem is the problem document that the administration API returns for a
+// failed request.
 type Problem struct {
 	fault.Problem
 	// Change is the id of the change that the request concerns.
 	Change string `json:"change,omitempty"`
-	// AskAgain is the request that tells the outcome if it is unknown.
-	AskAgain string `json:"ask-again,omitempty"`
-	// Problems lists what is wrong with settings.
+	// FollowUp is the method and path of the request that returns the outcome if it
+	// is unknown.
+	FollowUp string `json:"ask-again,omitempty"`
+	// Problems lists all errors in invalid settings.
 	Problems []tree.Problem `json:"problems,omitempty"`
-	// Conflict says what was accepted since the base of a change.
+	// Conflict describes the revisions that were accepted since the base of the
+	// change.
 	Conflict *settle.Conflict `json:"conflict,omitempty"`
 	// Carriers lists the daemons that carry the service if this one does not.
 	Carriers []Carrier `json:"carriers,omitempty"`
 }
 
-// Error returns kind and detail.
+// Error returns the kind and the detail.
 func (p *Problem) Error() string {
 	return p.Kind + ": " + p.Detail
 }
 
-// about adds to an error what the operator needs to continue.
-type about struct {
+// annotatedError adds the fields of a Problem that tell the operator how to
+// proceed: the change, the follow-up request or the carriers.
+type annotatedError struct {
 	cause    error
 	change   string
-	askAgain string
+	followUp string
 	carriers []Carrier
 }
 
 // Error returns the text of the cause.
-func (e *about) Error() string { return e.cause.Error() }
+func (e *annotatedError) Error() string { return e.cause.Error() }
 
 // Unwrap returns the cause.
-func (e *about) Unwrap() error { return e.cause }
+func (e *annotatedError) Unwrap() error { return e.cause }
 
-func newProblem(err error, id string) *Problem {
+func newProblem(err error, requestID string) *Problem {
 	e := fault.From(err)
-	p := &Problem{Problem: e.Problem(id)}
+	p := &Problem{Problem: e.Problem(requestID)}
 	if e.Cause != nil {
 		p.Detail += ": " + strings.TrimSpace(e.Cause.Error())
 	}
@@ -62,11 +67,11 @@
 		p.Problems = invalid.Problems
 	}
 	errors.As(err, &p.Conflict)
-	var more *about
-	if errors.As(err, &more) {
-		p.Change, p.Carriers = more.change, more.carriers
+	var annotated *annotatedError
+	if errors.As(err, &annotated) {
+		p.Change, p.Carriers = annotated.change, annotated.carriers
 		if e.Outcome == fault.Unknown {
-			p.AskAgain = more.askAgain
+			p.FollowUp = annotated.followUp
 		}
 	}
 	return p
@@ -76,7 +81,8 @@
 	fault.WriteProblem(w, p.Problem, p)
 }
 
-// writeReply writes a reply; one whose outcome is not yet known has status 202.
+// writeReply encodes a reply as JSON. The status is 202 if the outcome of a commit
+// is not yet known, and 200 otherwise.
 func writeReply(w http.ResponseWriter, reply any) {
 	status := http.StatusOK
 	if c, ok := reply.(CommitReply); ok && c.Outcome == settle.OutcomeNotYetKnown {
@@ -93,33 +99,34 @@
 	_, _ = w.Write(append(data, '\n'))
 }
 
-// readBody decodes the body of a request; an empty one leaves into as it is.
-func readBody(r *http.Request, into any) error {
+// readBody decodes the JSON body of a request. An empty request body leaves body
+// unchanged.
+func readBody(r *http.Request, body any) error {
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
-	err := decoder.Decode(into)
+	err := decoder.Decode(body)
 	var tooLarge *http.MaxBytesError
 	var known *fault.Error
 	switch {
 	case err == nil || errors.Is(err, io.EOF):
 		return nil
 	case errors.As(err, &tooLarge):
-		return fault.New(fault.RequestTooLarge, "body above %d bytes", maxBody)
+		return fault.New(fault.RequestTooLarge, "body above %d bytes", maxBodyBytes)
 	case errors.As(err, &known):
 		return err
 	}
 	return fault.Wrap(err, fault.BadRequest, "request body")
 }
 
-// number reads a query parameter; an absent one is 0.
-func number(r *http.Request, name string) (uint64, error) {
-	text := r.URL.Query().Get(name)
-	if text == "" {
+// countParam returns a numeric query parameter, or 0 if it is absent.
+func countParam(r *http.Request, name string) (uint64, error) {
+	value := r.URL.Query().Get(name)
+	if value == "" {
 		return 0, nil
 	}
-	n, err := strconv.ParseUint(text, 10, 63)
+	n, err := strconv.ParseUint(value, 10, 63)
 	if err != nil {
-		return 0, fault.New(fault.BadRequest, "parameter %s %q; allowed: a count", name, text)
+		return 0, fault.New(fault.BadRequest, "parameter %s %q; allowed: a count", name, value)
 	}
 	return n, nil
 }
--- a/core/admin/rollout.go
+++ b/core/admin/rollout.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	// askWorkers is the number of daemons asked at once. 690 daemons take 22
-	// rounds of a few milliseconds.
-	askWorkers = 32
-	// rolloutLimit bounds the whole inquiry while many daemons do not answer.
-	rolloutLimit = 20 * time.Second
-	partDaemon   = "daemon"
+	// rolloutWorkers is the number of daemons queried concurrently. 690 daemons take
+	// 22 rounds of a few milliseconds.
+	rolloutWorkers = 32
+	// rolloutTimeout limits the whole query while many daemons do not answer.
+	rolloutTimeout = 20 * time.Second
+	daemonPartName = "daemon"
 )
 
-// daemonPart is what the roll-out reads from the state part "daemon".
-type daemonPart struct {
+// daemonDump contains the fields of the state part "daemon" that a roll-out
+// report needs.
+type daemonDump struct {
 	Daemon struct {
 		Ready    bool            `json:"ready"`
 		Leaving  bool            `json:"leaving"`
@@ -31,8 +32,9 @@
 	} `json:"daemon"`
 }
 
-// inquiry asks all daemons for their revision.
-type inquiry struct {
+// rolloutQuery queries all live daemons for the revision that they have applied.
+// Several workers take VMs from vms and send one state for each to results.
+type rolloutQuery struct {
 	api     *api
 	head    settle.Revision
 	vms     chan fleet.VM
@@ -40,22 +42,22 @@
 }
 
 func (a *api) rollout(r *http.Request) (any, error) {
-	ctx, cancel := context.WithTimeout(r.Context(), rolloutLimit)
+	ctx, cancel := context.WithTimeout(r.Context(), rolloutTimeout)
 	defer cancel()
-	v, err := a.newest(ctx)
+	latest, err := a.latestDoc(ctx)
 	if err != nil {
 		return nil, err
 	}
 	live := a.Live()
-	q := inquiry{api: a, head: v.revision, vms: make(chan fleet.VM, len(live)), results: make(chan DaemonState, len(live))}
+	q := rolloutQuery{api: a, head: latest.revision, vms: make(chan fleet.VM, len(live)), results: make(chan DaemonState, len(live))}
 	for _, vm := range live {
 		q.vms <- vm
 	}
 	close(q.vms)
-	for range min(askWorkers, len(live)) {
+	for range min(rolloutWorkers, len(live)) {
 		go q.run(ctx)
 	}
-	reply := RolloutReply{Head: v.revision, Source: v.source, Daemons: []DaemonState{}}
+	reply := RolloutReply{Head: latest.revision, Source: latest.source, Daemons: []DaemonState{}}
 	for range live {
 		reply.Daemons = append(reply.Daemons, <-q.results)
 	}
@@ -63,25 +65,25 @@
 	return reply, nil
 }
 
-func (q inquiry) run(ctx context.Context) {
+func (q rolloutQuery) run(ctx context.Context) {
 	for vm := range q.vms {
-		q.results <- q.ask(ctx, vm)
+		q.results <- q.queryDaemon(ctx, vm)
 	}
 }
 
-func (q inquiry) ask(ctx context.Context, vm fleet.VM) DaemonState {
+func (q rolloutQuery) queryDaemon(ctx context.Context, vm fleet.VM) DaemonState {
 	state := DaemonState{VM: vm.ID, DataCentre: vm.DataCentre, State: "unreachable"}
-	data, err := q.api.dump(ctx, vm, partDaemon)
+	data, err := q.api.stateDump(ctx, vm, daemonPartName)
 	if err != nil {
 		state.Detail = err.Error()
 		return state
 	}
-	var part daemonPart
-	if err := json.Unmarshal(data, &part); err != nil {
+	var dump daemonDump
+	if err := json.Unmarshal(data, &dump); err != nil {
 		state.Detail = err.Error()
 		return state
 	}
-	state.Ready, state.Leaving, state.Revision = part.Daemon.Ready, part.Daemon.Leaving, part.Daemon.Revision
+	state.Ready, state.Leaving, state.Revision = dump.Daemon.Ready, dump.Daemon.Leaving, dump.Daemon.Revision
 	switch {
 	case !state.Ready && !state.Leaving:
 		state.State = "not-ready"
@@ -93,8 +95,8 @@
 	return state
 }
 
-// dump returns a part of the state of this or another daemon, as JSON.
-func (a *api) dump(ctx context.Context, vm fleet.VM, part string) ([]byte, error) {
+// stateDump returns a part of the state of this or another daemon, as JSON.
+func (a *api) stateDump(ctx context.Context, vm fleet.VM, part string) ([]byte, error) {
 	if vm.ID == a.VM {
 		data, err := json.Marshal(a.State(part))
 		if err != nil {
@@ -109,7 +111,8 @@
 	return reply.Dump, nil
 }
 
-// state returns a dump; parameter "vm" names another daemon, "part" one part.
+// state returns a state dump. Query parameter "vm" selects another daemon, and
+// "part" limits the dump to one part.
 func (a *api) state(r *http.Request) (any, error) {
 	q := r.URL.Query()
 	vm := fleet.VM{ID: a.VM}
@@ -121,6 +124,6 @@
 		}
 		vm = live[i]
 	}
-	data, err := a.dump(r.Context(), vm, q.Get("part"))
+	data, err := a.stateDump(r.Context(), vm, q.Get("part"))
 	return json.RawMessage(data), err
 }
--- a/core/admin/settings.go
+++ b/core/admin/settings.go
@@ -13,81 +13,84 @@
 )
 
 const (
-	defaultPage = 50
-	maxPage     = 500
+	defaultPageLimit = 50
+	maxPageLimit     = 500
 )
 
-// version is a document with its revision and source.
-type version struct {
+// settingsDoc is a settings document with its revision and source.
+type settingsDoc struct {
 	revision settle.Revision
 	doc      *tree.Document
 	source   string
 }
 
-// newest returns the head; while the store does not reply, the revision in
-// force at this daemon.
-func (a *api) newest(ctx context.Context) (version, error) {
+// latestDoc returns the head. While the store is unavailable it returns the
+// revision that this daemon has applied.
+func (a *api) latestDoc(ctx context.Context) (settingsDoc, error) {
 	revision, doc, err := a.Changelog.Head(ctx)
 	if err == nil {
-		return version{revision, doc, SourceStore}, nil
+		return settingsDoc{revision, doc, SourceStore}, nil
 	}
-	if in := a.Applied(); fault.Is(err, fault.StoreUnavailable) && in != nil {
-		return version{in.Revision, in.Doc, SourceDaemon}, nil
+	if applied := a.Applied(); fault.Is(err, fault.StoreUnavailable) && applied != nil {
+		return settingsDoc{applied.Revision, applied.Doc, SourceDaemon}, nil
 	}
-	return version{}, err
+	return settingsDoc{}, err
 }
 
-// at returns the revision of parameter "revision", or the newest.
-func (a *api) at(r *http.Request) (version, error) {
-	n, err := number(r, "revision")
+// requestedDoc returns the revision named by query parameter "revision", or the
+// latest one if the parameter is absent.
+func (a *api) requestedDoc(r *http.Request) (settingsDoc, error) {
+	n, err := countParam(r, "revision")
 	if err != nil {
-		return version{}, err
+		return settingsDoc{}, err
 	}
 	if n == 0 {
-		return a.newest(r.Context())
+		return a.latestDoc(r.Context())
 	}
 	doc, err := a.Changelog.Doc(r.Context(), settle.Revision(n))
-	return version{settle.Revision(n), doc, SourceStore}, err
+	return settingsDoc{settle.Revision(n), doc, SourceStore}, err
 }
 
 func (a *api) head(r *http.Request) (any, error) {
-	v, err := a.newest(r.Context())
+	latest, err := a.latestDoc(r.Context())
 	if err != nil {
 		return nil, err
 	}
-	reply := HeadReply{Revision: v.revision, Source: v.source}
-	if in := a.Applied(); in != nil {
-		reply.InForce = in.Revision
+	reply := HeadReply{Revision: latest.revision, Source: latest.source}
+	if applied := a.Applied(); applied != nil {
+		reply.Applied = applied.Revision
 	}
 	return reply, nil
 }
 
 func (a *api) value(r *http.Request) (any, error) {
-	v, err := a.at(r)
+	requested, err := a.requestedDoc(r)
 	if err != nil {
 		return nil, err
 	}
 	q := r.URL.Query()
 	reply := ValueReply{
-		Revision: v.revision, Source: v.source,
+		Revision: requested.revision, Source: requested.source,
 		Path: tree.Path(q.Get("path")), Key: q.Get("key"), Target: fleet.TargetID(q.Get("target")),
 	}
 	var value tree.Value
 	if reply.Target == "" {
-		value, reply.Origin, err = v.doc.Effective(reply.Path, reply.Key)
+		value, reply.Origin, err = requested.doc.Effective(reply.Path, reply.Key)
 	} else {
-		value, reply.Origin, err = v.doc.EffectiveForTarget(reply.Path, reply.Target, reply.Key)
+		value, reply.Origin, err = requested.doc.EffectiveTarget(reply.Path, reply.Target, reply.Key)
 	}
 	reply.Value = value.Raw
 	return reply, err
 }
 
 func (a *api) document(r *http.Request) (any, error) {
-	v, err := a.at(r)
-	return DocumentReply{Revision: v.revision, Source: v.source, Document: v.doc}, err
+	requested, err := a.requestedDoc(r)
+	return DocumentReply{Revision: requested.revision, Source: requested.source, Document: requested.doc}, err
 }
 
-// bootstrap takes a settings file, in JSON with or without comments.
+// bootstrap writes the settings document in the request body as the first
+// revision. The document is JSON, optionally with comments. Only an operator whom
+// the document names as an owner may bootstrap it.
 func (a *api) bootstrap(r *http.Request) (any, error) {
 	data, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -97,24 +100,24 @@
 	if err != nil {
 		return nil, err
 	}
-	operator := callOf(r).operator
+	operator := requestInfoOf(r).operator
 	if !slices.Contains(doc.Owners(), operator) {
 		return nil, fault.New(fault.Forbidden, "operator %s is not among the owners of the document", operator)
 	}
 	revision, written, err := a.Changelog.Bootstrap(r.Context(), doc, operator)
-	a.record(r, "bootstrap", "", err, "revision", revision, "written", written)
+	a.logAction(r, "bootstrap", "", err, "revision", revision, "written", written)
 	if err != nil {
-		return nil, &about{cause: err, askAgain: "POST /v1/settings/bootstrap"}
+		return nil, &annotatedError{cause: err, followUp: "POST /v1/settings/bootstrap"}
 	}
 	return BootstrapReply{Revision: revision, Written: written}, nil
 }
 
 func (a *api) history(r *http.Request) (any, error) {
-	before, err := number(r, "before")
+	before, err := countParam(r, "before")
 	if err != nil {
 		return nil, err
 	}
-	limit, err := page(r)
+	limit, err := pageLimit(r)
 	if err != nil {
 		return nil, err
 	}
@@ -122,21 +125,22 @@
 	return HistoryReply{Revisions: list}, err
 }
 
-func page(r *http.Request) (int, error) {
-	limit, err := number(r, "limit")
+func pageLimit(r *http.Request) (int, error) {
+	limit, err := countParam(r, "limit")
 	if limit == 0 {
-		limit = defaultPage
+		limit = defaultPageLimit
 	}
-	return int(min(limit, maxPage)), err
+	return int(min(limit, maxPageLimit)), err
 }
 
-// diff compares "from" with "to"; an absent "to" is the head.
+// diff compares the revisions of query parameters "from" and "to". An absent "to"
+// stands for the head.
 func (a *api) diff(r *http.Request) (any, error) {
-	from, err := number(r, "from")
+	from, err := countParam(r, "from")
 	if err != nil {
 		return nil, err
 	}
-	to, err := number(r, "to")
+	to, err := countParam(r, "to")
 	if err != nil {
 		return nil, err
 	}
@@ -156,10 +160,10 @@
 	if err := readBody(r, &body); err != nil {
 		return nil, err
 	}
-	c, err := a.Changelog.Rollback(r.Context(), body.To, callOf(r).operator, body.Note)
-	a.record(r, "rollback", c.ID, err, "to", body.To)
+	c, err := a.Changelog.Rollback(r.Context(), body.To, requestInfoOf(r).operator, body.Note)
+	a.logAction(r, "rollback", c.ID, err, "to", body.To)
 	if err != nil {
-		return nil, &about{cause: err, change: c.ID, askAgain: "GET /v1/changes"}
+		return nil, &annotatedError{cause: err, change: c.ID, followUp: "GET /v1/changes"}
 	}
 	return c, nil
 }
--- a/core/admin/suite_test.go
+++ b/core/admin/suite_test.go
@@ -46,29 +46,30 @@
 	service   = fleet.ServiceID("reservas")
 )
 
-// rig is an API over a real changelog and ejector.
-type rig struct {
+// fixture is an API server backed by a real changelog and ejector.
+type fixture struct {
 	url      string
 	platform *stand.Platform
-	// beforeApply runs once before the next transaction of the changelog.
+	// beforeApply is called once, before the next transaction of the changelog.
 	beforeApply func()
 	log         bytes.Buffer
 }
 
-// seal returns the settings entry of an operator whose token is "token-" and the name.
-func seal(name string) config.Operator {
+// operatorEntry returns the settings entry of an operator whose token is "token-"
+// followed by the name.
+func operatorEntry(name string) config.Operator {
 	digest := sha256.Sum256([]byte("token-" + name))
 	return config.Operator{Name: name, TokenSHA256: hex.EncodeToString(digest[:])}
 }
 
-func newRig() *rig {
-	r := &rig{platform: stand.NewPlatform()}
+func newFixture() *fixture {
+	f := &fixture{platform: stand.NewPlatform()}
 	doc, err := tree.ParseFile([]byte(document))
 	Expect(err).NotTo(HaveOccurred())
 	catalog, err := doc.Catalog()
 	Expect(err).NotTo(HaveOccurred())
 	compiled, _ := catalog.Service(service)
-	table := r.platform.Table()
+	table := f.platform.Table()
 	ejector := detect.NewEjector(service, "mdp-1.0000000000000001", table)
 	ctx, cancel := context.WithCancel(context.Background())
 	ejector.Start(ctx)
@@ -83,9 +84,9 @@
 	router := mux.NewRouter()
 	Expect(Mount(router, Deps{
 		VM:        "mdp-1",
-		Operators: []config.Operator{seal("marta"), seal("hector")},
-		Changelog: settle.NewChangelog(store.Table{Get: table.Get, Scan: table.Scan, Apply: r.apply}),
-		Applied:   func() *settle.AppliedRevision { return &settle.AppliedRevision{Revision: 1, Doc: doc} },
+		Operators: []config.Operator{operatorEntry("marta"), operatorEntry("hector")},
+		Changelog: settle.NewChangelog(store.Table{Get: table.Get, Scan: table.Scan, Apply: f.apply}),
+		Applied:   func() *settle.Applied { return &settle.Applied{Revision: 1, Doc: doc} },
 		Live:      func() []fleet.VM { return live },
 		Carriers: func(id fleet.ServiceID) []fleet.VM {
 			if id == "elsewhere" {
@@ -109,31 +110,32 @@
 			}
 			return &inner.StateReplyMsg{Dump: []byte(`{"daemon":{"ready":true,"revision":0}}`)}, nil
 		},
-		Logger: log.NewLogfmtLogger(&r.log),
+		Logger: log.NewLogfmtLogger(&f.log),
 	})).To(Succeed())
 	server := httptest.NewServer(router)
 	DeferCleanup(server.Close)
-	r.url = server.URL
-	return r
+	f.url = server.URL
+	return f
 }
 
-func (r *rig) apply(ctx context.Context, tx store.Tx) error {
-	if act := r.beforeApply; act != nil {
-		r.beforeApply = nil
-		act()
+func (f *fixture) apply(ctx context.Context, tx store.Tx) error {
+	if run := f.beforeApply; run != nil {
+		f.beforeApply = nil
+		run()
 	}
-	return r.platform.Table().Apply(ctx, tx)
+	return f.platform.Table().Apply(ctx, tx)
 }
 
-// send sends a request with a bearer token, decodes the reply and returns its status.
-func (r *rig) send(token, method, path string, body, into any) int {
+// send sends a request with a bearer token, decodes the reply and returns the
+// response status.
+func (f *fixture) send(token, method, path string, body, reply any) int {
 	data, ok := body.(string)
 	if !ok && body != nil {
 		encoded, err := json.Marshal(body)
 		Expect(err).NotTo(HaveOccurred())
 		data = string(encoded)
 	}
-	req, err := http.NewRequest(method, r.url+path, bytes.NewReader([]byte(data)))
+	req, err := http.NewRequest(method, f.url+path, bytes.NewReader([]byte(data)))
 	Expect(err).NotTo(HaveOccurred())
 	if token != "" {
 		req.Header.Set("Authorization", "Bearer "+token)
@@ -143,25 +145,25 @@
 	defer resp.Body.Close()
 	got, err := io.ReadAll(resp.Body)
 	Expect(err).NotTo(HaveOccurred())
-	if into != nil {
-		Expect(json.Unmarshal(got, into)).To(Succeed(), string(got))
+	if reply != nil {
+		Expect(json.Unmarshal(got, reply)).To(Succeed(), string(got))
 	}
 	return resp.StatusCode
 }
 
-// as sends a request of an operator.
-func (r *rig) as(operator, method, path string, body, into any) int {
-	return r.send("token-"+operator, method, path, body, into)
+// sendAs sends a request as an operator.
+func (f *fixture) sendAs(operator, method, path string, body, reply any) int {
+	return f.send("token-"+operator, method, path, body, reply)
 }
 
-// boot writes revision 1.
-func (r *rig) boot() {
-	Expect(r.as("marta", "POST", "/v1/settings/bootstrap", document, nil)).To(Equal(http.StatusOK))
+// bootstrap writes the document as revision 1.
+func (f *fixture) bootstrap() {
+	Expect(f.sendAs("marta", "POST", "/v1/settings/bootstrap", document, nil)).To(Equal(http.StatusOK))
 }
 
-// floor proposes a floor of the workspace and returns the id of the change.
-func (r *rig) floor(operator, value string) string {
+// proposeFloor proposes a floor for the workspace and returns the id of the change.
+func (f *fixture) proposeFloor(operator, value string) string {
 	var c settle.Change
-	Expect(r.as(operator, "POST", "/v1/changes", ProposeBody{Ops: []tree.Op{tree.Set(workspace, "floor", value)}}, &c)).To(Equal(http.StatusOK))
+	Expect(f.sendAs(operator, "POST", "/v1/changes", ProposeBody{Ops: []tree.Op{tree.Set(workspace, "floor", value)}}, &c)).To(Equal(http.StatusOK))
 	return c.ID
 }
--- a/core/admin/targets.go
+++ b/core/admin/targets.go
@@ -32,7 +32,8 @@
 	return TargetsReply{Service: id, VM: a.VM, Targets: list}, nil
 }
 
-// notCarried names the carriers of a service that this daemon does not carry.
+// notCarried returns the error for a service that this daemon does not carry. It
+// lists the carriers, which the operator can use instead.
 func (a *api) notCarried(id fleet.ServiceID) error {
 	carriers := []Carrier{}
 	for _, vm := range a.Carriers(id) {
@@ -41,36 +42,37 @@
 	if len(carriers) == 0 {
 		return fault.New(fault.UnknownService, "service %q", id)
 	}
-	return &about{cause: fault.New(fault.NotCarried, "daemon %s does not carry service %s", a.VM, id), carriers: carriers}
+	return &annotatedError{cause: fault.New(fault.NotCarried, "daemon %s does not carry service %s", a.VM, id), carriers: carriers}
 }
 
 func (a *api) eject(r *http.Request) (any, error) {
-	return a.byHand(r, "eject", a.Eject)
+	return a.targetAction(r, "eject", a.Eject)
 }
 
-func (a *api) giveBack(r *http.Request) (any, error) {
-	return a.byHand(r, "return", a.Return)
+func (a *api) returnTarget(r *http.Request) (any, error) {
+	return a.targetAction(r, "return", a.Return)
 }
 
-func (a *api) byHand(r *http.Request, action string, act func(context.Context, HandOrder) error) (any, error) {
+// targetAction ejects a target or returns it to service on behalf of an operator.
+func (a *api) targetAction(r *http.Request, name string, apply func(context.Context, HandOrder) error) (any, error) {
 	var body ReasonBody
 	if err := readBody(r, &body); err != nil {
 		return nil, err
 	}
 	vars := mux.Vars(r)
-	o := HandOrder{
+	action := HandOrder{
 		Service: fleet.ServiceID(vars["service"]), Target: fleet.TargetID(vars["target"]),
-		Operator: callOf(r).operator, Reason: body.Reason,
+		Operator: requestInfoOf(r).operator, Reason: body.Reason,
 	}
-	if _, ok := a.Targets(o.Service); !ok {
-		return nil, a.notCarried(o.Service)
+	if _, ok := a.Targets(action.Service); !ok {
+		return nil, a.notCarried(action.Service)
 	}
-	err := act(r.Context(), o)
-	a.record(r, action, "", err, "service", o.Service, "target", o.Target, "reason", o.Reason)
+	err := apply(r.Context(), action)
+	a.logAction(r, name, "", err, "service", action.Service, "target", action.Target, "reason", action.Reason)
 	if err != nil {
-		return nil, &about{cause: err, askAgain: "GET /v1/services/" + string(o.Service) + "/targets"}
+		return nil, &annotatedError{cause: err, followUp: "GET /v1/services/" + string(action.Service) + "/targets"}
 	}
-	return HandReply{Service: o.Service, Target: o.Target, Action: action, Operator: o.Operator}, nil
+	return TargetActionReply{Service: action.Service, Target: action.Target, Action: name, Operator: action.Operator}, nil
 }
 
 func (a *api) drain(r *http.Request) (any, error) {
@@ -81,12 +83,14 @@
 	return a.setDrained(r, false)
 }
 
-// drainTries bounds how often a drain is written anew after it lost to another change.
-const drainTries = 3
+// maxDrainAttempts limits how often a drain is proposed again after its commit
+// conflicted with another change.
+const maxDrainAttempts = 3
 
-// setDrained proposes and commits a change of the service's list of drained
-// targets. The list is one value, so a change that lost is withdrawn and
-// written anew: a rebase would undo another drain.
+// setDrained proposes and commits a change to the service's list of drained
+// targets. The list is a single value, so a rebase after a conflict would undo the
+// other drain. A change that conflicts is therefore withdrawn and proposed again
+// against the new head.
 func (a *api) setDrained(r *http.Request, drained bool) (any, error) {
 	var body ReasonBody
 	if err := readBody(r, &body); err != nil {
@@ -96,21 +100,23 @@
 	if drained {
 		action = "drain"
 	}
-	for try := 1; ; try++ {
-		reply, id, err := a.tryDrain(r, drained, body.Reason)
+	for attempt := 1; ; attempt++ {
+		reply, id, err := a.trySetDrained(r, drained, body.Reason)
 		if id != "" || err != nil {
-			a.record(r, action, id, err, "service", mux.Vars(r)["service"], "target", mux.Vars(r)["target"])
+			a.logAction(r, action, id, err, "service", mux.Vars(r)["service"], "target", mux.Vars(r)["target"])
 		}
-		if try == drainTries || !fault.Is(err, fault.SettingsConflict) {
+		if attempt == maxDrainAttempts || !fault.Is(err, fault.SettingsConflict) {
 			return reply, err
 		}
-		if _, err := a.Changelog.Withdraw(r.Context(), id, callOf(r).operator); err != nil {
-			return nil, &about{cause: err, change: id, askAgain: "GET /v1/changes/" + id}
+		if _, err := a.Changelog.Withdraw(r.Context(), id, requestInfoOf(r).operator); err != nil {
+			return nil, &annotatedError{cause: err, change: id, followUp: "GET /v1/changes/" + id}
 		}
 	}
 }
 
-func (a *api) tryDrain(r *http.Request, drained bool, note string) (reply any, id string, err error) {
+// trySetDrained makes one attempt of setDrained. The returned id is empty if no
+// change was proposed.
+func (a *api) trySetDrained(r *http.Request, drained bool, note string) (reply any, id string, err error) {
 	ctx := r.Context()
 	revision, doc, err := a.Changelog.Head(ctx)
 	if err != nil {
@@ -124,22 +130,23 @@
 	if !changed {
 		return CommitReply{Outcome: Unchanged, Revision: revision}, "", nil
 	}
-	id = newID()
-	p := settle.Proposal{ID: id, Base: revision, Ops: []tree.Op{op}, Author: callOf(r).operator, Note: note}
+	id = newChangeID()
+	p := settle.Proposal{ID: id, Base: revision, Ops: []tree.Op{op}, Author: requestInfoOf(r).operator, Note: note}
 	if _, err := a.Changelog.Propose(ctx, p); err != nil {
-		return nil, id, &about{cause: err, change: id, askAgain: "GET /v1/changes/" + id}
+		return nil, id, &annotatedError{cause: err, change: id, followUp: "GET /v1/changes/" + id}
 	}
 	revision, err = a.Changelog.Commit(ctx, id)
 	if fault.Is(err, fault.SettingsUnsettled) {
 		return CommitReply{Change: id, Outcome: AwaitsApproval, Detail: fault.From(err).Detail}, id, nil
 	}
-	reply, err = committed(id, revision, err)
+	reply, err = commitReply(id, revision, err)
 	return reply, id, err
 }
 
-// drainOp returns the op that drains a target or ends its drain.
-func drainOp(doc *tree.Document, id fleet.ServiceID, target fleet.TargetID, drained bool) (op tree.Op, changed bool, err error) {
-	catalog, err := doc.Catalog()
+// drainOp returns the op that drains or undrains a target. It returns false if the
+// target is already in the requested state.
+func drainOp(doc *tree.Doc, id fleet.ServiceID, target fleet.TargetID, drained bool) (op tree.Op, changed bool, err error) {
+	catalog, err := doc.Compile()
 	if err != nil {
 		return op, false, err
 	}
--- a/wisteriactl/exit.go
+++ b/wisteriactl/exit.go
@@ -74,7 +74,7 @@
 	for _, c := range p.Carriers {
 		fmt.Fprintf(w, "   carried by %s; ask with: --admin http://%s\n", c.VM, c.Admin)
 	}
-	if p.AskAgain != "" {
-		fmt.Fprintf(w, "   the outcome is not yet known; ask with %s\n", p.AskAgain)
+	if p.FollowUp != "" {
+		fmt.Fprintf(w, "   the outcome is not yet known; ask with %s\n", p.FollowUp)
 	}
 }
--- a/wisteriactl/settings.go
+++ b/wisteriactl/settings.go
@@ -93,7 +93,7 @@
 	}
 	return printReply(c, reply, func() *table {
 		t := newTable("revision", "in force", "source")
-		t.add(reply.Revision, reply.InForce, reply.Source)
+		t.add(reply.Revision, reply.Applied, reply.Source)
 		return t
 	})
 }
--- a/wisteriactl/targets.go
+++ b/wisteriactl/targets.go
@@ -39,7 +39,7 @@
 }
 
 func byHand(ctx context.Context, c *cli.Command, r request) error {
-	var reply admin.HandReply
+	var reply admin.TargetActionReply
 	if err := send(ctx, c, r, &reply); err != nil {
 		return err
 	}
