--- a/wisteriactl/changes.go
+++ b/wisteriactl/changes.go
@@ -39,8 +39,8 @@
 			},
 			Description: example("changes --state proposed"),
 		},
-		oneChange("show", "show a change", func(id string) request { return get("/changes/"+segment(id), nil) }),
-		oneChange("approve", "approve a change as an owner", step("approve")),
+		changeCommand("show", "show a change", func(id string) apiRequest { return get("/changes/"+escapeSegment(id), nil) }),
+		changeCommand("approve", "approve a change as an owner", postChangeAction("approve")),
 		{
 			Name: "reject", Usage: "close a change as an owner", ArgsUsage: "CHANGE", Flags: []cli.Flag{reasonFlag()}, Description: example("reject 3f9a --reason \"after the season\""),
 			Action: func(ctx context.Context, c *cli.Command) error {
@@ -48,13 +48,13 @@
 				if err != nil {
 					return err
 				}
-				return sendChange(ctx, c, post("/changes/"+segment(args[0])+"/reject", admin.ReasonBody{Reason: c.String("reason")}))
+				return sendChange(ctx, c, post("/changes/"+escapeSegment(args[0])+"/reject", admin.ReasonBody{Reason: c.String("reason")}))
 			},
 		},
-		oneChange("withdraw", "close a change as its author", step("withdraw")),
-		oneChange("rebase", "move a change that lost to the head", step("rebase")),
-		oneCommit("commit", "make a change the next revision; repeating it never applies it twice"),
-		oneCommit("resolve", "ask what became of a commit without a reply"),
+		changeCommand("withdraw", "close a change as its author", postChangeAction("withdraw")),
+		changeCommand("rebase", "move a change that lost to the head", postChangeAction("rebase")),
+		commitCommand("commit", "make a change the next revision; repeating it never applies it twice"),
+		commitCommand("resolve", "ask what became of a commit without a reply"),
 	}
 }
 
@@ -62,12 +62,15 @@
 	return &cli.StringFlag{Name: "reason", Usage: "`TEXT` that explains the decision"}
 }
 
-func step(name string) func(string) request {
-	return func(id string) request { return post("/changes/"+segment(id)+"/"+name, nil) }
+// postChangeAction returns a function that builds the request for an action on a
+// change.
+func postChangeAction(name string) func(string) apiRequest {
+	return func(id string) apiRequest { return post("/changes/"+escapeSegment(id)+"/"+name, nil) }
 }
 
-// oneChange returns a command that names a change and prints what became of it.
-func oneChange(name, usage string, request func(id string) request) *cli.Command {
+// changeCommand returns a command that takes the id of a change, sends a request
+// about it and prints the resulting state of the change.
+func changeCommand(name, usage string, buildRequest func(id string) apiRequest) *cli.Command {
 	return &cli.Command{
 		Name: name, Usage: usage, ArgsUsage: "CHANGE", Description: example(name + " xk3vq2pjd7wnc4ma"),
 		Action: func(ctx context.Context, c *cli.Command) error {
@@ -75,13 +78,14 @@
 			if err != nil {
 				return err
 			}
-			return sendChange(ctx, c, request(args[0]))
+			return sendChange(ctx, c, buildRequest(args[0]))
 		},
 	}
 }
 
-// oneCommit returns a command whose reply is the outcome of a commit.
-func oneCommit(name, usage string) *cli.Command {
+// commitCommand returns a command that takes the id of a change and prints the
+// outcome of its commit.
+func commitCommand(name, usage string) *cli.Command {
 	return &cli.Command{
 		Name: name, Usage: usage, ArgsUsage: "CHANGE", Description: example(name + " xk3vq2pjd7wnc4ma"),
 		Action: func(ctx context.Context, c *cli.Command) error {
@@ -89,12 +93,12 @@
 			if err != nil {
 				return err
 			}
-			return sendCommit(ctx, c, step(name)(args[0]))
+			return sendCommit(ctx, c, postChangeAction(name)(args[0]))
 		},
 	}
 }
 
-func sendChange(ctx context.Context, c *cli.Command, r request) error {
+func sendChange(ctx context.Context, c *cli.Command, r apiRequest) error {
 	var reply settle.Change
 	if err := send(ctx, c, r, &reply); err != nil {
 		return err
@@ -109,7 +113,7 @@
 		if ch.Revision > 0 {
 			revision = ch.Revision
 		}
-		t.add(ch.ID, ch.State, ch.Base, revision, ch.Author, approvers(ch), ch.Note, shorten(opsText(ch.Ops)))
+		t.add(ch.ID, ch.State, ch.Base, revision, ch.Author, approvers(ch), ch.Note, truncate(formatOps(ch.Ops)))
 	}
 	return t
 }
@@ -122,8 +126,9 @@
 	return strings.Join(names, ",")
 }
 
-// sendCommit prints the outcome of a commit and fails unless it is final.
-func sendCommit(ctx context.Context, c *cli.Command, r request) error {
+// sendCommit sends a request and prints the outcome of the commit. It returns an
+// error unless the change is in force, so that the exit code reflects the outcome.
+func sendCommit(ctx context.Context, c *cli.Command, r apiRequest) error {
 	var reply admin.CommitReply
 	if err := send(ctx, c, r, &reply); err != nil {
 		return err
@@ -140,12 +145,12 @@
 	switch {
 	case err != nil:
 		return err
-	case reply.Outcome == settle.OutcomeNotYetKnown:
-		return &unknown{detail: reply.Detail + "; ask with: wisteriactl resolve " + reply.Change}
-	case reply.Outcome == settle.OutcomeNotAccepted:
-		return &refused{detail: "the change is not accepted; commit it again, or rebase it first"}
+	case reply.Outcome == settle.NotYetKnown:
+		return &outcomeUnknownError{detail: reply.Detail + "; ask with: wisteriactl resolve " + reply.Change}
+	case reply.Outcome == settle.NotAccepted:
+		return &refusedError{detail: "the change is not accepted; commit it again, or rebase it first"}
 	case reply.Outcome == admin.AwaitsApproval:
-		return &refused{detail: reply.Detail}
+		return &refusedError{detail: reply.Detail}
 	}
 	return nil
 }
@@ -157,7 +162,7 @@
 			query.Set(name, v)
 		}
 	}
-	count(query, c, "limit")
+	setUintParam(query, c, "limit")
 	var reply admin.ChangesReply
 	if err := send(ctx, c, get("/changes", query), &reply); err != nil {
 		return err
@@ -165,7 +170,8 @@
 	return printReply(c, reply, func() *table { return changeTable(reply.Changes...) })
 }
 
-// propose names the change itself, so that a proposal without a reply can be repeated.
+// propose proposes a change. The id is generated here and not by the daemon, so
+// that the operator can look up or repeat a proposal whose reply was lost.
 func propose(ctx context.Context, c *cli.Command) error {
 	ops, err := readOps(c)
 	if err != nil {
@@ -173,19 +179,21 @@
 	}
 	body := admin.ProposeBody{ID: c.String("id"), Base: settle.Revision(c.Uint64("base")), Ops: ops, Note: c.String("note")}
 	if body.ID == "" {
-		body.ID = strings.ToLower(rand.Text()[:idLength])
+		body.ID = strings.ToLower(rand.Text()[:changeIDLength])
 	}
 	err = sendChange(ctx, c, post("/changes", body))
-	var doubt *unknown
-	if errors.As(err, &doubt) {
-		doubt.detail += "; look with: wisteriactl show " + body.ID
+	var unknown *outcomeUnknownError
+	if errors.As(err, &unknown) {
+		unknown.detail += "; look with: wisteriactl show " + body.ID
 	}
 	return err
 }
 
-// idLength keeps ids short enough to type; 16 characters hold 80 random bits.
-const idLength = 16
+// changeIDLength keeps change ids short enough to type; 16 characters hold 80
+// random bits.
+const changeIDLength = 16
 
+// readOps returns the ops of a proposal, either from the flags or from a file.
 func readOps(c *cli.Command) ([]tree.Op, error) {
 	ops, err := flagOps(c)
 	if err != nil {
@@ -193,24 +201,25 @@
 	}
 	switch {
 	case c.NArg() > 1 || c.NArg() == 1 && len(ops) > 0 || c.NArg() == 0 && len(ops) == 0:
-		return nil, wrongUsage("propose takes either --declare, --set and --unset, or one file of ops")
+		return nil, newUsageError("propose takes either --declare, --set and --unset, or one file of ops")
 	case len(ops) > 0:
 		return ops, nil
 	}
 	data, err := os.ReadFile(c.Args().First())
 	if err != nil {
-		return nil, wrongUsage("%v", err)
+		return nil, newUsageError("%v", err)
 	}
 	if data, err = hujson.Standardize(data); err != nil {
-		return nil, wrongUsage("%s: %v", c.Args().First(), err)
+		return nil, newUsageError("%s: %v", c.Args().First(), err)
 	}
 	if ops, err = tree.DecodeOps(data); err != nil {
-		return nil, wrongUsage("%s: %v", c.Args().First(), err)
+		return nil, newUsageError("%s: %v", c.Args().First(), err)
 	}
 	return ops, nil
 }
 
-// flagOps returns the ops of the flags: declarations, then values, then removals.
+// flagOps returns the ops that the flags specify: first all --declare, then all
+// --set, then all --unset.
 func flagOps(c *cli.Command) ([]tree.Op, error) {
 	var ops []tree.Op
 	for _, path := range c.StringSlice("declare") {
@@ -220,7 +229,7 @@
 		path, rest, _ := strings.Cut(text, " ")
 		key, value, found := strings.Cut(rest, "=")
 		if !found {
-			return nil, wrongUsage(`--set %q; allowed: "PATH KEY=VALUE"`, text)
+			return nil, newUsageError(`--set %q; allowed: "PATH KEY=VALUE"`, text)
 		}
 		ops = append(ops, tree.Op{Path: tree.Path(path), Key: strings.TrimSpace(key), Value: jsonValue(value)})
 	}
@@ -231,7 +240,7 @@
 	return ops, nil
 }
 
-// jsonValue returns JSON as it is and any other text as a JSON string.
+// jsonValue returns valid JSON unchanged and encodes any other text as a JSON string.
 func jsonValue(text string) json.RawMessage {
 	if json.Valid([]byte(text)) {
 		return json.RawMessage(text)
--- a/wisteriactl/check.go
+++ b/wisteriactl/check.go
@@ -35,7 +35,7 @@
 	return printJSON(c, settings)
 }
 
-// serviceInfo is one service in the output of check-settings.
+// serviceInfo describes a service in the output of check-settings.
 type serviceInfo struct {
 	Service   string `json:"service"`
 	Workspace string `json:"workspace"`
@@ -51,7 +51,7 @@
 	}
 	data, err := os.ReadFile(args[0])
 	if err != nil {
-		return wrongUsage("%v", err)
+		return newUsageError("%v", err)
 	}
 	doc, err := tree.ParseFile(data)
 	if err != nil {
--- a/wisteriactl/client.go
+++ b/wisteriactl/client.go
@@ -17,33 +17,34 @@
 	"wisteriarelay.example/core/admin"
 )
 
-// callTimeout exceeds the time that a daemon takes for a roll-out while many
+// callTimeout is longer than a daemon takes to report a roll-out while many other
 // daemons do not answer.
 const callTimeout = 30 * time.Second
 
-// request is one call of the administration API.
-type request struct {
+// apiRequest is a request to the administration API. Its path is relative to /v1.
+type apiRequest struct {
 	method string
 	path   string
 	query  url.Values
-	// body is encoded as JSON; bytes are sent as they are.
+	// body is encoded as JSON, unless it is a []byte, which is sent unchanged.
 	body any
 }
 
-func get(path string, query url.Values) request {
-	return request{method: http.MethodGet, path: path, query: query}
+func get(path string, query url.Values) apiRequest {
+	return apiRequest{method: http.MethodGet, path: path, query: query}
 }
 
-func post(path string, body any) request {
-	return request{method: http.MethodPost, path: path, body: body}
+func post(path string, body any) apiRequest {
+	return apiRequest{method: http.MethodPost, path: path, body: body}
 }
 
-// segment escapes one element of a path.
-func segment(s string) string { return url.PathEscape(s) }
+// escapeSegment escapes one segment of a URL path.
+func escapeSegment(s string) string { return url.PathEscape(s) }
 
-// send carries out a request and decodes its reply. A request that changes
-// something and gets no reply is in doubt.
-func send(ctx context.Context, c *cli.Command, r request, into any) error {
+// send sends a request and decodes the reply. If a request other than GET was sent
+// but no reply arrived, the outcome is unknown and send returns an
+// outcomeUnknownError.
+func send(ctx context.Context, c *cli.Command, r apiRequest, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := newRequest(ctx, c, r)
@@ -52,25 +53,25 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return noReply(r, err)
+		return transportError(r, err)
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return noReply(r, err)
+		return transportError(r, err)
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		return refusal(r, resp.Status, data)
+		return responseError(r, resp.Status, data)
 	}
-	if err := json.Unmarshal(data, into); err != nil {
-		return errors.Wrap(err, "reply of the daemon")
+	if err := json.Unmarshal(data, reply); err != nil {
+		return errors.Wrap(err, "cannot decode the daemon's reply")
 	}
 	return nil
 }
 
-func newRequest(ctx context.Context, c *cli.Command, r request) (*http.Request, error) {
+func newRequest(ctx context.Context, c *cli.Command, r apiRequest) (*http.Request, error) {
 	if c.String("operator-token") == "" {
-		return nil, wrongUsage("--operator-token or WISTERIA_OPERATOR_TOKEN is needed")
+		return nil, newUsageError("--operator-token or WISTERIA_OPERATOR_TOKEN is needed")
 	}
 	data, isBytes := r.body.([]byte)
 	if !isBytes && r.body != nil {
@@ -81,7 +82,7 @@
 	}
 	base, err := url.Parse(c.String("admin"))
 	if err != nil || base.Host == "" || base.Scheme != "http" && base.Scheme != "https" {
-		return nil, wrongUsage("--admin %q; allowed: a URL such as http://10.10.1.1:7200", c.String("admin"))
+		return nil, newUsageError("--admin %q; allowed: a URL such as http://10.10.1.1:7200", c.String("admin"))
 	}
 	address := strings.TrimSuffix(base.String(), "/") + "/v1" + r.path
 	if len(r.query) > 0 {
@@ -89,34 +90,38 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, r.method, address, bytes.NewReader(data))
 	if err != nil {
-		return nil, wrongUsage("--admin: %v", err)
+		return nil, newUsageError("--admin: %v", err)
 	}
 	req.Header.Set("Authorization", "Bearer "+c.String("operator-token"))
 	req.Header.Set("Content-Type", "application/json")
 	return req, nil
 }
 
-func noReply(r request, err error) error {
+// transportError returns the error for a request that got no complete response. The
+// outcome is unknown unless the request only reads or cannot have been sent.
+func transportError(r apiRequest, err error) error {
 	if r.method == http.MethodGet || isDialError(err) {
 		return errors.Wrap(err, "no reply")
 	}
-	return &unknown{detail: err.Error()}
+	return &outcomeUnknownError{detail: err.Error()}
 }
 
-func refusal(r request, status string, data []byte) error {
+// responseError returns the error for a response with an error status: the problem
+// document in its body, if there is one.
+func responseError(r apiRequest, status string, data []byte) error {
 	p := &admin.Problem{}
 	if err := json.Unmarshal(data, p); err != nil || p.Kind == "" {
 		return errors.Newf("status %s without problem details", status)
 	}
 	if r.method == http.MethodGet {
-		// A read that fails leaves nothing in doubt.
+		// A failed read changes nothing, so there is no outcome to ask for.
 		p.Outcome = ""
 	}
 	return p
 }
 
-// isDialError reports whether no connection was made, so that the request
-// cannot have arrived.
+// isDialError reports whether the connection could not be established, in which
+// case the request was not sent.
 func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/wisteriactl/exit.go
+++ b/wisteriactl/exit.go
@@ -10,7 +10,8 @@
 	"wisteriarelay.example/core/fault"
 )
 
-// The exit codes.
+// The exit codes, which scripts rely on. exitUnknown means that a request may or
+// may not have taken effect.
 const (
 	exitDone    = 0
 	exitRefused = 1
@@ -18,44 +19,48 @@
 	exitUnknown = 3
 )
 
-// usage is an error in the command line.
-type usage struct{ text string }
+// usageError is an error in the command line.
+type usageError struct{ text string }
 
-// Error returns what is wrong.
-func (e *usage) Error() string { return e.text }
+// Error returns the description of the error.
+func (e *usageError) Error() string { return e.text }
 
-func wrongUsage(format string, args ...any) error {
-	return &usage{text: fmt.Sprintf(format, args...)}
+func newUsageError(format string, args ...any) error {
+	return &usageError{text: fmt.Sprintf(format, args...)}
 }
 
-// unknown is the result of a request whose outcome is not yet known.
-type unknown struct{ detail string }
+// outcomeUnknownError reports a request that may or may not have taken effect.
+type outcomeUnknownError struct{ detail string }
 
-// Error returns the detail.
-func (e *unknown) Error() string { return "not yet known: " + e.detail }
+// Error returns the detail with a prefix.
+func (e *outcomeUnknownError) Error() string { return "not yet known: " + e.detail }
 
-// refused is a reply that says that the change is not in force.
-type refused struct{ detail string }
+// refusedError reports a successful request whose reply says that the change is not
+// in force.
+type refusedError struct{ detail string }
 
-// Error returns the detail.
-func (e *refused) Error() string { return "refused: " + e.detail }
+// Error returns the detail with a prefix.
+func (e *refusedError) Error() string { return "refused: " + e.detail }
 
+// exitCode returns the exit code for an error. An error that is neither a usage
+// error nor leaves the outcome unknown counts as a refusal.
 func exitCode(err error) int {
-	var wrong *usage
-	var doubt *unknown
-	var p *admin.Problem
+	var usage *usageError
+	var unknown *outcomeUnknownError
+	var problem *admin.Problem
 	switch {
-	case errors.As(err, &wrong):
+	case errors.As(err, &usage):
 		return exitUsage
-	case errors.As(err, &doubt):
+	case errors.As(err, &unknown):
 		return exitUnknown
-	case errors.As(err, &p) && p.Outcome == fault.Unknown:
+	case errors.As(err, &problem) && problem.Outcome == fault.Unknown:
 		return exitUnknown
 	}
 	return exitRefused
 }
 
-// printError prints an error with what the operator can do next.
+// printError prints an error and, if it is a problem document of the API, the
+// details and the commands that help the operator to proceed.
 func printError(w io.Writer, err error) {
 	fmt.Fprintln(w, "wisteriactl:", err)
 	var p *admin.Problem
@@ -66,8 +71,8 @@
 		fmt.Fprintln(w, "  ", problem)
 	}
 	if p.Conflict != nil {
-		for _, d := range p.Conflict.DeltasSinceBase {
-			fmt.Fprintf(w, "   revision %d by %s is change %s: %s\n", d.Revision, d.Author, d.Change, opsText(d.Ops))
+		for _, d := range p.Conflict.Since {
+			fmt.Fprintf(w, "   revision %d by %s is change %s: %s\n", d.Revision, d.Author, d.Change, formatOps(d.Ops))
 		}
 		fmt.Fprintf(w, "   the change is kept; move it to the head with: wisteriactl rebase %s\n", p.Conflict.Change)
 	}
--- a/wisteriactl/fleet.go
+++ b/wisteriactl/fleet.go
@@ -13,21 +13,21 @@
 
 func fleetCommands() []*cli.Command {
 	return []*cli.Command{
-		{Name: "rollout", Usage: "show which revision each daemon serves with", Action: rollout, Description: example("rollout")},
+		{Name: "rollout", Usage: "show which revision each daemon serves with", Action: showRollout, Description: example("rollout")},
 		{
-			Name: "dump", Usage: "print the state of a daemon as JSON", ArgsUsage: "[VM]", Action: dump,
+			Name: "dump", Usage: "print the state of a daemon as JSON", ArgsUsage: "[VM]", Action: dumpState,
 			Flags:       []cli.Flag{&cli.StringFlag{Name: "part", Usage: "one `PART`, such as daemon, settings, services, members, orders or platform"}},
 			Description: example("dump --part settings", "dump mdp-2 --part members"),
 		},
 		{
-			Name: "addresses", Usage: "show the addresses that a caller of a service is given", ArgsUsage: "SERVICE", Action: addresses,
+			Name: "addresses", Usage: "show the addresses that a caller of a service is given", ArgsUsage: "SERVICE", Action: listAddresses,
 			Flags:       []cli.Flag{&cli.StringFlag{Name: "data-centre", Usage: "`NAME` of the caller's data centre"}, &cli.StringFlag{Name: "caller", Usage: "`KEY` that spreads callers over carriers"}},
 			Description: example("addresses reservas --data-centre mdp"),
 		},
 	}
 }
 
-func rollout(ctx context.Context, c *cli.Command) error {
+func showRollout(ctx context.Context, c *cli.Command) error {
 	var reply admin.RolloutReply
 	if err := send(ctx, c, get("/rollout", nil), &reply); err != nil {
 		return err
@@ -41,9 +41,9 @@
 	})
 }
 
-func dump(ctx context.Context, c *cli.Command) error {
+func dumpState(ctx context.Context, c *cli.Command) error {
 	if c.NArg() > 1 {
-		return wrongUsage("dump takes at most one VM")
+		return newUsageError("dump takes at most one VM")
 	}
 	query := url.Values{}
 	if vm := c.Args().First(); vm != "" {
@@ -59,14 +59,14 @@
 	return printJSON(c, reply)
 }
 
-func addresses(ctx context.Context, c *cli.Command) error {
+func listAddresses(ctx context.Context, c *cli.Command) error {
 	args, err := arguments(c, 1)
 	if err != nil {
 		return err
 	}
 	query := url.Values{"data-centre": {c.String("data-centre")}, "caller": {c.String("caller")}}
 	var reply proxy.AddressList
-	if err := send(ctx, c, get("/services/"+segment(args[0])+"/addresses", query), &reply); err != nil {
+	if err := send(ctx, c, get("/services/"+escapeSegment(args[0])+"/addresses", query), &reply); err != nil {
 		return err
 	}
 	return printReply(c, reply, func() *table {
--- a/wisteriactl/main.go
+++ b/wisteriactl/main.go
@@ -1,5 +1,5 @@
-// Command wisteriactl is the operators' command line: a client of the
-// administration API that each daemon serves.
+// Command wisteriactl is the command-line tool for operators. It is a client of
+// the administration API, which every daemon serves.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	os.Exit(run(context.Background(), os.Args, os.Stdout, os.Stderr))
 }
 
-// run runs one command line and returns the exit code.
+// run executes a command line and returns the exit code.
 func run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	err := newCommand(out, errOut).Run(ctx, args)
 	if err == nil {
@@ -43,7 +43,7 @@
 		Writer:                    out,
 		ErrWriter:                 errOut,
 		ExitErrHandler:            func(context.Context, *cli.Command, error) {},
-		OnUsageError:              usageError,
+		OnUsageError:              onUsageError,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "admin", Sources: cli.EnvVars("WISTERIA_ADMIN"), Value: "http://127.0.0.1:7200", Usage: "`URL` of the administration port of any daemon"},
 			&cli.StringFlag{Name: "operator-token", Sources: cli.EnvVars("WISTERIA_OPERATOR_TOKEN"), Usage: "bearer `TOKEN` of the operator"},
@@ -51,19 +51,21 @@
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if name := c.Args().First(); name != "" {
-				return wrongUsage("unknown command %q; see wisteriactl help", name)
+				return newUsageError("unknown command %q; see wisteriactl help", name)
 			}
 			return cli.ShowRootCommandHelp(c)
 		},
-		Commands: collect(settingsCommands(), changeCommands(), targetCommands(), fleetCommands(), checkCommands()),
+		Commands: joinCommands(settingsCommands(), changeCommands(), targetCommands(), fleetCommands(), checkCommands()),
 	}
 }
 
-func collect(groups ...[]*cli.Command) []*cli.Command {
+// joinCommands returns the commands of all groups, each with the error handling
+// and the flag parsing of the root command.
+func joinCommands(groups ...[]*cli.Command) []*cli.Command {
 	var all []*cli.Command
 	for _, g := range groups {
 		for _, c := range g {
-			c.OnUsageError = usageError
+			c.OnUsageError = onUsageError
 			c.DisableSliceFlagSeparator = true
 			all = append(all, c)
 		}
@@ -71,26 +73,27 @@
 	return all
 }
 
-func usageError(_ context.Context, _ *cli.Command, err error, _ bool) error {
-	return wrongUsage("%v", err)
+func onUsageError(_ context.Context, _ *cli.Command, err error, _ bool) error {
+	return newUsageError("%v", err)
 }
 
-// arguments checks the number of arguments of a command and returns them.
+// arguments returns the arguments of a command, or a usage error if there are not
+// exactly n.
 func arguments(c *cli.Command, n int) ([]string, error) {
 	if c.NArg() != n {
-		return nil, wrongUsage("%s takes %s; got %d argument(s)", c.Name, orNone(c.ArgsUsage), c.NArg())
+		return nil, newUsageError("%s takes %s; got %d argument(s)", c.Name, argsUsageText(c.ArgsUsage), c.NArg())
 	}
 	return c.Args().Slice(), nil
 }
 
-func orNone(usage string) string {
+func argsUsageText(usage string) string {
 	if usage == "" {
 		return "no arguments"
 	}
 	return usage
 }
 
-// example returns a description with examples, one a line.
+// example returns a command description that lists example command lines.
 func example(lines ...string) string {
 	text := "Examples:"
 	for _, l := range lines {
--- a/wisteriactl/main_test.go
+++ b/wisteriactl/main_test.go
@@ -32,14 +32,14 @@
 
 const settingsFile = "../examples/cortavientos/settings.json"
 
-// ctl runs command lines against an API over a real book.
-type ctl struct {
+// fixture runs command lines against an API server backed by a real changelog.
+type fixture struct {
 	url      string
 	platform *stand.Platform
 }
 
-func newCtl() *ctl {
-	c := &ctl{platform: stand.NewPlatform()}
+func newFixture() *fixture {
+	f := &fixture{platform: stand.NewPlatform()}
 	var operators []config.Operator
 	for _, name := range []string{"marta", "hector"} {
 		digest := sha256.Sum256([]byte(name))
@@ -47,8 +47,8 @@
 	}
 	router := mux.NewRouter()
 	Expect(admin.Mount(router, admin.Deps{
-		VM: "mdp-1", Operators: operators, Changelog: settle.NewChangelog(c.platform.Table()),
-		Applied: func() *settle.AppliedRevision { return nil },
+		VM: "mdp-1", Operators: operators, Changelog: settle.NewChangelog(f.platform.Table()),
+		Applied: func() *settle.Applied { return nil },
 		Targets: func(id fleet.ServiceID) ([]admin.Target, bool) {
 			return []admin.Target{
 				{Target: "reservas-1", DataCentre: "mdp", Health: "good", State: "ready", Weight: 1, InFlight: 2},
@@ -59,19 +59,21 @@
 	})).To(Succeed())
 	server := httptest.NewServer(router)
 	DeferCleanup(server.Close)
-	c.url = server.URL
-	return c
+	f.url = server.URL
+	return f
 }
 
-// run runs a command line as an operator.
-func (c *ctl) run(operator string, args ...string) (code int, out, errOut string) {
+// run executes a command line as an operator.
+func (f *fixture) run(operator string, args ...string) (code int, out, errOut string) {
 	var o, e bytes.Buffer
-	line := append([]string{"wisteriactl", "--admin", c.url, "--operator-token", operator}, args...)
+	line := append([]string{"wisteriactl", "--admin", f.url, "--operator-token", operator}, args...)
 	code = run(context.Background(), line, &o, &e)
 	return code, o.String(), e.String()
 }
 
-func golden(name, got string) {
+// expectGolden compares the output with a golden file, or writes the file if the
+// flag -update is set.
+func expectGolden(name, got string) {
 	file := filepath.Join("testdata", name+".golden")
 	if *update {
 		Expect(os.MkdirAll("testdata", 0o755)).To(Succeed())
@@ -84,14 +86,14 @@
 }
 
 var _ = Describe("wisteriactl", func() {
-	// Guards against output that scripts or people can no longer read.
-	DescribeTable("prints golden output", func(name string, args ...string) {
-		c := newCtl()
-		code, _, errOut := c.run("marta", "bootstrap", settingsFile)
+	// Guards against an unintended change of output that scripts parse or people read.
+	DescribeTable("prints the output of the golden files", func(name string, args ...string) {
+		f := newFixture()
+		code, _, errOut := f.run("marta", "bootstrap", settingsFile)
 		Expect(code).To(Equal(exitDone), errOut)
-		code, out, errOut := c.run("marta", args...)
+		code, out, errOut := f.run("marta", args...)
 		Expect(code).To(Equal(exitDone), errOut)
-		golden(name, out)
+		expectGolden(name, out)
 	},
 		Entry("get as a table", "get-table", "get", "/workspace/cortavientos/service/reservas", "floor"),
 		Entry("get as JSON", "get-json", "--output", "json", "get", "/workspace/cortavientos/service/reservas", "floor"),
@@ -99,62 +101,65 @@
 		Entry("targets as JSON", "targets-json", "--output", "json", "targets", "reservas"),
 	)
 
-	// Guards against scripts that take a refusal or a doubt for a success.
-	It("tells done, refused, wrong usage and not yet known apart", func() {
-		c := newCtl()
-		code, _, errOut := c.run("marta", "bootstrap", settingsFile)
+	// Guards against an exit code that makes a script mistake a refusal or an
+	// unknown outcome for success.
+	It("exits with distinct codes for done, refused, wrong usage and not yet known", func() {
+		f := newFixture()
+		code, _, errOut := f.run("marta", "bootstrap", settingsFile)
 		Expect(code).To(Equal(exitDone), errOut)
 		for id, value := range map[string]string{"first": "55%", "second": "65%", "third": "70%"} {
-			code, _, errOut := c.run("hector", "propose", "--id", id, "--set", "/workspace/cortavientos floor="+value)
+			code, _, errOut := f.run("hector", "propose", "--id", id, "--set", "/workspace/cortavientos floor="+value)
 			Expect(code).To(Equal(exitDone), errOut)
 		}
-		code, _, _ = c.run("marta", "commit", "first")
+		code, _, _ = f.run("marta", "commit", "first")
 		Expect(code).To(Equal(exitDone))
-		code, _, errOut = c.run("marta", "commit", "second")
+		code, _, errOut = f.run("marta", "commit", "second")
 		Expect(code).To(Equal(exitRefused))
 		Expect(errOut).To(ContainSubstring("wisteriactl rebase second"))
 		for _, wrong := range [][]string{{"commit"}, {"nonsense"}, {"targets", "--no-such-flag"}, {"propose"}, {"propose", "--set", "/ floor"}} {
-			code, _, _ = c.run("marta", wrong...)
+			code, _, _ = f.run("marta", wrong...)
 			Expect(code).To(Equal(exitUsage), "%v", wrong)
 		}
-		code, _, _ = c.run("hector", "rebase", "third")
+		code, _, _ = f.run("hector", "rebase", "third")
 		Expect(code).To(Equal(exitDone))
-		c.platform.SetFaults(stand.PlatformFaults{LoseReplies: 1, DownAfterLoss: true})
-		code, _, errOut = c.run("marta", "commit", "third")
+		f.platform.Misbehave(stand.PlatformFaults{LoseReplies: 1, DownAfterLoss: true})
+		code, _, errOut = f.run("marta", "commit", "third")
 		Expect(code).To(Equal(exitUnknown))
 		Expect(errOut).To(ContainSubstring("wisteriactl resolve third"))
-		c.platform.SetFaults(stand.PlatformFaults{})
-		code, out, _ := c.run("marta", "resolve", "third")
+		f.platform.Misbehave(stand.PlatformFaults{})
+		code, out, _ := f.run("marta", "resolve", "third")
 		Expect(code).To(Equal(exitDone))
 		Expect(out).To(ContainSubstring("accepted"))
 	})
 
-	// Guards against a malformed URL that is reported as a commit in doubt.
-	It("takes a malformed URL for wrong usage", func() {
-		c := newCtl()
-		for _, c.url = range []string{"callers", "127.0.0.1:7200", "ftp://127.0.0.1"} {
-			code, _, _ := c.run("marta", "commit", "first")
-			Expect(code).To(Equal(exitUsage), c.url)
+	// Guards against a malformed URL that is reported as a commit with an unknown
+	// outcome, although no request was sent.
+	It("reports a malformed URL as wrong usage", func() {
+		f := newFixture()
+		for _, f.url = range []string{"callers", "127.0.0.1:7200", "ftp://127.0.0.1"} {
+			code, _, _ := f.run("marta", "commit", "first")
+			Expect(code).To(Equal(exitUsage), f.url)
 		}
 	})
 
-	// Guards against a daemon that is away being reported as a doubt.
-	It("refuses when no connection can be made", func() {
-		c := newCtl()
-		c.url = "http://127.0.0.1:1"
-		code, _, _ := c.run("marta", "commit", "first")
+	// Guards against an unknown outcome that is reported although no connection was
+	// established, so that the request was not sent.
+	It("exits with the code for refused if no connection can be established", func() {
+		f := newFixture()
+		f.url = "http://127.0.0.1:1"
+		code, _, _ := f.run("marta", "commit", "first")
 		Expect(code).To(Equal(exitRefused))
 	})
 
 	It("checks the example files", func() {
-		c := newCtl()
-		code, out, errOut := c.run("", "check-daemon", "../examples/cortavientos/daemon.json")
+		f := newFixture()
+		code, out, errOut := f.run("", "check-daemon", "../examples/cortavientos/daemon.json")
 		Expect(code).To(Equal(exitDone), errOut)
 		Expect(out).NotTo(ContainSubstring("000102030405060708090a0b0c0d0e0f"))
-		code, out, errOut = c.run("", "check-settings", settingsFile)
+		code, out, errOut = f.run("", "check-settings", settingsFile)
 		Expect(code).To(Equal(exitDone), errOut)
 		Expect(out).To(ContainSubstring("reservas"))
-		code, _, _ = c.run("", "check-settings", "main_test.go")
+		code, _, _ = f.run("", "check-settings", "main_test.go")
 		Expect(code).To(Equal(exitRefused))
 	})
 })
--- a/wisteriactl/output.go
+++ b/wisteriactl/output.go
@@ -17,13 +17,13 @@
 	outputJSON  = "json"
 )
 
-// table is output for people: a head and rows of equal length.
+// table is human-readable output: a header and rows of the same length.
 type table struct {
-	head []string
-	rows [][]string
+	header []string
+	rows   [][]string
 }
 
-func newTable(head ...string) *table { return &table{head: head} }
+func newTable(header ...string) *table { return &table{header: header} }
 
 func (t *table) add(cells ...any) {
 	row := make([]string, 0, len(cells))
@@ -37,15 +37,16 @@
 	t.rows = append(t.rows, row)
 }
 
-// printReply prints the reply as JSON, or as the table that it makes.
-func printReply(c *cli.Command, reply any, rows func() *table) error {
+// printReply prints a reply as JSON, or as the table that toTable returns,
+// depending on the flag --output.
+func printReply(c *cli.Command, reply any, toTable func() *table) error {
 	switch format := c.String("output"); format {
 	case outputJSON:
 		return printJSON(c, reply)
 	case outputTable:
-		return rows().print(c)
+		return toTable().print(c)
 	default:
-		return wrongUsage("--output %q; allowed: table or json", format)
+		return newUsageError("--output %q; allowed: table or json", format)
 	}
 }
 
@@ -61,15 +62,15 @@
 
 func (t *table) print(c *cli.Command) error {
 	w := tabwriter.NewWriter(c.Root().Writer, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, strings.ToUpper(strings.Join(t.head, "\t")))
+	fmt.Fprintln(w, strings.ToUpper(strings.Join(t.header, "\t")))
 	for _, row := range t.rows {
 		fmt.Fprintln(w, strings.Join(row, "\t"))
 	}
 	return w.Flush()
 }
 
-// opsText returns ops on one line.
-func opsText(ops []tree.Op) string {
+// formatOps formats ops on one line.
+func formatOps(ops []tree.Op) string {
 	parts := make([]string, 0, len(ops))
 	for _, o := range ops {
 		switch {
@@ -80,32 +81,34 @@
 		case o.Unset:
 			parts = append(parts, fmt.Sprintf("unset %s %s", o.Path, o.Key))
 		default:
-			parts = append(parts, fmt.Sprintf("%s %s=%s", o.Path, o.Key, shorten(string(o.Value))))
+			parts = append(parts, fmt.Sprintf("%s %s=%s", o.Path, o.Key, truncate(string(o.Value))))
 		}
 	}
 	return strings.Join(parts, "; ")
 }
 
-// maxCell bounds values in tables; --output json shows them whole.
-const maxCell = 60
+// maxCellRunes limits the length of values in tables. --output json prints them in
+// full.
+const maxCellRunes = 60
 
-func shorten(s string) string {
+func truncate(s string) string {
 	runes := []rune(s)
-	if len(runes) <= maxCell {
+	if len(runes) <= maxCellRunes {
 		return s
 	}
-	return string(runes[:maxCell-3]) + "..."
+	return string(runes[:maxCellRunes-3]) + "..."
 }
 
-func timeText(t time.Time) string {
+func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return ""
 	}
 	return t.UTC().Format(time.RFC3339)
 }
 
-// originText says where a value comes from.
-func originText(o tree.Origin) string {
+// formatOrigin describes where a value comes from: a preset, the default, or a path
+// with its level.
+func formatOrigin(o tree.Origin) string {
 	switch {
 	case o.Preset != "":
 		return "preset " + o.Preset
--- a/wisteriactl/settings.go
+++ b/wisteriactl/settings.go
@@ -32,16 +32,16 @@
 		},
 		{Name: "keys", Usage: "list all settings keys", Action: listKeys, Description: example("keys", "--output json keys")},
 		{
-			Name: "history", Usage: "list accepted revisions, newest first", Action: history,
+			Name: "history", Usage: "list accepted revisions, newest first", Action: showHistory,
 			Flags:       []cli.Flag{&cli.Uint64Flag{Name: "before", Usage: "start below this `REVISION`"}, limitFlag()},
 			Description: example("history --limit 5"),
 		},
 		{
-			Name: "diff", Usage: "show what differs between two revisions; TO may be omitted for the head", ArgsUsage: "FROM [TO]", Action: diff,
+			Name: "diff", Usage: "show what differs between two revisions; TO may be omitted for the head", ArgsUsage: "FROM [TO]", Action: showDiff,
 			Description: example("diff 3", "diff 3 5"),
 		},
 		{
-			Name: "rollback", Usage: "propose the change that leads back to an earlier revision", ArgsUsage: "REVISION", Action: rollback,
+			Name: "rollback", Usage: "propose the change that leads back to an earlier revision", ArgsUsage: "REVISION", Action: proposeRollback,
 			Flags: []cli.Flag{noteFlag()}, Description: example("rollback 3 --note \"floor was too high\""),
 		},
 	}
@@ -59,8 +59,9 @@
 	return &cli.StringFlag{Name: "note", Usage: "`TEXT` for the other owner and the history"}
 }
 
-// count returns a query parameter, which is absent if it is 0.
-func count(query url.Values, c *cli.Command, name string) {
+// setUintParam copies a numeric flag to the query parameter of the same name. The
+// parameter is omitted if the flag is 0.
+func setUintParam(query url.Values, c *cli.Command, name string) {
 	if n := c.Uint64(name); n > 0 {
 		query.Set(name, strconv.FormatUint(n, 10))
 	}
@@ -73,7 +74,7 @@
 	}
 	data, err := os.ReadFile(args[0])
 	if err != nil {
-		return wrongUsage("%v", err)
+		return newUsageError("%v", err)
 	}
 	var reply admin.BootstrapReply
 	if err := send(ctx, c, post("/settings/bootstrap", data), &reply); err != nil {
@@ -107,21 +108,21 @@
 	if target := c.String("target"); target != "" {
 		query.Set("target", target)
 	}
-	count(query, c, "revision")
+	setUintParam(query, c, "revision")
 	var reply admin.ValueReply
 	if err := send(ctx, c, get("/settings/value", query), &reply); err != nil {
 		return err
 	}
 	return printReply(c, reply, func() *table {
 		t := newTable("key", "value", "origin", "revision", "source")
-		t.add(reply.Key, shorten(string(reply.Value)), originText(reply.Origin), reply.Revision, reply.Source)
+		t.add(reply.Key, truncate(string(reply.Value)), formatOrigin(reply.Origin), reply.Revision, reply.Source)
 		return t
 	})
 }
 
 func showDocument(ctx context.Context, c *cli.Command) error {
 	query := url.Values{}
-	count(query, c, "revision")
+	setUintParam(query, c, "revision")
 	var reply admin.DocumentReply
 	if err := send(ctx, c, get("/settings/document", query), &reply); err != nil {
 		return err
@@ -129,7 +130,7 @@
 	return printJSON(c, reply.Document)
 }
 
-// keyInfo is one settings key in JSON output.
+// keyInfo describes a settings key in JSON output.
 type keyInfo struct {
 	Key         string   `json:"key"`
 	Levels      []string `json:"levels"`
@@ -156,10 +157,10 @@
 	})
 }
 
-func history(ctx context.Context, c *cli.Command) error {
+func showHistory(ctx context.Context, c *cli.Command) error {
 	query := url.Values{}
-	count(query, c, "before")
-	count(query, c, "limit")
+	setUintParam(query, c, "before")
+	setUintParam(query, c, "limit")
 	var reply admin.HistoryReply
 	if err := send(ctx, c, get("/settings/history", query), &reply); err != nil {
 		return err
@@ -167,15 +168,15 @@
 	return printReply(c, reply, func() *table {
 		t := newTable("revision", "at", "author", "approved by", "change", "note", "ops")
 		for _, d := range reply.Revisions {
-			t.add(d.Revision, timeText(d.At), d.Author, strings.Join(d.Approvals, ","), d.Change, d.Note, shorten(opsText(d.Ops)))
+			t.add(d.Revision, formatTime(d.At), d.Author, strings.Join(d.Approvals, ","), d.Change, d.Note, truncate(formatOps(d.Ops)))
 		}
 		return t
 	})
 }
 
-func diff(ctx context.Context, c *cli.Command) error {
+func showDiff(ctx context.Context, c *cli.Command) error {
 	if c.NArg() < 1 || c.NArg() > 2 {
-		return wrongUsage("diff takes %s", c.ArgsUsage)
+		return newUsageError("diff takes %s", c.ArgsUsage)
 	}
 	query := url.Values{"from": {c.Args().Get(0)}}
 	if to := c.Args().Get(1); to != "" {
@@ -188,20 +189,20 @@
 	return printReply(c, reply, func() *table {
 		t := newTable("path", "key", "before", "after")
 		for _, d := range reply.Differences {
-			t.add(d.Path, d.Key, shorten(string(d.Before)), shorten(string(d.After)))
+			t.add(d.Path, d.Key, truncate(string(d.Before)), truncate(string(d.After)))
 		}
 		return t
 	})
 }
 
-func rollback(ctx context.Context, c *cli.Command) error {
+func proposeRollback(ctx context.Context, c *cli.Command) error {
 	args, err := arguments(c, 1)
 	if err != nil {
 		return err
 	}
 	to, err := strconv.ParseUint(args[0], 10, 64)
 	if err != nil {
-		return wrongUsage("revision %q is not a number", args[0])
+		return newUsageError("revision %q is not a number", args[0])
 	}
 	return sendChange(ctx, c, post("/settings/rollback", admin.RollbackBody{To: settle.Revision(to), Note: c.String("note")}))
 }
--- a/wisteriactl/targets.go
+++ b/wisteriactl/targets.go
@@ -15,15 +15,16 @@
 			Name: "targets", Usage: "list the targets of a service with health, state and reason", ArgsUsage: "SERVICE", Action: listTargets,
 			Description: example("targets reservas"),
 		},
-		oneTarget("eject", "take a target out of service by hand, within the floor", byHand),
-		oneTarget("return", "return an ejected target to service by hand", byHand),
-		oneTarget("drain", "let a target finish its work and give it no new work; a change of the settings", sendCommit),
-		oneTarget("undrain", "end the drain of a target; a change of the settings", sendCommit),
+		targetCommand("eject", "take a target out of service by hand, within the floor", sendTargetAction),
+		targetCommand("return", "return an ejected target to service by hand", sendTargetAction),
+		targetCommand("drain", "let a target finish its work and give it no new work; a change of the settings", sendCommit),
+		targetCommand("undrain", "end the drain of a target; a change of the settings", sendCommit),
 	}
 }
 
-// oneTarget returns a command that names a service and a target.
-func oneTarget(name, usage string, act func(context.Context, *cli.Command, request) error) *cli.Command {
+// targetCommand returns a command that takes a service and a target and requests
+// the action of the same name.
+func targetCommand(name, usage string, sendRequest func(context.Context, *cli.Command, apiRequest) error) *cli.Command {
 	return &cli.Command{
 		Name: name, Usage: usage, ArgsUsage: "SERVICE TARGET", Flags: []cli.Flag{reasonFlag()},
 		Description: example(name + " reservas reservas-3 --reason \"disk replaced\""),
@@ -32,13 +33,13 @@
 			if err != nil {
 				return err
 			}
-			path := "/services/" + segment(args[0]) + "/targets/" + segment(args[1]) + "/" + name
-			return act(ctx, c, post(path, admin.ReasonBody{Reason: c.String("reason")}))
+			path := "/services/" + escapeSegment(args[0]) + "/targets/" + escapeSegment(args[1]) + "/" + name
+			return sendRequest(ctx, c, post(path, admin.ReasonBody{Reason: c.String("reason")}))
 		},
 	}
 }
 
-func byHand(ctx context.Context, c *cli.Command, r request) error {
+func sendTargetAction(ctx context.Context, c *cli.Command, r apiRequest) error {
 	var reply admin.TargetActionReply
 	if err := send(ctx, c, r, &reply); err != nil {
 		return err
@@ -56,13 +57,13 @@
 		return err
 	}
 	var reply admin.TargetsReply
-	if err := send(ctx, c, get("/services/"+segment(args[0])+"/targets", nil), &reply); err != nil {
+	if err := send(ctx, c, get("/services/"+escapeSegment(args[0])+"/targets", nil), &reply); err != nil {
 		return err
 	}
 	return printReply(c, reply, func() *table {
 		t := newTable("target", "data centre", "health", "state", "weight", "in flight", "since", "reason")
 		for _, x := range reply.Targets {
-			t.add(x.Target, x.DataCentre, x.Health, x.State, fmt.Sprintf("%.2f", x.Weight), x.InFlight, timeText(x.Since), x.Reason)
+			t.add(x.Target, x.DataCentre, x.Health, x.State, fmt.Sprintf("%.2f", x.Weight), x.InFlight, formatTime(x.Since), x.Reason)
 		}
 		return t
 	})
