--- a/standin/certs.go
+++ b/standin/certs.go
@@ -29,8 +29,11 @@
 	}
 }
 
-const secretFile = 0o600
+// privateFileMode keeps other users from reading the private keys.
+const privateFileMode = 0o600
 
+// writeCerts creates a certificate authority and writes its certificate, and a key and
+// a certificate for each VM, to a folder.
 func writeCerts(dir string, vms []string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -45,7 +48,7 @@
 			return err
 		}
 		for name, data := range map[string][]byte{vm + ".pem": files.Certificate, vm + ".key": files.Key, "fleet-ca.pem": files.Authority} {
-			if err := os.WriteFile(filepath.Join(dir, name), data, secretFile); err != nil {
+			if err := os.WriteFile(filepath.Join(dir, name), data, privateFileMode); err != nil {
 				return err
 			}
 		}
--- a/standin/main.go
+++ b/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs the stand-ins of wisteriarelay: the platform, a target,
-// and a demo with a whole fleet in one process.
+// Command standin runs test doubles of the systems around wisteriarelay, the
+// platform and the targets, and a demo of a whole fleet in one process.
 package main
 
 import (
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -20,13 +20,13 @@
 	"wisteriarelay.example/core/tree"
 )
 
-const headTimeout = 10 * time.Second
+const readHeaderTimeout = 10 * time.Second
 
 func platformCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "platform",
 		Usage: "serve a platform in memory: table service, object store and VM list",
-		// The parts of a VM are separated by commas.
+		// The fields of a VM are separated by commas within one flag.
 		DisableSliceFlagSeparator: true,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "listen", Value: "127.0.0.1:7900", Usage: "address to listen on"},
@@ -49,11 +49,13 @@
 					return err
 				}
 			}
-			return listen(ctx, c.String("listen"), p)
+			return serve(ctx, c.String("listen"), p)
 		},
 	}
 }
 
+// bootstrap writes a settings file as revision 1, on behalf of the first owner that
+// it names.
 func bootstrap(ctx context.Context, p *stand.Platform, file string) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -71,20 +73,20 @@
 	return err
 }
 
-// parseVM reads a VM from its six parts.
+// parseVM parses a VM from its six comma-separated fields.
 func parseVM(text string) (fleet.VM, error) {
-	const parts = 6
-	f := strings.Split(text, ",")
-	if len(f) != parts {
+	const fieldCount = 6
+	fields := strings.Split(text, ",")
+	if len(fields) != fieldCount {
 		return fleet.VM{}, fault.New(fault.ConfigInvalid, "VM %q must have the form id,region,data-centre,caller,inner,admin", text)
 	}
 	return fleet.VM{
-		ID:            fleet.VMID(f[0]),
-		Region:        fleet.Region(f[1]),
-		DataCentre:    fleet.DataCentre(f[2]),
-		CallerAddress: f[3],
-		PeerAddress:   f[4],
-		AdminAddress:  f[5],
+		ID:         fleet.VMID(fields[0]),
+		Region:     fleet.Region(fields[1]),
+		DataCentre: fleet.DataCentre(fields[2]),
+		Caller:     fields[3],
+		Inner:      fields[4],
+		Admin:      fields[5],
 	}, nil
 }
 
@@ -97,35 +99,35 @@
 			&cli.StringFlag{Name: "id", Value: "target-1", Usage: "name that stands in the answers"},
 			&cli.IntFlag{Name: "slots", Value: 2, Usage: "requests that are worked on at once"},
 			&cli.DurationFlag{Name: "work", Value: 20 * time.Millisecond, Usage: "time for one request"},
-			&cli.StringFlag{Name: "fault", Usage: "one of " + strings.Join(faultNames(), ", ")},
+			&cli.StringFlag{Name: "fault", Usage: "one of " + strings.Join(targetFaultNames(), ", ")},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			t := stand.NewTarget(c.String("id"), stand.WithSlots(c.Int("slots")), stand.WithWorkDuration(c.Duration("work")))
 			if name := c.String("fault"); name != "" {
 				f, ok := targetFaults[name]
 				if !ok {
-					return fault.New(fault.ConfigInvalid, "fault %q is not known; allowed are %s", name, strings.Join(faultNames(), ", "))
+					return fault.New(fault.ConfigInvalid, "fault %q is not known; allowed are %s", name, strings.Join(targetFaultNames(), ", "))
 				}
 				t.SetFaults(f)
 			}
-			return listen(ctx, c.String("listen"), t)
+			return serve(ctx, c.String("listen"), t)
 		},
 	}
 }
 
-// listen serves HTTP until a signal.
-func listen(ctx context.Context, address string, h http.Handler) error {
+// serve serves HTTP on an address until the process gets SIGTERM or SIGINT.
+func serve(ctx context.Context, address string, h http.Handler) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	l, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintln(os.Stderr, "listening on", l.Addr())
-	s := &http.Server{Handler: h, ReadHeaderTimeout: headTimeout}
-	closeAtEnd := context.AfterFunc(ctx, func() { _ = s.Close() })
-	defer closeAtEnd()
-	if err := s.Serve(l); err != nil && err != http.ErrServerClosed {
+	fmt.Fprintln(os.Stderr, "listening on", listener.Addr())
+	server := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout}
+	cancelClose := context.AfterFunc(ctx, func() { _ = server.Close() })
+	defer cancelClose()
+	if err := server.Serve(listener); err != nil && err != http.ErrServerClosed {
 		return err
 	}
 	return nil
--- a/standin/fault.go
+++ b/standin/platform_faults.go
@@ -14,7 +14,7 @@
 	"wisteriarelay.example/core/stand"
 )
 
-const faultTimeout = 5 * time.Second
+const faultRequestTimeout = 5 * time.Second
 
 func faultCommand() *cli.Command {
 	return &cli.Command{
@@ -32,19 +32,20 @@
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			down, lose := c.Bool("down"), c.Int("lose-replies")
-			f := stand.PlatformFaults{TableDown: down, ObjectsDown: down, VMsDown: down, LoseReplies: lose, DownAfterLoss: c.Bool("then-down")}
-			if c.Bool("heal") == (f != stand.PlatformFaults{}) {
+			faults := stand.PlatformFaults{TableDown: down, ObjectsDown: down, VMsDown: down, LoseReplies: lose, DownAfterLoss: c.Bool("then-down")}
+			if c.Bool("heal") == (faults != stand.PlatformFaults{}) {
 				return fmt.Errorf("fault takes either --heal, or --down or --lose-replies")
 			}
-			return putFaults(ctx, c.String("platform"), f)
+			return putPlatformFaults(ctx, c.String("platform"), faults)
 		},
 	}
 }
 
-func putFaults(ctx context.Context, platform string, f stand.PlatformFaults) error {
-	ctx, cancel := context.WithTimeout(ctx, faultTimeout)
+// putPlatformFaults replaces the faults of a platform through its HTTP API.
+func putPlatformFaults(ctx context.Context, platform string, faults stand.PlatformFaults) error {
+	ctx, cancel := context.WithTimeout(ctx, faultRequestTimeout)
 	defer cancel()
-	data, err := json.Marshal(f)
+	data, err := json.Marshal(faults)
 	if err != nil {
 		return err
 	}
@@ -59,7 +60,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("the platform answered %s", resp.Status)
+		return fmt.Errorf("the platform returned status %s", resp.Status)
 	}
 	return nil
 }
--- a/standin/faults.go
+++ b/standin/target_faults.go
@@ -13,8 +13,8 @@
 	flapPeriod = 5 * time.Second
 )
 
-// targetFaults are the faults of a target by name.
-var targetFaults = map[string]stand.TargetFaults{
+// targetFaults maps the values of the flag --fault to the faults of a target.
+var targetFaults = map[string]stand.Faults{
 	"body-failure": {BodyFailure: true},
 	"cut-after":    {CutAfter: true},
 	"cut-before":   {CutBefore: true},
@@ -27,6 +27,6 @@
 	"slow":         {Delay: slowDelay},
 }
 
-func faultNames() []string {
+func targetFaultNames() []string {
 	return slices.Sorted(maps.Keys(targetFaults))
 }
