--- a/standin/demo/bench_test.go
+++ b/standin/demo/bench_test.go
@@ -16,56 +16,57 @@
 	"wisteriarelay.example/core/member"
 )
 
-// fleetSpan bounds the measured time of one fleet.
-const fleetSpan = 9 * time.Second
+// measureDuration is the time for which each fleet is measured.
+const measureDuration = 9 * time.Second
 
-// wire counts what the inner ports of a fleet read and write.
-type wire struct{ bytes, packets atomic.Int64 }
+// traffic counts the bytes that the inner ports of a fleet read and write, and the
+// calls of Read and Write, which stand for packets.
+type traffic struct{ bytes, packets atomic.Int64 }
 
-type wireListener struct {
+type countingListener struct {
 	net.Listener
-	wire *wire
+	traffic *traffic
 }
 
-func (l wireListener) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	return wireConn{c, l.wire}, err
+	return countingConn{c, l.traffic}, err
 }
 
-type wireConn struct {
+type countingConn struct {
 	net.Conn
-	wire *wire
+	traffic *traffic
 }
 
-func (c wireConn) count(n int, err error) (int, error) {
-	c.wire.bytes.Add(int64(n))
-	c.wire.packets.Add(1)
+func (c countingConn) count(n int, err error) (int, error) {
+	c.traffic.bytes.Add(int64(n))
+	c.traffic.packets.Add(1)
 	return n, err
 }
 
-func (c wireConn) Read(b []byte) (int, error)  { return c.count(c.Conn.Read(b)) }
-func (c wireConn) Write(b []byte) (int, error) { return c.count(c.Conn.Write(b)) }
+func (c countingConn) Read(b []byte) (int, error)  { return c.count(c.Conn.Read(b)) }
+func (c countingConn) Write(b []byte) (int, error) { return c.count(c.Conn.Write(b)) }
 
 // startFleet starts n daemons, spread over the data centres of the example.
-func startFleet(b *testing.B, n int, w *wire) *Fleet {
+func startFleet(b *testing.B, n int, t *traffic) *Fleet {
 	f, err := NewFleet("../../examples/cortavientos/settings.json", log.NewNopLogger())
 	if err != nil {
 		b.Fatal(err)
 	}
 	ctx := context.Background()
 	for i := range n {
-		vm, err := f.reserveVM(fleet.VMID(fmt.Sprintf("entry-%02d", i)), f.Centres[i%len(f.Centres)])
+		vm, err := f.reserveVM(fleet.VMID(fmt.Sprintf("entry-%02d", i)), f.DataCentres[i%len(f.DataCentres)])
 		if err != nil {
 			b.Fatal(err)
 		}
-		f.listeners[vm.PeerAddress] = wireListener{f.listeners[vm.PeerAddress], w}
+		f.listeners[vm.Inner] = countingListener{f.listeners[vm.Inner], t}
 		if err := f.Platform.PutVM(ctx, vm); err != nil {
 			b.Fatal(err)
 		}
 		f.daemons = append(f.daemons, &Node{VM: vm})
 	}
 	for _, node := range f.daemons {
-		if err := f.start(ctx, node); err != nil {
+		if err := f.startNode(ctx, node); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -75,7 +76,7 @@
 	return f
 }
 
-func (f *Fleet) reports() (sent, links float64) {
+func (f *Fleet) reportCounts() (sent, links float64) {
 	for _, n := range f.Nodes() {
 		sent += float64(n.State("reports").(map[string]any)["reports"].(member.Counters).Sent)
 		links += float64(len(n.State("members").(map[string]any)["members"].(member.Dump).Peers))
@@ -91,38 +92,39 @@
 	return float64(m.HeapAlloc)
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkFleet runs whole fleets on loopback without requests and reports
-// what control costs; the stand-ins of platform and targets are included.
+// BenchmarkFleet runs whole fleets on loopback without requests and reports the cost
+// of the control traffic between daemons. The figures include the stand-ins of the
+// platform and the targets, which run in the same process.
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range []int{6, 12, 24} {
 		b.Run(fmt.Sprint("daemons=", n), func(b *testing.B) {
 			for b.Loop() {
-				w := &wire{}
+				t := &traffic{}
 				before := heapBytes()
-				f := startFleet(b, n, w)
+				f := startFleet(b, n, t)
 				time.Sleep(4 * time.Second)
-				held := heapBytes() - before
-				sent, _ := f.reports()
-				bytes, packets, cpu := w.bytes.Load(), w.packets.Load(), processorTime()
-				time.Sleep(fleetSpan)
-				cpu = processorTime() - cpu
-				bytes, packets = w.bytes.Load()-bytes, w.packets.Load()-packets
-				after, links := f.reports()
+				heapUsed := heapBytes() - before
+				sent, _ := f.reportCounts()
+				bytes, packets, cpu := t.bytes.Load(), t.packets.Load(), cpuTime()
+				time.Sleep(measureDuration)
+				cpu = cpuTime() - cpu
+				bytes, packets = t.bytes.Load()-bytes, t.packets.Load()-packets
+				after, links := f.reportCounts()
 				f.Close()
 				sent = after - sent
-				b.ReportMetric(held/float64(n), "heap-bytes/daemon")
+				b.ReportMetric(heapUsed/float64(n), "heap-bytes/daemon")
 				b.ReportMetric(links/float64(n), "links/daemon")
-				b.ReportMetric(sent/links/fleetSpan.Seconds(), "reports/s/link")
+				b.ReportMetric(sent/links/measureDuration.Seconds(), "reports/s/link")
 				b.ReportMetric(float64(bytes)/sent, "tls-bytes/report")
 				b.ReportMetric(float64(packets)/sent, "packets/report")
-				b.ReportMetric(2*float64(bytes)/links/fleetSpan.Seconds(), "bytes/s/link")
-				b.ReportMetric(100*cpu.Seconds()/fleetSpan.Seconds()/float64(n), "%core/daemon")
+				b.ReportMetric(2*float64(bytes)/links/measureDuration.Seconds(), "bytes/s/link")
+				b.ReportMetric(100*cpu.Seconds()/measureDuration.Seconds()/float64(n), "%core/daemon")
 			}
 		})
 	}
--- a/standin/demo/caller.go
+++ b/standin/demo/caller.go
@@ -16,76 +16,80 @@
 	"wisteriarelay.example/core/stand"
 )
 
-// work is what a caller repeats.
-type work struct {
-	service fleet.ServiceID
-	method  string
-	path    string
-	every   time.Duration
+// workload is the request that a caller repeats at an interval.
+type workload struct {
+	service  fleet.ServiceID
+	method   string
+	path     string
+	interval time.Duration
 }
 
-// caller is a counter, a handheld or a billing job: it asks for addresses,
-// keeps them as long as it may, and connects there.
+// caller simulates one client of a service, such as a point of sale, a handheld or
+// a billing job. It asks a daemon for the addresses of the service, caches them for
+// their TTL, and sends its requests there.
 type caller struct {
-	name   string
-	centre fleet.DataCentre
-	work   work
-	boot   func() []string
-	tally  *tally
-	client *http.Client
-
-	addresses []string
-	until     time.Time
-	token     string
-	count     int
+	name       string
+	dataCentre fleet.DataCentre
+	workload   workload
+	bootstrap  func() []string
+	recorder   *recorder
+	client     *http.Client
+
+	addresses    []string
+	expiresAt    time.Time
+	orderToken   string
+	requestCount int
 }
 
-func newCaller(name string, centre fleet.DataCentre, w work, boot func() []string, t *tally) *caller {
-	return &caller{name: name, centre: centre, work: w, boot: boot, tally: t, client: &http.Client{Timeout: callTimeout, Transport: &http.Transport{}}}
+func newCaller(name string, dataCentre fleet.DataCentre, w workload, bootstrap func() []string, recorder *recorder) *caller {
+	return &caller{name: name, dataCentre: dataCentre, workload: w, bootstrap: bootstrap, recorder: recorder, client: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{}}}
 }
 
 const (
-	callTimeout = 8 * time.Second
-	// maxCopies bounds how often a caller sends one order.
-	maxCopies = 6
-	copyPause = 150 * time.Millisecond
+	requestTimeout = 8 * time.Second
+	// maxOrderSends limits how often a caller sends the same order while its outcome
+	// is unknown.
+	maxOrderSends = 6
+	resendDelay   = 150 * time.Millisecond
 )
 
-func (c *caller) run(ctx context.Context, done *sync.WaitGroup) {
-	defer done.Done()
+func (c *caller) run(ctx context.Context, wg *sync.WaitGroup) {
+	defer wg.Done()
 	defer c.client.CloseIdleConnections()
-	for pause(ctx, c.work.every) {
-		c.count++
-		if c.work.method == http.MethodPost {
-			c.order()
+	for sleep(ctx, c.workload.interval) {
+		c.requestCount++
+		if c.workload.method == http.MethodPost {
+			c.sendOrder()
 			continue
 		}
-		c.lookup()
+		c.sendLookup()
 	}
 }
 
-// refresh asks a daemon which addresses to use once the last response is too old.
-func (c *caller) refresh() {
-	if time.Now().Before(c.until) && len(c.addresses) > 0 {
+// refreshAddresses requests the addresses of the service again once the cached ones
+// have expired. New addresses also discard the order token.
+func (c *caller) refreshAddresses() {
+	if time.Now().Before(c.expiresAt) && len(c.addresses) > 0 {
 		return
 	}
-	for _, address := range append(c.boot(), c.addresses...) {
+	for _, address := range append(c.bootstrap(), c.addresses...) {
 		var list proxy.AddressList
-		url := fmt.Sprintf("http://%s/v1/addresses?service=%s&data-centre=%s", address, c.work.service, c.centre)
-		if c.fetch(http.MethodGet, url, &list) != nil || len(list.Addresses) == 0 {
+		url := fmt.Sprintf("http://%s/v1/addresses?service=%s&data-centre=%s", address, c.workload.service, c.dataCentre)
+		if c.fetchJSON(http.MethodGet, url, &list) != nil || len(list.Addresses) == 0 {
 			continue
 		}
 		c.addresses = c.addresses[:0]
 		for _, a := range list.Addresses {
 			c.addresses = append(c.addresses, a.Address)
 		}
-		c.until = time.Now().Add(time.Duration(list.TTLSeconds) * time.Second)
-		c.token = ""
+		c.expiresAt = time.Now().Add(time.Duration(list.TTLSeconds) * time.Second)
+		c.orderToken = ""
 		return
 	}
 }
 
-func (c *caller) fetch(method, url string, into any) error {
+// fetchJSON sends a request without a body and decodes the response.
+func (c *caller) fetchJSON(method, url string, into any) error {
 	req, err := http.NewRequest(method, url, nil)
 	if err != nil {
 		return err
@@ -101,7 +105,7 @@
 	return json.NewDecoder(resp.Body).Decode(into)
 }
 
-// reply is what a caller learned from one copy of a request.
+// reply is what a caller learned from sending a request once.
 type reply struct {
 	err     error
 	status  int
@@ -110,33 +114,37 @@
 	problem proxy.Problem
 }
 
-func (c *caller) lookup() {
-	c.refresh()
-	id := fmt.Sprintf("%s-%d", c.name, c.count)
+// sendLookup sends one lookup, and repeats it at other addresses if sending fails or
+// the response says that another daemon may serve it.
+func (c *caller) sendLookup() {
+	c.refreshAddresses()
+	id := fmt.Sprintf("%s-%d", c.name, c.requestCount)
 	var r reply
-	for i := range min(len(c.addresses), maxTried) {
+	for i := range min(len(c.addresses), maxLookupAddresses) {
 		r = c.send(c.addresses[i], id, "")
 		if r.err == nil && r.problem.Retry != fault.RetryOtherAddress {
 			break
 		}
-		c.until = time.Time{}
+		c.expiresAt = time.Time{}
 	}
-	c.tally.lookup(c.work.service, id, r)
+	c.recorder.recordLookup(c.workload.service, id, r)
 }
 
-// maxTried is how many addresses a caller tries for one lookup.
-const maxTried = 3
+// maxLookupAddresses limits the number of addresses that a caller tries for one
+// lookup.
+const maxLookupAddresses = 3
 
-// order sends one order until its outcome is known or the copies are used up.
-func (c *caller) order() {
-	c.refresh()
-	if c.token == "" && !c.newToken() {
+// sendOrder sends an order with the same key until its outcome is known, at most
+// maxOrderSends times. It discards the order token unless the order was run.
+func (c *caller) sendOrder() {
+	c.refreshAddresses()
+	if c.orderToken == "" && !c.requestOrderToken() {
 		return
 	}
-	id := fmt.Sprintf("%s-%d", c.name, c.count)
-	key := c.token + "." + id
+	id := fmt.Sprintf("%s-%d", c.name, c.requestCount)
+	key := c.orderToken + "." + id
 	var r reply
-	for i := range maxCopies {
+	for i := range maxOrderSends {
 		if len(c.addresses) == 0 {
 			break
 		}
@@ -144,38 +152,41 @@
 		if r.outcome == fault.Run || r.outcome == fault.NotRun {
 			break
 		}
-		c.until = time.Time{}
-		pause(context.Background(), copyPause)
+		c.expiresAt = time.Time{}
+		sleep(context.Background(), resendDelay)
 	}
-	c.tally.order(c.work.service, id, key, r)
+	c.recorder.recordOrder(c.workload.service, id, key, r)
 	if r.outcome != fault.Run {
-		c.token = ""
+		c.orderToken = ""
 	}
 }
 
-func (c *caller) newToken() bool {
+// requestOrderToken requests the token with which the keys of the caller's orders
+// begin. It returns false if no daemon issued one.
+func (c *caller) requestOrderToken() bool {
 	for _, address := range c.addresses {
 		var t struct {
 			Token string `json:"token"`
 		}
-		if c.fetch(http.MethodPost, fmt.Sprintf("http://%s/v1/order-tokens?service=%s", address, c.work.service), &t) == nil {
-			c.token = t.Token
+		if c.fetchJSON(http.MethodPost, fmt.Sprintf("http://%s/v1/order-tokens?service=%s", address, c.workload.service), &t) == nil {
+			c.orderToken = t.Token
 			return true
 		}
 	}
 	return false
 }
 
+// send sends one request to a daemon. An order has a key, a lookup has none.
 func (c *caller) send(address, id, key string) reply {
 	var body io.Reader
-	if c.work.method == http.MethodPost {
+	if c.workload.method == http.MethodPost {
 		body = bytes.NewReader([]byte(`{"item":"` + id + `"}`))
 	}
-	req, err := http.NewRequest(c.work.method, "http://"+address+c.work.path, body)
+	req, err := http.NewRequest(c.workload.method, "http://"+address+c.workload.path, body)
 	if err != nil {
 		return reply{err: err}
 	}
-	req.Header.Set(proxy.HeaderService, string(c.work.service))
+	req.Header.Set(proxy.HeaderService, string(c.workload.service))
 	req.Header.Set(proxy.HeaderRequestID, id)
 	if key != "" {
 		req.Header.Set(proxy.HeaderOrderKey, `"`+key+`"`)
--- a/standin/demo/control.go
+++ b/standin/demo/control.go
@@ -12,37 +12,37 @@
 	"wisteriarelay.example/core/stand"
 )
 
-// control lets an operator who tries the demo boot and stop daemons and make
-// targets fail, over HTTP.
-type control struct {
+// controlAPI is an HTTP API to control a running demo: it starts and stops daemons
+// and injects faults into targets.
+type controlAPI struct {
 	demo *Demo
 	// ctx ends with the demo.
 	ctx context.Context
 }
 
-func newControl(ctx context.Context, d *Demo) http.Handler {
-	c := &control{demo: d, ctx: ctx}
+func newControlAPI(ctx context.Context, d *Demo) http.Handler {
+	c := &controlAPI{demo: d, ctx: ctx}
 	r := mux.NewRouter()
-	r.HandleFunc("/v1/boot", c.boot).Methods(http.MethodPost)
-	r.HandleFunc("/v1/stop", c.stop).Methods(http.MethodPost)
-	r.HandleFunc("/v1/hurry", c.hurry).Methods(http.MethodPost)
-	r.HandleFunc("/v1/targets/{id}/faults", c.faults).Methods(http.MethodPut)
+	r.HandleFunc("/v1/boot", c.startDaemon).Methods(http.MethodPost)
+	r.HandleFunc("/v1/stop", c.stopDaemon).Methods(http.MethodPost)
+	r.HandleFunc("/v1/hurry", c.skipCallerWait).Methods(http.MethodPost)
+	r.HandleFunc("/v1/targets/{id}/faults", c.setTargetFaults).Methods(http.MethodPut)
 	return r
 }
 
-// boot starts one more daemon, which the platform's VM list shows only if the
-// platform can be written.
-func (c *control) boot(w http.ResponseWriter, r *http.Request) {
+// startDaemon starts one more daemon. It is missing from the platform's VM list if
+// the platform does not accept writes.
+func (c *controlAPI) startDaemon(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
-	id, centre := fleet.VMID(q.Get("vm")), fleet.DataCentre(q.Get("data-centre"))
+	id, dataCentre := fleet.VMID(q.Get("vm")), fleet.DataCentre(q.Get("data-centre"))
 	if id == "" || c.node(id) != nil {
 		http.Error(w, "parameter vm is missing or names a daemon that runs", http.StatusBadRequest)
 		return
 	}
-	if centre == "" {
-		centre = c.demo.fleet.Centres[0]
+	if dataCentre == "" {
+		dataCentre = c.demo.fleet.DataCentres[0]
 	}
-	n, err := c.demo.startDaemon(c.ctx, id, centre)
+	n, err := c.demo.startDaemon(c.ctx, id, dataCentre)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -50,7 +50,7 @@
 	fmt.Fprintf(w, "daemon %s admin http://%s callers http://%s\n", id, n.VM.AdminAddress, n.VM.CallerAddress)
 }
 
-func (c *control) node(id fleet.VMID) *Node {
+func (c *controlAPI) node(id fleet.VMID) *Node {
 	for _, n := range c.demo.fleet.Nodes() {
 		if n.VM.ID == id {
 			return n
@@ -59,21 +59,22 @@
 	return nil
 }
 
-// stop shuts a daemon down as SIGTERM does.
-func (c *control) stop(w http.ResponseWriter, r *http.Request) {
+// stopDaemon shuts a daemon down gracefully, as SIGTERM does.
+func (c *controlAPI) stopDaemon(w http.ResponseWriter, r *http.Request) {
 	n := c.node(fleet.VMID(r.URL.Query().Get("vm")))
 	if n == nil {
 		http.Error(w, "no such daemon", http.StatusNotFound)
 		return
 	}
-	c.demo.say("LEAVE  daemon %s shuts down", n.VM.ID)
+	c.demo.logf("LEAVE  daemon %s shuts down", n.VM.ID)
 	_ = c.demo.fleet.Platform.RemoveVM(c.ctx, n.VM.ID)
-	go stopWatch{demo: c.demo, node: n}.run(c.ctx)
+	go shutdownWatch{demo: c.demo, node: n}.run(c.ctx)
 	fmt.Fprintf(w, "daemon %s is leaving\n", n.VM.ID)
 }
 
-// hurry ends the wait for callers of a daemon that leaves, as a second signal does.
-func (c *control) hurry(w http.ResponseWriter, r *http.Request) {
+// skipCallerWait ends the time for which a daemon that shuts down waits for callers
+// that still hold its address. A second signal has the same effect.
+func (c *controlAPI) skipCallerWait(w http.ResponseWriter, r *http.Request) {
 	n := c.node(fleet.VMID(r.URL.Query().Get("vm")))
 	if n == nil {
 		http.Error(w, "no such daemon", http.StatusNotFound)
@@ -84,14 +85,14 @@
 }
 
 // faults replaces the faults of a target.
-func (c *control) faults(w http.ResponseWriter, r *http.Request) {
+func (c *controlAPI) setTargetFaults(w http.ResponseWriter, r *http.Request) {
 	t := c.demo.fleet.Target(fleet.TargetID(mux.Vars(r)["id"]))
 	if t == nil {
 		http.Error(w, "no such target", http.StatusNotFound)
 		return
 	}
-	var f stand.TargetFaults
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxFaults)).Decode(&f); err != nil {
+	var f stand.Faults
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxFaultsBytes)).Decode(&f); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -99,5 +100,5 @@
 	fmt.Fprintln(w, "done")
 }
 
-// maxFaults bounds the body of a request for faults, in bytes.
-const maxFaults = 4 << 10
+// maxFaultsBytes limits the size of the body of a request that sets faults.
+const maxFaultsBytes = 4 << 10
--- a/standin/demo/control_test.go
+++ b/standin/demo/control_test.go
@@ -18,17 +18,18 @@
 )
 
 var _ = Describe("control port", func() {
-	// Guards against a demo in which the steps of the operators' page fail: a
-	// cold boot during an outage and the roll-out over all daemons.
-	It("boots a daemon during an outage, which the roll-out then shows", func() {
+	// Guards against a demo in which the steps of the operators' guide fail: a daemon
+	// that starts without stored settings during a platform outage, and a roll-out
+	// report that includes it.
+	It("starts a daemon during an outage and reports it in the roll-out", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		f, err := NewFleet("../../examples/cortavientos/settings.json", log.NewNopLogger())
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(f.Close)
 		Expect(f.StartDaemons(ctx)).To(Succeed())
-		d := &Demo{fleet: f, out: io.Discard, tally: newTally(), started: time.Now()}
-		control := httptest.NewServer(newControl(ctx, d))
+		d := &Demo{fleet: f, out: io.Discard, recorder: newRecorder(), startedAt: time.Now()}
+		control := httptest.NewServer(newControlAPI(ctx, d))
 		DeferCleanup(control.Close)
 		call := func(method, path, body string) int {
 			req, err := http.NewRequest(method, control.URL+path, strings.NewReader(body))
@@ -45,20 +46,20 @@
 		Expect(call("PUT", "/v1/targets/disponible-1/faults", `{"fail-work": true}`)).To(Equal(http.StatusOK))
 		Expect(call("PUT", "/v1/targets/nothing/faults", `{}`)).To(Equal(http.StatusNotFound))
 		nodes := f.Nodes()
-		Eventually(nodes[len(nodes)-1].Ready).WithTimeout(bootLimit).Should(BeTrue())
+		Eventually(nodes[len(nodes)-1].Ready).WithTimeout(readyTimeout).Should(BeTrue())
 		Eventually(func(g Gomega) {
 			states := map[string]string{}
-			for _, s := range rollout(g, nodes[0], f.Doc.Owners()[0]).Daemons {
+			for _, s := range getRollout(g, nodes[0], f.Doc.Owners()[0]).Daemons {
 				states[string(s.VM)] = s.State
 			}
 			g.Expect(states).To(HaveLen(len(nodes)))
 			g.Expect(states).To(HaveEach("current"))
-		}).WithTimeout(bootLimit).Should(Succeed())
+		}).WithTimeout(readyTimeout).Should(Succeed())
 	})
 })
 
-func rollout(g Gomega, n *Node, owner string) admin.RolloutReply {
-	req, err := http.NewRequest(http.MethodGet, "http://"+n.VM.AdminAddress+"/v1/rollout", nil)
+func getRollout(g Gomega, n *Node, owner string) admin.RolloutReply {
+	req, err := http.NewRequest(http.MethodGet, "http://"+n.VM.Admin+"/v1/rollout", nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	req.Header.Set("Authorization", "Bearer "+OperatorToken(owner))
 	resp, err := http.DefaultClient.Do(req)
--- a/standin/demo/examples_test.go
+++ b/standin/demo/examples_test.go
@@ -17,8 +17,8 @@
 	RunSpecs(t, "demo")
 }
 
-// The example files are what newcomers copy; a key that was renamed would
-// leave them broken unnoticed.
+// Guards against example files that are no longer valid, for instance after a
+// settings key was renamed. Newcomers copy these files.
 var _ = DescribeTable("example deployments",
 	func(name string, connections int, sizes map[fleet.ServiceID]int, centres ...string) {
 		data, err := os.ReadFile("../../examples/" + name + "/settings.json")
--- a/standin/demo/fleet.go
+++ b/standin/demo/fleet.go
@@ -26,23 +26,23 @@
 )
 
 const (
-	daemonsPerCentre = 2
-	loopback         = "127.0.0.1:0"
-	// startWait bounds the time until all daemons are ready.
-	startWait = 20 * time.Second
+	daemonsPerDataCentre = 2
+	loopbackAddress      = "127.0.0.1:0"
+	// startTimeout limits the time until all daemons are ready.
+	startTimeout = 20 * time.Second
 )
 
-// Fleet is the platform, the targets and the daemons of a demo.
+// Fleet consists of the platform, the targets and the daemons of a demo.
 type Fleet struct {
-	Platform  *stand.Platform
-	Doc       *tree.Document
-	Region    fleet.Region
-	Centres   []fleet.DataCentre
-	authority *inner.Authority
-	logger    log.Logger
-	listeners map[string]net.Listener
-	servers   []*http.Server
-	platform  string
+	Platform        *stand.Platform
+	Doc             *tree.Doc
+	Region          fleet.Region
+	DataCentres     []fleet.DataCentre
+	authority       *inner.Authority
+	logger          log.Logger
+	listeners       map[string]net.Listener
+	servers         []*http.Server
+	platformAddress string
 
 	mu      sync.Mutex
 	targets map[fleet.TargetID]*stand.Target
@@ -55,7 +55,7 @@
 	VM fleet.VM
 }
 
-// settingsReason says why the daemon is or is not ready with its settings.
+// settingsReason returns the reason why the daemon's settings are or are not ready.
 func (n *Node) settingsReason() string {
 	parts, _ := n.State("settings").(map[string]any)
 	if state, ok := parts["settings"].(*settle.FollowerState); ok {
@@ -64,8 +64,8 @@
 	return ""
 }
 
-// NewFleet starts the platform and the targets that the settings file names,
-// on loopback addresses in place of the file's.
+// NewFleet starts the platform and the targets that the settings file names. The
+// targets get loopback addresses instead of those in the file.
 func NewFleet(settingsFile string, logger log.Logger) (*Fleet, error) {
 	authority, err := inner.NewAuthority()
 	if err != nil {
@@ -78,7 +78,7 @@
 		listeners: map[string]net.Listener{},
 		targets:   map[fleet.TargetID]*stand.Target{},
 	}
-	if f.platform, err = f.serve(f.Platform); err != nil {
+	if f.platformAddress, err = f.serve(f.Platform); err != nil {
 		return nil, err
 	}
 	if err := f.loadSettings(settingsFile); err != nil {
@@ -89,7 +89,7 @@
 	return f, err
 }
 
-// server runs an HTTP server on a listener.
+// server is an HTTP server with its listener.
 type server struct {
 	http     *http.Server
 	listener net.Listener
@@ -99,18 +99,20 @@
 	_ = s.http.Serve(s.listener)
 }
 
+// serve starts an HTTP server on a free loopback port and returns its address.
 func (f *Fleet) serve(h http.Handler) (string, error) {
-	l, err := net.Listen("tcp", loopback)
+	l, err := net.Listen("tcp", loopbackAddress)
 	if err != nil {
 		return "", err
 	}
-	s := &http.Server{Handler: h, ReadHeaderTimeout: startWait}
+	s := &http.Server{Handler: h, ReadHeaderTimeout: startTimeout}
 	f.servers = append(f.servers, s)
 	go server{http: s, listener: l}.run()
 	return l.Addr().String(), nil
 }
 
-// loadSettings reads the example's settings and points its targets at stand-ins.
+// loadSettings reads the settings file, starts a stand-in for each of its targets
+// and sets a short address TTL.
 func (f *Fleet) loadSettings(file string) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -124,12 +126,12 @@
 		return fault.Wrap(err, fault.SettingsInvalid, "%s: not an object of paths", file)
 	}
 	for path, keys := range nodes {
-		f.notePlace(path)
+		f.addLocation(path)
 		if err := f.startTargets(keys); err != nil {
 			return err
 		}
 	}
-	slices.Sort(f.Centres)
+	slices.Sort(f.DataCentres)
 	nodes["/"]["address-ttl"] = json.RawMessage(`"2s"`)
 	if data, err = json.Marshal(nodes); err != nil {
 		return err
@@ -138,9 +140,10 @@
 	return err
 }
 
-func (f *Fleet) notePlace(path string) {
+// addLocation records the region or the data centre that a settings path declares.
+func (f *Fleet) addLocation(path string) {
 	if name, ok := strings.CutPrefix(path, "/data-centre/"); ok {
-		f.Centres = append(f.Centres, fleet.DataCentre(name))
+		f.DataCentres = append(f.DataCentres, fleet.DataCentre(name))
 	}
 	if name, ok := strings.CutPrefix(path, "/region/"); ok {
 		f.Region = fleet.Region(name)
@@ -154,6 +157,8 @@
 	DataCentre fleet.DataCentre `json:"data-centre"`
 }
 
+// startTargets starts a stand-in for each target of a service and replaces the
+// target's address in the settings.
 func (f *Fleet) startTargets(keys map[string]json.RawMessage) error {
 	raw, ok := keys["targets"]
 	if !ok {
@@ -177,26 +182,26 @@
 	return err
 }
 
-// Target returns a stand-in target.
+// Target returns the stand-in of a target, or nil if there is none.
 func (f *Fleet) Target(id fleet.TargetID) *stand.Target {
 	return f.targets[id]
 }
 
-// Runs returns how often each order key was executed, over all targets.
-func (f *Fleet) Runs() map[string]int {
-	runs := map[string]int{}
+// RunCounts returns how often each order key was executed, summed over all targets.
+func (f *Fleet) RunCounts() map[string]int {
+	counts := map[string]int{}
 	for _, t := range f.targets {
-		for _, r := range t.Executions() {
-			runs[strings.Trim(r.Key, `"`)]++
+		for _, r := range t.Runs() {
+			counts[strings.Trim(r.Key, `"`)]++
 		}
 	}
-	return runs
+	return counts
 }
 
 // StartDaemons starts the daemons of all data centres and waits until they are ready.
 func (f *Fleet) StartDaemons(ctx context.Context) error {
-	for _, dc := range f.Centres {
-		for i := range daemonsPerCentre {
+	for _, dc := range f.DataCentres {
+		for i := range daemonsPerDataCentre {
 			vm, err := f.reserveVM(fleet.VMID(fmt.Sprintf("%s-%d", dc, i+1)), dc)
 			if err != nil {
 				return err
@@ -208,18 +213,19 @@
 		}
 	}
 	for _, n := range f.daemons {
-		if err := f.start(ctx, n); err != nil {
+		if err := f.startNode(ctx, n); err != nil {
 			return err
 		}
 	}
 	return f.waitReady(ctx)
 }
 
-// reserveVM opens the ports of a VM, so that its addresses are known before it starts.
+// reserveVM opens the listeners of a VM, so that its addresses are known before its
+// daemon starts.
 func (f *Fleet) reserveVM(id fleet.VMID, dc fleet.DataCentre) (fleet.VM, error) {
 	vm := fleet.VM{ID: id, Region: f.Region, DataCentre: dc}
-	for _, address := range []*string{&vm.CallerAddress, &vm.PeerAddress, &vm.AdminAddress} {
-		l, err := net.Listen("tcp", loopback)
+	for _, address := range []*string{&vm.Caller, &vm.Inner, &vm.Admin} {
+		l, err := net.Listen("tcp", loopbackAddress)
 		if err != nil {
 			return vm, err
 		}
@@ -231,21 +237,22 @@
 	return vm, nil
 }
 
-func (f *Fleet) listen(address string) (net.Listener, error) {
+// reservedListener returns the listener that reserveVM opened for an address.
+func (f *Fleet) reservedListener(address string) (net.Listener, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.listeners[address], nil
 }
 
-func (f *Fleet) start(ctx context.Context, n *Node) error {
+func (f *Fleet) startNode(ctx context.Context, n *Node) error {
 	id, err := f.authority.Issue(n.VM.ID)
 	if err != nil {
 		return err
 	}
 	s := config.Defaults()
 	s.VM, s.Region, s.DataCentre = n.VM.ID, n.VM.Region, n.VM.DataCentre
-	s.CallerAddress, s.InnerAddress, s.AdminAddress = n.VM.CallerAddress, n.VM.PeerAddress, n.VM.AdminAddress
-	s.PlatformURL = "http://" + f.platform
+	s.CallerAddress, s.InnerAddress, s.AdminAddress = n.VM.Caller, n.VM.Inner, n.VM.Admin
+	s.PlatformURL = "http://" + f.platformAddress
 	s.FleetSecrets = []config.Secret{config.Secret("demo-secret-0123456789")}
 	s.Operators = f.operators()
 	for _, other := range f.Nodes() {
@@ -253,7 +260,7 @@
 			s.Seeds = append(s.Seeds, other.VM.PeerAddress)
 		}
 	}
-	n.Daemon, err = daemon.New(s, daemon.WithIdentity(id), daemon.WithListen(f.listen), daemon.WithLogger(f.logger))
+	n.Daemon, err = daemon.New(s, daemon.WithIdentity(id), daemon.WithListen(f.reservedListener), daemon.WithLogger(f.logger))
 	if err != nil {
 		return err
 	}
@@ -269,8 +276,8 @@
 	return slices.Clone(f.daemons)
 }
 
-// AddDaemon starts one more daemon in a data centre; it is in the VM list only
-// if the platform can be written.
+// AddDaemon starts one more daemon in a data centre. It is missing from the VM list
+// if the platform does not accept writes.
 func (f *Fleet) AddDaemon(ctx context.Context, id fleet.VMID, dc fleet.DataCentre) (*Node, error) {
 	vm, err := f.reserveVM(id, dc)
 	if err != nil {
@@ -278,7 +285,7 @@
 	}
 	_ = f.Platform.PutVM(ctx, vm)
 	n := &Node{VM: vm}
-	if err := f.start(ctx, n); err != nil {
+	if err := f.startNode(ctx, n); err != nil {
 		return nil, err
 	}
 	f.mu.Lock()
@@ -288,10 +295,10 @@
 }
 
 func (f *Fleet) waitReady(ctx context.Context) error {
-	deadline := time.Now().Add(startWait)
+	deadline := time.Now().Add(startTimeout)
 	for _, n := range f.Nodes() {
 		for !n.Ready() {
-			if !pause(ctx, readyPoll) || time.Now().After(deadline) {
+			if !sleep(ctx, readyPollInterval) || time.Now().After(deadline) {
 				return fault.New(fault.NotReady, "daemon %s is not ready", n.VM.ID)
 			}
 		}
@@ -299,10 +306,10 @@
 	return nil
 }
 
-const readyPoll = 20 * time.Millisecond
+const readyPollInterval = 20 * time.Millisecond
 
-// pause waits for d and returns false if ctx ends first.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d and returns false if ctx ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -313,9 +320,9 @@
 	}
 }
 
-// stateOf returns a target's state and the reason for it at the first daemon
-// that carries its service.
-func (f *Fleet) stateOf(id fleet.TargetID) (state, reason string) {
+// targetState returns a target's state and the reason for it, as seen by the first
+// daemon that carries its service.
+func (f *Fleet) targetState(id fleet.TargetID) (state, reason string) {
 	for _, n := range f.Nodes() {
 		if s, r, ok := n.TargetState(id); ok {
 			return s, r
@@ -324,7 +331,7 @@
 	return "", ""
 }
 
-// Close ends everything at once.
+// Close stops all daemons and servers immediately, without a graceful shutdown.
 func (f *Fleet) Close() {
 	for _, n := range f.Nodes() {
 		n.Kill()
--- a/standin/demo/script.go
+++ b/standin/demo/script.go
@@ -8,30 +8,32 @@
 	"wisteriarelay.example/core/stand"
 )
 
-// step is one act of the script.
+// step is one step of the script. The delay is the time since the previous step.
 type step struct {
-	after time.Duration
-	act   func(d *Demo, ctx context.Context)
+	delay time.Duration
+	run   func(d *Demo, ctx context.Context)
 }
 
-const reportEvery = 2 * time.Second
+const reportInterval = 2 * time.Second
 
-func (d *Demo) play(ctx context.Context) {
-	ticker := time.NewTicker(reportEvery)
+// runScript runs the steps of the script and prints a summary of the outcomes at
+// every reportInterval.
+func (d *Demo) runScript(ctx context.Context) {
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for _, s := range script() {
-		timer := time.NewTimer(s.after)
+		timer := time.NewTimer(s.delay)
 		for waiting := true; waiting; {
 			select {
 			case <-ticker.C:
-				d.say("%s", d.tally.line())
+				d.logf("%s", d.recorder.summary())
 			case <-timer.C:
 				waiting = false
 			case <-ctx.Done():
 				return
 			}
 		}
-		s.act(d, ctx)
+		s.run(d, ctx)
 	}
 }
 
@@ -39,22 +41,23 @@
 	return []step{
 		{4 * time.Second, (*Demo).failTargets},
 		{8 * time.Second, (*Demo).healTargets},
-		{8 * time.Second, (*Demo).truncate},
-		{5 * time.Second, (*Demo).race},
-		{2 * time.Second, (*Demo).loseReply},
+		{8 * time.Second, (*Demo).truncateResponses},
+		{5 * time.Second, (*Demo).raceCommits},
+		{2 * time.Second, (*Demo).loseCommitReply},
 		{2 * time.Second, (*Demo).startOutage},
-		{2 * time.Second, (*Demo).bootDuringOutage},
+		{2 * time.Second, (*Demo).startDaemonDuringOutage},
 		{4 * time.Second, (*Demo).endOutage},
-		{2 * time.Second, (*Demo).drainTarget},
-		{2 * time.Second, (*Demo).leaveDaemon},
+		{2 * time.Second, (*Demo).announceTargetLeaving},
+		{2 * time.Second, (*Demo).shutDownDaemon},
 		{4 * time.Second, (*Demo).killDaemon},
-		{9 * time.Second, (*Demo).finish},
+		{9 * time.Second, (*Demo).printSummary},
 	}
 }
 
-// sick returns the first target of each service.
-func (d *Demo) sick() []fleet.TargetID {
-	catalog, err := d.fleet.Doc.Catalog()
+// faultyTargets returns the targets into which the script injects faults: the first
+// of each service.
+func (d *Demo) faultyTargets() []fleet.TargetID {
+	catalog, err := d.fleet.Doc.Compile()
 	if err != nil {
 		return nil
 	}
@@ -65,162 +68,167 @@
 	return out
 }
 
-func (d *Demo) misbehave(f stand.TargetFaults) {
-	for _, id := range d.sick() {
-		d.fleet.Target(id).SetFaults(f)
+func (d *Demo) setTargetFaults(f stand.Faults) {
+	for _, id := range d.faultyTargets() {
+		d.fleet.Target(id).Misbehave(f)
 	}
 }
 
 func (d *Demo) failTargets(context.Context) {
-	d.say("FAULT  targets %v answer probes but fail their work", d.sick())
-	d.misbehave(stand.TargetFaults{FailWork: true})
-	d.watchTargets()
+	d.logf("FAULT  targets %v answer probes but fail their work", d.faultyTargets())
+	d.setTargetFaults(stand.Faults{FailWork: true})
+	d.watchTargetStates()
 }
 
 func (d *Demo) healTargets(context.Context) {
-	d.say("HEAL   targets %v are well again", d.sick())
-	d.misbehave(stand.TargetFaults{})
+	d.logf("HEAL   targets %v have recovered", d.faultyTargets())
+	d.setTargetFaults(stand.Faults{})
 }
 
-func (d *Demo) truncate(context.Context) {
-	d.say("FAULT  targets %v cut their answers short", d.sick())
-	d.misbehave(stand.TargetFaults{CutShort: true})
-	d.watchTargets()
+func (d *Demo) truncateResponses(context.Context) {
+	d.logf("FAULT  targets %v truncate their responses", d.faultyTargets())
+	d.setTargetFaults(stand.Faults{CutShort: true})
+	d.watchTargetStates()
 }
 
 func (d *Demo) startOutage(context.Context) {
-	d.misbehave(stand.TargetFaults{})
-	d.say("FAULT  table service, object store and VM list are away")
-	d.fleet.Platform.SetFaults(stand.PlatformFaults{TableDown: true, ObjectsDown: true, VMsDown: true})
+	d.setTargetFaults(stand.Faults{})
+	d.logf("FAULT  table service, object store and VM list are unavailable")
+	d.fleet.Platform.Misbehave(stand.PlatformFaults{TableDown: true, ObjectsDown: true, VMsDown: true})
 }
 
-func (d *Demo) bootDuringOutage(ctx context.Context) {
-	_, _ = d.startDaemon(ctx, "new-1", d.fleet.Centres[0])
+func (d *Demo) startDaemonDuringOutage(ctx context.Context) {
+	_, _ = d.startDaemon(ctx, "new-1", d.fleet.DataCentres[0])
 }
 
-// startDaemon adds a daemon and tells when it is ready.
-func (d *Demo) startDaemon(ctx context.Context, id fleet.VMID, centre fleet.DataCentre) (*Node, error) {
-	began := time.Now()
-	n, err := d.fleet.AddDaemon(ctx, id, centre)
+// startDaemon adds a daemon and prints when it is ready.
+func (d *Demo) startDaemon(ctx context.Context, id fleet.VMID, dataCentre fleet.DataCentre) (*Node, error) {
+	startedAt := time.Now()
+	n, err := d.fleet.AddDaemon(ctx, id, dataCentre)
 	if err != nil {
-		d.say("daemon %s did not start: %v", id, err)
+		d.logf("daemon %s did not start: %v", id, err)
 		return nil, err
 	}
-	go bootWatch{demo: d, node: n, began: began}.run(ctx)
+	go readinessWatch{demo: d, node: n, startedAt: startedAt}.run(ctx)
 	return n, nil
 }
 
-// bootWatch tells when a daemon is ready.
-type bootWatch struct {
-	demo  *Demo
-	node  *Node
-	began time.Time
+// readinessWatch waits until a daemon is ready and prints how long it took.
+type readinessWatch struct {
+	demo      *Demo
+	node      *Node
+	startedAt time.Time
 }
 
-const bootLimit = 10 * time.Second
+const readyTimeout = 10 * time.Second
 
-func (b bootWatch) run(ctx context.Context) {
-	for time.Since(b.began) < bootLimit {
-		if b.node.Ready() {
-			b.demo.say("       daemon %s is ready after %.1fs: %s", b.node.VM.ID, time.Since(b.began).Seconds(), b.node.settingsReason())
+func (w readinessWatch) run(ctx context.Context) {
+	for time.Since(w.startedAt) < readyTimeout {
+		if w.node.Ready() {
+			w.demo.logf("       daemon %s is ready after %.1fs: %s", w.node.VM.ID, time.Since(w.startedAt).Seconds(), w.node.settingsReason())
 			return
 		}
-		if !pause(ctx, readyPoll) {
+		if !sleep(ctx, readyPollInterval) {
 			return
 		}
 	}
-	b.demo.say("       daemon %s is not ready: %v", b.node.VM.ID, b.node.State("settings"))
+	w.demo.logf("       daemon %s is not ready: %v", w.node.VM.ID, w.node.State("settings"))
 }
 
 func (d *Demo) endOutage(context.Context) {
-	d.say("HEAL   the platform is back")
-	d.fleet.Platform.SetFaults(stand.PlatformFaults{})
+	d.logf("HEAL   the platform is back")
+	d.fleet.Platform.Misbehave(stand.PlatformFaults{})
 }
 
-// drainTarget lets a target announce that it leaves and counts the work that
-// reaches it afterwards.
-func (d *Demo) drainTarget(ctx context.Context) {
-	id := d.sick()[0]
-	d.say("LEAVE  target %s starts to leave", id)
-	d.fleet.Target(id).SetFaults(stand.TargetFaults{Leaving: true})
-	go leaveWatch{demo: d, target: id}.run(ctx)
+// announceTargetLeaving lets a target announce that it is leaving and counts the
+// requests that reach it afterwards.
+func (d *Demo) announceTargetLeaving(ctx context.Context) {
+	id := d.faultyTargets()[0]
+	d.logf("LEAVE  target %s starts to leave", id)
+	d.fleet.Target(id).Misbehave(stand.Faults{Leaving: true})
+	go leavingTargetWatch{demo: d, target: id}.run(ctx)
 }
 
-// leaveWatch tells when a leaving target gets no more work.
-type leaveWatch struct {
+// leavingTargetWatch prints how many requests a leaving target still gets in the
+// second leavingInterval after the announcement. The first one leaves the daemons
+// time to notice it.
+type leavingTargetWatch struct {
 	demo   *Demo
 	target fleet.TargetID
 }
 
-const leaveSettle = 3 * time.Second
+const leavingInterval = 3 * time.Second
 
-func (l leaveWatch) run(ctx context.Context) {
-	t := l.demo.fleet.Target(l.target)
-	if !pause(ctx, leaveSettle) {
+func (w leavingTargetWatch) run(ctx context.Context) {
+	t := w.demo.fleet.Target(w.target)
+	if !sleep(ctx, leavingInterval) {
 		return
 	}
 	before := t.Served()
-	if !pause(ctx, leaveSettle) {
+	if !sleep(ctx, leavingInterval) {
 		return
 	}
-	l.demo.say("       target %s got %d requests between %v and %v after it started to leave", l.target, t.Served()-before, leaveSettle, 2*leaveSettle)
+	w.demo.logf("       target %s got %d requests between %v and %v after it started to leave", w.target, t.Served()-before, leavingInterval, 2*leavingInterval)
 }
 
-// leaveDaemon shuts a daemon down in the usual way while callers use it.
-func (d *Demo) leaveDaemon(ctx context.Context) {
+// shutDownDaemon shuts a daemon down gracefully while callers use it.
+func (d *Demo) shutDownDaemon(ctx context.Context) {
 	n := d.fleet.Nodes()[0]
-	d.say("LEAVE  daemon %s shuts down", n.VM.ID)
+	d.logf("LEAVE  daemon %s shuts down", n.VM.ID)
 	_ = d.fleet.Platform.RemoveVM(ctx, n.VM.ID)
-	go stopWatch{demo: d, node: n}.run(ctx)
+	go shutdownWatch{demo: d, node: n}.run(ctx)
 }
 
-type stopWatch struct {
+// shutdownWatch shuts a daemon down and prints how long it took.
+type shutdownWatch struct {
 	demo *Demo
 	node *Node
 }
 
-func (s stopWatch) run(ctx context.Context) {
-	began := time.Now()
-	err := s.node.Stop(ctx)
-	s.demo.say("       daemon %s ended after %.1fs (error: %v)", s.node.VM.ID, time.Since(began).Seconds(), err)
+func (w shutdownWatch) run(ctx context.Context) {
+	startedAt := time.Now()
+	err := w.node.Stop(ctx)
+	w.demo.logf("       daemon %s ended after %.1fs (error: %v)", w.node.VM.ID, time.Since(startedAt).Seconds(), err)
 }
 
 func (d *Demo) killDaemon(ctx context.Context) {
 	n := d.fleet.Nodes()[3]
-	d.say("FAULT  daemon %s is lost at once, with the orders of its callers in progress", n.VM.ID)
+	d.logf("FAULT  daemon %s is killed while orders of its callers are in progress", n.VM.ID)
 	n.Kill()
 	_ = d.fleet.Platform.RemoveVM(ctx, n.VM.ID)
 }
 
-func (d *Demo) finish(context.Context) {
-	d.say("%s", d.tally.line())
+func (d *Demo) printSummary(context.Context) {
+	d.logf("%s", d.recorder.summary())
 }
 
-// watchTargets prints the states of the sick targets as one daemon sees them.
-func (d *Demo) watchTargets() {
-	go targetWatch{demo: d, targets: d.sick()}.run()
+// watchTargetStates prints the states of the faulty targets as they change.
+func (d *Demo) watchTargetStates() {
+	go targetStateWatch{demo: d, targets: d.faultyTargets()}.run()
 }
 
-type targetWatch struct {
+// targetStateWatch prints each change of a target's state to another one than ready,
+// as seen by a daemon that carries its service.
+type targetStateWatch struct {
 	demo    *Demo
 	targets []fleet.TargetID
 }
 
 const (
-	watchFor   = 7 * time.Second
-	watchEvery = 100 * time.Millisecond
+	watchDuration = 7 * time.Second
+	watchInterval = 100 * time.Millisecond
 )
 
-func (w targetWatch) run() {
+func (w targetStateWatch) run() {
 	seen := map[fleet.TargetID]string{}
-	for end := time.Now().Add(watchFor); time.Now().Before(end); {
+	for end := time.Now().Add(watchDuration); time.Now().Before(end); {
 		for _, id := range w.targets {
-			state, reason := w.demo.fleet.stateOf(id)
+			state, reason := w.demo.fleet.targetState(id)
 			if state != seen[id] && state != "ready" && state != "" {
-				w.demo.say("       target %s is %s: %s", id, state, reason)
+				w.demo.logf("       target %s is %s: %s", id, state, reason)
 			}
 			seen[id] = state
 		}
-		pause(context.Background(), watchEvery)
+		sleep(context.Background(), watchInterval)
 	}
 }
