--- a/core/admin/targets.go
+++ b/core/admin/targets.go
@@ -83,8 +83,8 @@
 	return a.setDrained(r, false)
 }
 
-// maxDrainAttempts limits how often a drain is proposed again after its commit
-// conflicted with another change.
+// maxDrainAttempts limits how often a drain is proposed while its commits conflict
+// with other changes.
 const maxDrainAttempts = 3
 
 // setDrained proposes and commits a change to the service's list of drained
--- a/examples/local/run.sh
+++ b/examples/local/run.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Runs the platform stand-in, three targets (one of which fails its work) and
-# three daemons as separate processes on loopback, sends a lookup and a booking
-# with a repeat, and stops everything. Run it from the root of the repository.
+# Runs the platform stand-in, three targets (one of which fails every request) and
+# three daemons as separate processes on loopback. It sends 40 lookups, then a
+# booking that it repeats at another daemon, and stops everything. Run it from the
+# root of the repository.
 set -euo pipefail
 
 dir=$(mktemp -d)
