--- a/core/admin/message.go
+++ b/core/admin/message.go
@@ -125,7 +125,8 @@
 	Since    time.Time `json:"since,omitzero"`
 }
 
-// The values of Target.Health.
+// The values of Target.Health. HealthUnknown applies to targets that are ejected or
+// leaving: they get no requests whose results could be assessed.
 const (
 	HealthGood    = "good"
 	HealthSuspect = "suspect"
--- a/core/admin/targets.go
+++ b/core/admin/targets.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// trySetDrained makes one attempt of setDrained. The returned id is empty if no
-// change was proposed.
+// trySetDrained makes one attempt of setDrained. The returned id is empty if it did
+// not get as far as to propose a change.
 func (a *api) trySetDrained(r *http.Request, drained bool, note string) (reply any, id string, err error) {
 	ctx := r.Context()
 	revision, doc, err := a.Changelog.Head(ctx)
--- a/standin/demo/bench_test.go
+++ b/standin/demo/bench_test.go
@@ -23,6 +23,7 @@
 // calls of Read and Write, which stand for packets.
 type traffic struct{ bytes, packets atomic.Int64 }
 
+// countingListener adds the traffic of its connections to a total.
 type countingListener struct {
 	net.Listener
 	traffic *traffic
@@ -33,6 +34,7 @@
 	return countingConn{c, l.traffic}, err
 }
 
+// countingConn adds its traffic to a total.
 type countingConn struct {
 	net.Conn
 	traffic *traffic
@@ -76,6 +78,8 @@
 	return f
 }
 
+// reportCounts returns the number of reports that all daemons have sent to their
+// peers, and the number of links between daemons, counted at both ends.
 func (f *Fleet) reportCounts() (sent, links float64) {
 	for _, n := range f.Nodes() {
 		sent += float64(n.State("reports").(map[string]any)["reports"].(member.Counters).Sent)
--- a/standin/demo/caller.go
+++ b/standin/demo/caller.go
@@ -31,12 +31,16 @@
 	name       string
 	dataCentre fleet.DataCentre
 	workload   workload
-	bootstrap  func() []string
-	recorder   *recorder
-	client     *http.Client
-
-	addresses    []string
-	expiresAt    time.Time
+	// bootstrap returns the addresses of the daemons that the caller asks first for
+	// the addresses of its service.
+	bootstrap func() []string
+	recorder  *recorder
+	client    *http.Client
+
+	addresses []string
+	// expiresAt is the time at which addresses expire.
+	expiresAt time.Time
+	// orderToken is the token of new orders, or empty if a new one is needed.
 	orderToken   string
 	requestCount int
 }
--- a/standin/demo/control.go
+++ b/standin/demo/control.go
@@ -50,6 +50,7 @@
 	fmt.Fprintf(w, "daemon %s admin http://%s callers http://%s\n", id, n.VM.AdminAddress, n.VM.CallerAddress)
 }
 
+// node returns the daemon with the given VM id, or nil if there is none.
 func (c *controlAPI) node(id fleet.VMID) *Node {
 	for _, n := range c.demo.fleet.Nodes() {
 		if n.VM.ID == id {
@@ -84,7 +85,7 @@
 	fmt.Fprintf(w, "daemon %s no longer waits for callers\n", n.VM.ID)
 }
 
-// faults replaces the faults of a target.
+// setTargetFaults replaces the faults of a target.
 func (c *controlAPI) setTargetFaults(w http.ResponseWriter, r *http.Request) {
 	t := c.demo.fleet.Target(fleet.TargetID(mux.Vars(r)["id"]))
 	if t == nil {
--- a/standin/demo/fleet.go
+++ b/standin/demo/fleet.go
@@ -44,6 +44,7 @@
 	servers         []*http.Server
 	platformAddress string
 
+	// mu guards listeners and daemons once the daemons are started.
 	mu      sync.Mutex
 	targets map[fleet.TargetID]*stand.Target
 	daemons []*Node
@@ -244,6 +245,8 @@
 	return f.listeners[address], nil
 }
 
+// startNode starts the daemon of a VM whose listeners are open already. Its seeds are
+// other daemons of the fleet.
 func (f *Fleet) startNode(ctx context.Context, n *Node) error {
 	id, err := f.authority.Issue(n.VM.ID)
 	if err != nil {
@@ -269,7 +272,7 @@
 
 const maxSeeds = 3
 
-// Nodes returns the daemons.
+// Nodes returns all daemons of the fleet, including those that have stopped.
 func (f *Fleet) Nodes() []*Node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/wisteriactl/changes.go
+++ b/wisteriactl/changes.go
@@ -127,7 +127,7 @@
 }
 
 // sendCommit sends a request and prints the outcome of the commit. It returns an
-// error unless the change is in force, so that the exit code reflects the outcome.
+// error unless the change has taken effect, so that the exit code reflects the outcome.
 func sendCommit(ctx context.Context, c *cli.Command, r apiRequest) error {
 	var reply admin.CommitReply
 	if err := send(ctx, c, r, &reply); err != nil {
--- a/wisteriactl/exit.go
+++ b/wisteriactl/exit.go
@@ -35,8 +35,8 @@
 // Error returns the detail with a prefix.
 func (e *outcomeUnknownError) Error() string { return "not yet known: " + e.detail }
 
-// refusedError reports a successful request whose reply says that the change is not
-// in force.
+// refusedError reports a successful request whose reply says that the change has not
+// taken effect.
 type refusedError struct{ detail string }
 
 // Error returns the detail with a prefix.
