--- a/core/admin/admin_test.go
+++ b/core/admin/admin_test.go
@@ -103,7 +103,8 @@
 		Expect(head.Revision).To(Equal(settle.Revision(2)))
 	})
 
-	// Guards against validation that stops at the first problem.
+	// Guards against validation that stops at the first problem or reports problems
+	// without their place in the settings.
 	It("lists every problem of an invalid change", func() {
 		f := newFixture()
 		f.bootstrap()
--- a/core/admin/targets.go
+++ b/core/admin/targets.go
@@ -54,25 +54,25 @@
 }
 
 // targetAction ejects a target or returns it to service on behalf of an operator.
-func (a *api) targetAction(r *http.Request, name string, apply func(context.Context, HandOrder) error) (any, error) {
+func (a *api) targetAction(r *http.Request, action string, apply func(context.Context, HandOrder) error) (any, error) {
 	var body ReasonBody
 	if err := readBody(r, &body); err != nil {
 		return nil, err
 	}
 	vars := mux.Vars(r)
-	action := HandOrder{
+	req := HandOrder{
 		Service: fleet.ServiceID(vars["service"]), Target: fleet.TargetID(vars["target"]),
 		Operator: requestInfoOf(r).operator, Reason: body.Reason,
 	}
-	if _, ok := a.Targets(action.Service); !ok {
-		return nil, a.notCarried(action.Service)
+	if _, ok := a.Targets(req.Service); !ok {
+		return nil, a.notCarried(req.Service)
 	}
-	err := apply(r.Context(), action)
-	a.logAction(r, name, "", err, "service", action.Service, "target", action.Target, "reason", action.Reason)
+	err := apply(r.Context(), req)
+	a.logAction(r, action, "", err, "service", req.Service, "target", req.Target, "reason", req.Reason)
 	if err != nil {
-		return nil, &annotatedError{cause: err, followUp: "GET /v1/services/" + string(action.Service) + "/targets"}
+		return nil, &annotatedError{cause: err, followUp: "GET /v1/services/" + string(req.Service) + "/targets"}
 	}
-	return TargetActionReply{Service: action.Service, Target: action.Target, Action: name, Operator: action.Operator}, nil
+	return TargetActionReply{Service: req.Service, Target: req.Target, Action: action, Operator: req.Operator}, nil
 }
 
 func (a *api) drain(r *http.Request) (any, error) {
--- a/wisteriactl/exit.go
+++ b/wisteriactl/exit.go
@@ -47,13 +47,13 @@
 func exitCode(err error) int {
 	var usage *usageError
 	var unknown *outcomeUnknownError
-	var problem *admin.Problem
+	var p *admin.Problem
 	switch {
 	case errors.As(err, &usage):
 		return exitUsage
 	case errors.As(err, &unknown):
 		return exitUnknown
-	case errors.As(err, &problem) && problem.Outcome == fault.Unknown:
+	case errors.As(err, &p) && p.Outcome == fault.Unknown:
 		return exitUnknown
 	}
 	return exitRefused
