--- a/core/admin/api.go
+++ b/core/admin/api.go
@@ -23,8 +23,8 @@
 	// Applied returns the settings revision that this daemon has applied, or nil if
 	// it has none yet.
 	Applied func() *settle.AppliedRevision
-	// Live returns the live VMs of the fleet's membership, including this one.
-	Live func() []fleet.VM
+	// LiveVMs returns the live VMs of the fleet's membership, including this one.
+	LiveVMs func() []fleet.VM
 	// Carriers returns the carriers of a service, or nil if the service is unknown.
 	Carriers func(fleet.ServiceID) []fleet.VM
 	// Addresses returns the addresses of the carriers in the order in which the
@@ -35,17 +35,17 @@
 	Targets func(fleet.ServiceID) ([]Target, bool)
 	// Eject and Return add a target to, or remove it from, the ejection list of a
 	// service that this daemon carries.
-	Eject  func(ctx context.Context, o HandOrder) error
-	Return func(ctx context.Context, o HandOrder) error
+	Eject  func(ctx context.Context, o TargetAction) error
+	Return func(ctx context.Context, o TargetAction) error
 	// State returns one part of this daemon's state, or all parts if part is empty.
 	State func(part string) any
-	// Ask requests a part of another daemon's state.
-	Ask    func(ctx context.Context, vm fleet.VM, part string) (*inner.StateReplyMsg, error)
-	Logger log.Logger
+	// PeerState requests a part of another daemon's state.
+	PeerState func(ctx context.Context, vm fleet.VM, part string) (*inner.StateReplyMsg, error)
+	Logger    log.Logger
 }
 
-// HandOrder is an operator's request to eject a target or to return it to service.
-type HandOrder struct {
+// TargetAction is an operator's request to eject a target or to return it to service.
+type TargetAction struct {
 	Service  fleet.ServiceID
 	Target   fleet.TargetID
 	Operator string
--- a/core/admin/rollout.go
+++ b/core/admin/rollout.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, err
 	}
-	live := a.Live()
+	live := a.LiveVMs()
 	q := rolloutQuery{api: a, head: latest.revision, vms: make(chan fleet.VM, len(live)), results: make(chan DaemonState, len(live))}
 	for _, vm := range live {
 		q.vms <- vm
@@ -104,7 +104,7 @@
 		}
 		return data, nil
 	}
-	reply, err := a.Ask(ctx, vm, part)
+	reply, err := a.PeerState(ctx, vm, part)
 	if err != nil {
 		return nil, err
 	}
@@ -117,7 +117,7 @@
 	q := r.URL.Query()
 	vm := fleet.VM{ID: a.VM}
 	if name := fleet.VMID(q.Get("vm")); name != "" && name != a.VM {
-		live := a.Live()
+		live := a.LiveVMs()
 		i := slices.IndexFunc(live, func(vm fleet.VM) bool { return vm.ID == name })
 		if i < 0 {
 			return nil, fault.New(fault.NotFound, "VM %q is not in the membership", name)
--- a/core/admin/suite_test.go
+++ b/core/admin/suite_test.go
@@ -87,7 +87,7 @@
 		Operators: []config.Operator{operatorEntry("marta"), operatorEntry("hector")},
 		Changelog: settle.NewChangelog(store.Table{Get: table.Get, Scan: table.Scan, Apply: f.apply}),
 		Applied:   func() *settle.AppliedRevision { return &settle.AppliedRevision{Revision: 1, Doc: doc} },
-		Live:      func() []fleet.VM { return live },
+		LiveVMs:   func() []fleet.VM { return live },
 		Carriers: func(id fleet.ServiceID) []fleet.VM {
 			if id == "elsewhere" {
 				return live[:1]
@@ -97,14 +97,14 @@
 		Targets: func(id fleet.ServiceID) ([]Target, bool) {
 			return []Target{{Target: "r1", State: "ready", Health: HealthGood}}, id == service
 		},
-		Eject: func(ctx context.Context, o HandOrder) error {
+		Eject: func(ctx context.Context, o TargetAction) error {
 			return ejector.EjectByHand(ctx, o.Target, o.Operator, o.Reason)
 		},
-		Return: func(ctx context.Context, o HandOrder) error {
+		Return: func(ctx context.Context, o TargetAction) error {
 			return ejector.ReturnByHand(ctx, o.Target, o.Operator, o.Reason)
 		},
 		State: func(string) any { return map[string]any{"daemon": map[string]any{"ready": true, "revision": 1}} },
-		Ask: func(_ context.Context, vm fleet.VM, _ string) (*inner.StateReplyMsg, error) {
+		PeerState: func(_ context.Context, vm fleet.VM, _ string) (*inner.StateReplyMsg, error) {
 			if vm.ID == "mdp-3" {
 				return nil, fault.New(fault.PeerUnreachable, "no answer")
 			}
--- a/core/admin/targets.go
+++ b/core/admin/targets.go
@@ -54,13 +54,13 @@
 }
 
 // targetAction ejects a target or returns it to service on behalf of an operator.
-func (a *api) targetAction(r *http.Request, action string, apply func(context.Context, HandOrder) error) (any, error) {
+func (a *api) targetAction(r *http.Request, action string, apply func(context.Context, TargetAction) error) (any, error) {
 	var body ReasonBody
 	if err := readBody(r, &body); err != nil {
 		return nil, err
 	}
 	vars := mux.Vars(r)
-	req := HandOrder{
+	req := TargetAction{
 		Service: fleet.ServiceID(vars["service"]), Target: fleet.TargetID(vars["target"]),
 		Operator: requestInfoOf(r).operator, Reason: body.Reason,
 	}
--- a/core/daemon/admin.go
+++ b/core/daemon/admin.go
@@ -28,14 +28,14 @@
 		Operators: s.Operators,
 		Changelog: settle.NewChangelog(p.Table, settle.WithObjects(p.Objects)),
 		Applied:   func() *settle.AppliedRevision { return e.follower.Current() },
-		Live:      func() []fleet.VM { return e.members.View().Live },
+		LiveVMs:   func() []fleet.VM { return e.members.View().Live },
 		Carriers:  e.carriersOf,
 		Addresses: func(id fleet.ServiceID, dc fleet.DataCentre, caller string) any { return e.addresses(id, dc, caller) },
 		Targets:   e.adminTargets,
 		Eject:     e.eject,
 		Return:    e.giveBack,
 		State:     dump.Read,
-		Ask: func(ctx context.Context, vm fleet.VM, part string) (*inner.StateReplyMsg, error) {
+		PeerState: func(ctx context.Context, vm fleet.VM, part string) (*inner.StateReplyMsg, error) {
 			return c.State(ctx, inner.Peer{VM: vm.ID, Address: vm.PeerAddress}, &inner.StateRequestMsg{Part: part})
 		},
 		Logger: l,
@@ -84,7 +84,7 @@
 	return admin.HealthGood
 }
 
-func (e *engine) eject(ctx context.Context, o admin.HandOrder) error {
+func (e *engine) eject(ctx context.Context, o admin.TargetAction) error {
 	w, ok := e.watch(o.Service)
 	if !ok {
 		return fault.New(fault.NotCarried, "service %s", o.Service)
@@ -92,7 +92,7 @@
 	return w.ejector.EjectByHand(ctx, o.Target, o.Operator, o.Reason)
 }
 
-func (e *engine) giveBack(ctx context.Context, o admin.HandOrder) error {
+func (e *engine) giveBack(ctx context.Context, o admin.TargetAction) error {
 	w, ok := e.watch(o.Service)
 	if !ok {
 		return fault.New(fault.NotCarried, "service %s", o.Service)
