--- a/core/daemon/admin.go
+++ b/core/daemon/admin.go
@@ -18,22 +18,23 @@
 	"wisteriarelay.example/core/stats"
 )
 
-// newAdmin serves metrics, without a token, and the administration API.
-func newAdmin(s *config.Settings, p Platform, c *inner.Client, e *engine, set *stats.Set, dump *stats.Dump, l log.Logger) (http.Handler, error) {
-	registerGauges(set, e)
+// newAdmin returns the handler of the administration port. It serves the
+// administration API, and the metrics without a token.
+func newAdmin(s *config.Settings, p Platform, c *inner.Client, sc *serviceController, set *stats.Set, dump *stats.Dump, l log.Logger) (http.Handler, error) {
+	registerGauges(set, sc)
 	r := mux.NewRouter()
 	r.Handle("/metrics", set).Methods(http.MethodGet)
 	err := admin.Mount(r, admin.Deps{
 		VM:        s.VM,
 		Operators: s.Operators,
 		Changelog: settle.NewChangelog(p.Table, settle.WithObjects(p.Objects)),
-		Applied:   func() *settle.Applied { return e.follower.Current() },
-		Live:      func() []fleet.VM { return e.members.View().Live },
-		Carriers:  e.carriersOf,
-		Addresses: func(id fleet.ServiceID, dc fleet.DataCentre, caller string) any { return e.addresses(id, dc, caller) },
-		Targets:   e.adminTargets,
-		Eject:     e.eject,
-		Return:    e.giveBack,
+		Applied:   func() *settle.Applied { return sc.follower.Current() },
+		Live:      func() []fleet.VM { return sc.members.View().Live },
+		Carriers:  sc.carriersOf,
+		Addresses: func(id fleet.ServiceID, dc fleet.DataCentre, caller string) any { return sc.addresses(id, dc, caller) },
+		Targets:   sc.adminTargets,
+		Eject:     sc.ejectTarget,
+		Return:    sc.returnTarget,
 		State:     dump.Read,
 		Ask: func(ctx context.Context, vm fleet.VM, part string) (*inner.StateReplyMsg, error) {
 			return c.StateAsk(ctx, inner.Peer{VM: vm.ID, Address: vm.Inner}, &inner.StateAskMsg{What: part})
@@ -43,38 +44,40 @@
 	return r, err
 }
 
-// carriersOf returns the carriers of a service, also those that are not heard.
-func (e *engine) carriersOf(id fleet.ServiceID) []fleet.VM {
+// carriersOf returns the carriers of a service, including those that this daemon
+// does not hear.
+func (sc *serviceController) carriersOf(id fleet.ServiceID) []fleet.VM {
 	var out []fleet.VM
-	for _, vm := range e.members.View().Carriers(id) {
+	for _, vm := range sc.members.View().Carriers(id) {
 		out = append(out, *vm)
 	}
 	return out
 }
 
-func (e *engine) adminTargets(id fleet.ServiceID) ([]admin.Target, bool) {
-	w, ok := e.watch(id)
+// adminTargets returns the targets of a carried service for the administration API.
+func (sc *serviceController) adminTargets(id fleet.ServiceID) ([]admin.Target, bool) {
+	cs, ok := sc.findCarried(id)
 	if !ok {
 		return nil, false
 	}
-	suspects := w.evidence.Suspects()
+	suspects := cs.evidence.Suspects()
 	inFlight := map[fleet.TargetID]int{}
-	for _, load := range w.carrier.Gate().InFlight() {
+	for _, load := range cs.carrier.Gate().InFlight() {
 		inFlight[load.Target] = int(load.InFlight)
 	}
 	out := []admin.Target{}
-	for _, t := range w.targetStates() {
+	for _, t := range cs.targetDumps() {
 		out = append(out, admin.Target{
-			Target: t.Target, DataCentre: t.DataCentre, Health: health(t, suspects), State: t.State, Weight: t.Weight,
+			Target: t.Target, DataCentre: t.DataCentre, Health: targetHealth(t, suspects), State: t.State, Weight: t.Weight,
 			InFlight: inFlight[t.Target], Reason: t.Reason, Since: t.Since,
 		})
 	}
 	return out, true
 }
 
-// health returns what the evidence says of a target. No work reaches one that
-// is ejected or leaving, so nothing is known of it.
-func health(t targetState, suspects map[fleet.TargetID]bool) string {
+// targetHealth returns the health of a target according to the evidence. An ejected
+// or leaving target receives no requests, so its health is unknown.
+func targetHealth(t targetDump, suspects map[fleet.TargetID]bool) string {
 	switch {
 	case t.State == detect.Ejected.String() || t.State == detect.Leaving.String():
 		return admin.HealthUnknown
@@ -84,54 +87,55 @@
 	return admin.HealthGood
 }
 
-func (e *engine) eject(ctx context.Context, o admin.HandOrder) error {
-	w, ok := e.watch(o.Service)
+func (sc *serviceController) ejectTarget(ctx context.Context, o admin.HandOrder) error {
+	cs, ok := sc.findCarried(o.Service)
 	if !ok {
 		return fault.New(fault.NotCarried, "service %s", o.Service)
 	}
-	return w.ejector.EjectByHand(ctx, o.Target, o.Operator, o.Reason)
+	return cs.ejector.EjectByHand(ctx, o.Target, o.Operator, o.Reason)
 }
 
-func (e *engine) giveBack(ctx context.Context, o admin.HandOrder) error {
-	w, ok := e.watch(o.Service)
+func (sc *serviceController) returnTarget(ctx context.Context, o admin.HandOrder) error {
+	cs, ok := sc.findCarried(o.Service)
 	if !ok {
 		return fault.New(fault.NotCarried, "service %s", o.Service)
 	}
-	return w.ejector.ReturnByHand(ctx, o.Target, o.Operator, o.Reason)
+	return cs.ejector.ReturnByHand(ctx, o.Target, o.Operator, o.Reason)
 }
 
-// registerGauges adds the metrics that alarms are built on.
-func registerGauges(set *stats.Set, e *engine) {
-	set.Gauge("wisteria_ready", func() int64 { return flagValue(e.isReady()) })
-	set.Gauge("wisteria_leaving", func() int64 { return flagValue(e.leaving.Load()) })
-	set.Gauge("wisteria_settings_head_age_seconds", e.headAge)
-	set.Gauge("wisteria_services_carried", func() int64 { return int64(len(*e.watches.Load())) })
+// registerGauges adds the gauges that alerts are based on.
+func registerGauges(set *stats.Set, sc *serviceController) {
+	set.Gauge("wisteria_ready", func() int64 { return boolToInt(sc.isReady()) })
+	set.Gauge("wisteria_leaving", func() int64 { return boolToInt(sc.leaving.Load()) })
+	set.Gauge("wisteria_settings_head_age_seconds", sc.headAge)
+	set.Gauge("wisteria_services_carried", func() int64 { return int64(len(*sc.carried.Load())) })
 	for state := detect.Ready; state <= detect.Leaving; state++ {
-		set.Gauge(stats.Label("wisteria_targets", "state", state.String()), func() int64 { return e.countTargets(state) })
+		set.Gauge(stats.Label("wisteria_targets", "state", state.String()), func() int64 { return sc.countTargets(state) })
 	}
 }
 
-func flagValue(b bool) int64 {
+func boolToInt(b bool) int64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// headAge returns the seconds since the head row was read; -1 if it never was.
-func (e *engine) headAge() int64 {
-	read := e.follower.State().HeadReadAt
+// headAge returns the seconds since the head row was last read, or -1 if it never
+// was.
+func (sc *serviceController) headAge() int64 {
+	read := sc.follower.State().HeadReadAt
 	if read.IsZero() {
 		return -1
 	}
 	return int64(time.Since(read).Seconds())
 }
 
-// countTargets returns the number of targets in a state, over the carried services.
-func (e *engine) countTargets(state detect.State) int64 {
+// countTargets returns the number of targets in a state over all carried services.
+func (sc *serviceController) countTargets(state detect.State) int64 {
 	n := int64(0)
-	for _, w := range *e.watches.Load() {
-		for _, s := range *w.states.Load() {
+	for _, cs := range *sc.carried.Load() {
+		for _, s := range *cs.states.Load() {
 			if s.State == state {
 				n++
 			}
--- a/core/daemon/watch_test.go
+++ b/core/daemon/carried_test.go
@@ -18,7 +18,7 @@
 	service := &fleet.Service{Targets: []fleet.Target{{ID: "a"}, {ID: "b"}}}
 	load, ok := inner.LoadOf("a", 0.75)
 	g.Expect(ok).To(BeTrue())
-	g.Expect(loads(service, []inner.TargetLoad{load})).To(Equal([]limit.Load{{Target: "a", InFlight: 0.75}}))
+	g.Expect(peerLoads(service, []inner.TargetLoad{load})).To(Equal([]limit.Load{{Target: "a", InFlight: 0.75}}))
 	_, ok = inner.LoadOf("b", 0.1)
 	g.Expect(ok).To(BeFalse(), "a row that says nothing is sent")
 }
@@ -30,12 +30,12 @@
 	row := func(ok, failed uint32, latency detect.Code) []detect.Row {
 		return []detect.Row{{Target: "a", Counts: [8]uint32{detect.OK: ok, detect.Failed: failed}, Latency: latency}}
 	}
-	h := newHeldRows()
-	g.Expect(h.pick(row(1, 0, 90))).To(Equal(row(1, 0, 90)), "a latency that no peer knows is news")
-	g.Expect(h.pick(row(2, 0, 92))).To(Equal(row(2, 0, 92)), "the second report carries ordinary rows")
-	g.Expect(h.pick(row(3, 0, 92))).To(BeEmpty())
-	g.Expect(h.pick(row(3, 0, 94))).To(Equal(row(6, 0, 93)))
-	g.Expect(h.pick(row(3, 0, 92))).To(BeEmpty())
-	g.Expect(h.pick(row(1, 2, 92))).To(Equal(row(1, 2, 92)))
-	g.Expect(h.pick(row(3, 0, 110))).To(Equal(row(3, 0, 110)), "a slower target is news")
+	b := newRowBuffer()
+	g.Expect(b.nextReport(row(1, 0, 90))).To(Equal(row(1, 0, 90)), "a latency that no peer knows is news")
+	g.Expect(b.nextReport(row(2, 0, 92))).To(Equal(row(2, 0, 92)), "the second report carries ordinary rows")
+	g.Expect(b.nextReport(row(3, 0, 92))).To(BeEmpty())
+	g.Expect(b.nextReport(row(3, 0, 94))).To(Equal(row(6, 0, 93)))
+	g.Expect(b.nextReport(row(3, 0, 92))).To(BeEmpty())
+	g.Expect(b.nextReport(row(1, 2, 92))).To(Equal(row(1, 2, 92)))
+	g.Expect(b.nextReport(row(3, 0, 110))).To(Equal(row(3, 0, 110)), "a slower target is news")
 }
--- a/core/daemon/slope_test.go
+++ b/core/daemon/cost_bench_test.go
@@ -25,7 +25,7 @@
 
 // planWatch returns a watch with the evidence of six carriers over 40 s, ten
 // windows of the preset fast.
-func planWatch(targets int) *watch {
+func planWatch(targets int) *carriedService {
 	s := &fleet.Service{ID: "reservas", Policy: fleet.Policy{
 		Floor: fleet.Floor{Percent: 50}, Carriers: planCarriers, SlowStart: 10 * time.Second,
 		Detection: fleet.Detection{Window: 4 * time.Second, MinRequests: 4, FailureRatio: 0.4, SlowFactor: 3, MinObservers: 2},
@@ -36,22 +36,22 @@
 		s.Targets = append(s.Targets, fleet.Target{ID: id, Address: "10.1.0.1:80", DataCentre: "mdp", Slots: 2})
 		rows = append(rows, detect.Row{Target: id, Counts: [8]uint32{detect.OK: 1}, Latency: 90})
 	}
-	w := newWatch(watchParts{self: fleet.VM{ID: "vm-0", DataCentre: "mdp"}, onAttempt: nil}, s)
+	cs := newCarriedService(serviceDeps{self: fleet.VM{ID: "vm-0", DataCentre: "mdp"}, onAttempt: nil}, s)
 	var carriers []*fleet.VM
 	for i := range planCarriers {
 		carriers = append(carriers, &fleet.VM{ID: fleet.VMID(fmt.Sprintf("vm-%d", i)), DataCentre: "mdp"})
 	}
-	w.update(s, carriers)
-	for age := 40 * time.Second; age > 0; age -= watchTick {
-		w.evidence.Add("vm-0", "mdp", rows, time.Now().Add(-age))
+	cs.update(s, carriers)
+	for age := 40 * time.Second; age > 0; age -= assessInterval {
+		cs.evidence.Add("vm-0", "mdp", rows, time.Now().Add(-age))
 		for _, c := range carriers[1:] {
 			if age%(3*time.Second) == 0 {
-				w.evidence.Add(c.ID, "mdp", rows, time.Now().Add(-age))
+				cs.evidence.Add(c.ID, "mdp", rows, time.Now().Add(-age))
 			}
 		}
 	}
-	w.tick(time.Now())
-	return w
+	cs.assess(time.Now())
+	return cs
 }
 
 // BenchmarkWatchHeap reports the heap of a carried service by number of targets.
@@ -61,9 +61,9 @@
 			held := 0.0
 			for b.Loop() {
 				before := heapBytes()
-				w := planWatch(targets)
+				cs := planWatch(targets)
 				held = heapBytes() - before
-				runtime.KeepAlive(w)
+				runtime.KeepAlive(cs)
 			}
 			b.ReportMetric(held, "heap-bytes/service")
 			b.ReportMetric(held/float64(targets), "heap-bytes/target")
@@ -75,11 +75,11 @@
 func BenchmarkTick(b *testing.B) {
 	for _, targets := range []int{10, 27, 54, 108} {
 		b.Run(fmt.Sprint("targets=", targets), func(b *testing.B) {
-			w := planWatch(targets)
+			cs := planWatch(targets)
 			b.ReportAllocs()
 			for b.Loop() {
-				w.carrier.Recorder().Record(w.service.Load().Targets[0].ID, detect.OK, planWork)
-				w.tick(time.Now())
+				cs.carrier.Recorder().Record(cs.service.Load().Targets[0].ID, detect.OK, planWork)
+				cs.assess(time.Now())
 			}
 		})
 	}
--- a/core/daemon/daemon.go
+++ b/core/daemon/daemon.go
@@ -19,18 +19,18 @@
 	"wisteriarelay.example/core/store"
 )
 
-// Platform holds the platform's services as a daemon uses them.
+// Platform holds the clients of the platform's services that a daemon uses.
 type Platform struct {
 	Table   store.Table
 	Objects store.Objects
 	VMs     store.VMList
-	// State returns the state of the client for the dump; it may be nil.
+	// State returns the client's part of the state dump; it may be nil.
 	State func() any
-	// Close frees the client; it may be nil.
+	// Close releases the client's resources; it may be nil.
 	Close func()
 }
 
-// overrides are the parts that tests and the demo replace.
+// overrides holds the dependencies that tests and the demo replace.
 type overrides struct {
 	platform *Platform
 	identity *inner.Identity
@@ -39,84 +39,86 @@
 	dial     func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Option changes a Daemon.
+// Option configures a Daemon.
 type Option func(*overrides)
 
-// WithPlatform replaces the HTTP client of the platform.
+// WithPlatform sets the clients of the platform's services, which are HTTP clients
+// by default.
 func WithPlatform(p Platform) Option {
 	return func(o *overrides) { o.platform = &p }
 }
 
-// WithIdentity replaces the certificate files of the inner protocol.
+// WithIdentity sets the identity for the inner protocol, which is read from the
+// configured certificate files by default.
 func WithIdentity(id inner.Identity) Option {
 	return func(o *overrides) { o.identity = &id }
 }
 
-// WithLogger sets the logger; the daemon logs nothing without it.
+// WithLogger sets the logger. Without it, the daemon logs nothing.
 func WithLogger(l log.Logger) Option {
 	return func(o *overrides) { o.logger = l }
 }
 
-// WithListen replaces the function that opens the ports.
+// WithListen sets the function that opens the ports, which are TCP by default.
 func WithListen(listen func(address string) (net.Listener, error)) Option {
 	return func(o *overrides) { o.listen = listen }
 }
 
-// WithDial replaces the function that connects to targets and peers.
+// WithDial sets the function that opens connections to targets and peers.
 func WithDial(dial func(ctx context.Context, network, address string) (net.Conn, error)) Option {
 	return func(o *overrides) { o.dial = dial }
 }
 
-// Daemon is one daemon with all its parts.
+// Daemon is one daemon with all its components.
 type Daemon struct {
-	app         *fx.App
-	settings    *config.Settings
-	incarnation fleet.Incarnation
-	logger      log.Logger
-	parts       daemonParts
-	hurry       chan struct{}
-	hurryOnce   sync.Once
+	app               *fx.App
+	settings          *config.Settings
+	incarnation       fleet.Incarnation
+	logger            log.Logger
+	components        components
+	endCallerWait     chan struct{}
+	endCallerWaitOnce sync.Once
 }
 
-// daemonParts are the parts that the shutdown works with.
-type daemonParts struct {
+// components holds the components that the methods of Daemon use.
+type components struct {
 	fx.In
 
-	Background *background
-	Engine     *engine
+	Tasks      *taskGroup
+	Controller *serviceController
 	Members    *member.Table
-	Peers      *peers
+	PeerClient *peerClient
 	Manager    *order.Manager
 	Relay      *proxy.Relay
 	Ports      *ports
 	Dump       *stats.Dump
 }
 
-// startLimit bounds the opening of the ports.
-const startLimit = 15 * time.Second
+// startTimeout limits the start of the components, which opens the ports.
+const startTimeout = 15 * time.Second
 
-// New assembles a daemon; Start runs it.
+// New returns a daemon that is not started yet.
 func New(settings *config.Settings, opts ...Option) (*Daemon, error) {
 	o := overrides{logger: log.NewNopLogger(), listen: listenTCP, dial: (&net.Dialer{}).DialContext}
 	for _, opt := range opts {
 		opt(&o)
 	}
 	d := &Daemon{
-		settings:    settings,
-		incarnation: fleet.NewIncarnation(settings.VM),
-		logger:      log.With(o.logger, "vm", settings.VM),
-		hurry:       make(chan struct{}),
+		settings:      settings,
+		incarnation:   fleet.NewIncarnation(settings.VM),
+		logger:        log.With(o.logger, "vm", settings.VM),
+		endCallerWait: make(chan struct{}),
 	}
 	d.app = fx.New(
 		fx.NopLogger,
-		fx.StartTimeout(startLimit),
+		fx.StartTimeout(startTimeout),
 		fx.StopTimeout(settings.ShutdownLimit),
 		fx.Supply(settings, o, d.incarnation),
 		fx.Provide(func() log.Logger { return d.logger }, stats.New, stats.NewDump),
-		fx.Provide(newBackground, newPlatform, newIdentity, newClient, newEngine, newMembers, newPeers, newFollower),
+		fx.Provide(newTaskGroup, newPlatform, newIdentity, newClient, newController, newMembers, newPeerClient, newFollower),
 		fx.Provide(newManager, newRelay, newHandlers, newAdmin, newPorts),
-		fx.Invoke(bind, registerState, openPorts),
-		fx.Populate(&d.parts),
+		fx.Invoke(connectComponents, registerDumps, openPorts),
+		fx.Populate(&d.components),
 	)
 	if err := d.app.Err(); err != nil {
 		return nil, err
@@ -124,13 +126,14 @@
 	return d, nil
 }
 
-// Start opens the ports and runs the parts; it does not wait for readiness.
+// Start opens the ports and starts the components. It does not wait until the
+// daemon is ready.
 func (d *Daemon) Start(ctx context.Context) error {
 	return d.app.Start(ctx)
 }
 
-// Stop drains the daemon and ends it. Requests in progress are cut only if ctx
-// or the shutdown limit ends first, which is logged.
+// Stop shuts the daemon down gracefully. Requests in progress are interrupted, with
+// a log line, only if ctx ends or the shutdown limit passes first.
 func (d *Daemon) Stop(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, d.settings.ShutdownLimit)
 	defer cancel()
@@ -138,9 +141,10 @@
 	return d.app.Stop(ctx)
 }
 
-// Kill ends the daemon at once, as the loss of its VM would.
+// Kill stops the daemon at once, without a graceful shutdown, as the loss of its VM
+// would.
 func (d *Daemon) Kill() {
-	d.parts.Ports.kill()
+	d.components.Ports.kill()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	_ = d.app.Stop(ctx)
@@ -148,24 +152,24 @@
 
 // Ready reports whether the daemon serves requests.
 func (d *Daemon) Ready() bool {
-	return d.parts.Engine.isReady()
+	return d.components.Controller.isReady()
 }
 
-// Incarnation returns the incarnation of this run.
+// Incarnation returns the daemon's incarnation, which is unique to this run.
 func (d *Daemon) Incarnation() fleet.Incarnation {
 	return d.incarnation
 }
 
 // State returns one part of the state dump, or all parts if part is empty.
 func (d *Daemon) State(part string) any {
-	return d.parts.Dump.Read(part)
+	return d.components.Dump.Read(part)
 }
 
 // TargetState returns the state of a target and the reason for it; ok is false
 // if this daemon carries no service with the target.
 func (d *Daemon) TargetState(id fleet.TargetID) (state, reason string, ok bool) {
-	for _, w := range *d.parts.Engine.watches.Load() {
-		for _, s := range *w.states.Load() {
+	for _, cs := range *d.components.Controller.carried.Load() {
+		for _, s := range *cs.states.Load() {
 			if s.Target == id {
 				return s.State.String(), s.Reason, true
 			}
--- a/core/daemon/doc.go
+++ b/core/daemon/doc.go
@@ -1,4 +1,5 @@
-// Package daemon assembles a daemon from its parts: it follows the settings and
-// the membership, keeps the services that the daemon carries, serves callers,
-// peers and operators, and shuts down without cutting a request.
+// Package daemon assembles a daemon from its components. A daemon follows the
+// settings and the fleet's membership and carries the services that are placed on
+// it: it proxies the requests of their callers and assesses their targets. It also
+// serves peers and operators, and shuts down without interrupting a request.
 package daemon
--- a/core/daemon/failures_test.go
+++ b/core/daemon/failures_test.go
@@ -19,7 +19,7 @@
 	// fastWindow is the window of the preset "fast", and detectTime adds the
 	// tick in which it is judged.
 	fastWindow = 4 * time.Second
-	detectTime = fastWindow + watchTick
+	detectTime = fastWindow + assessInterval
 	// agreeTime is the window of the first observers, a report and the window
 	// of the observers that confirm them.
 	agreeTime = 2*detectTime + 2*time.Second
@@ -69,8 +69,8 @@
 			for i := range s.daemons {
 				ejected := s.inState(i, "ejected")
 				s.g.Expect(ejected).To(BeNumerically("<=", 1))
-				w, _ := s.daemons[i].parts.Engine.watch("reservas")
-				s.g.Expect(len(w.ejector.Current().Entries)).To(BeNumerically("<=", 1), "entries of the row")
+				cs, _ := s.daemons[i].components.Controller.findCarried("reservas")
+				s.g.Expect(len(cs.ejector.Current().Entries)).To(BeNumerically("<=", 1), "entries of the row")
 				seen = seen || ejected == 1
 			}
 		})
@@ -275,11 +275,11 @@
 		_, err = io.WriteString(c, "GET /bookings/7 HTTP/1.1\r\nHost: wisteria\r\nWisteria-Service: reservas\r\n\r\n")
 		s.g.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(time.Second)
-		s.g.Expect(s.daemons[0].parts.Relay.Active()).To(BeEquivalentTo(1))
+		s.g.Expect(s.daemons[0].components.Relay.Active()).To(BeEquivalentTo(1))
 		time.Sleep(7 * time.Second)
-		s.g.Expect(s.daemons[0].parts.Relay.Active()).To(BeZero())
-		w, _ := s.daemons[0].parts.Engine.watch("reservas")
-		s.g.Expect(w.carrier.Gate().InUse()).To(BeEmpty())
+		s.g.Expect(s.daemons[0].components.Relay.Active()).To(BeZero())
+		cs, _ := s.daemons[0].components.Controller.findCarried("reservas")
+		s.g.Expect(cs.carrier.Gate().InUse()).To(BeEmpty())
 		s.g.Expect(c.Close()).To(Succeed())
 		s.close()
 	})
--- a/core/daemon/bench_test.go
+++ b/core/daemon/fleet_bench_test.go
@@ -128,15 +128,15 @@
 
 // planCaller is the traffic of one carrier: good requests, spread evenly.
 type planCaller struct {
-	fleet *planFleet
-	watch *watch
-	rng   *rand.Rand
+	fleet   *planFleet
+	carried *carriedService
+	rng     *rand.Rand
 }
 
 func (c *planCaller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(c.rng.ExpFloat64() * float64(time.Second) / (planRate * planTargets)))
-		target := c.watch.service.Load().Targets[c.rng.IntN(planTargets)].ID
+		target := c.carried.service.Load().Targets[c.rng.IntN(planTargets)].ID
 		took := time.Duration(float64(planWork) * math.Exp(c.rng.NormFloat64()/4))
 		c.fleet.traffic.Go(func() { c.request(target, took) })
 	}
@@ -153,16 +153,16 @@
 			result = detect.Failed
 		}
 	}
-	grant, err := c.watch.carrier.Gate().Acquire(context.Background(), limit.Ask{Kind: fleet.Lookup, Idempotent: true})
+	grant, err := c.carried.carrier.Gate().Acquire(context.Background(), limit.Ask{Kind: fleet.Lookup, Idempotent: true})
 	must(err)
 	time.Sleep(took)
 	grant.Release(limit.Served)
-	c.watch.carrier.Recorder().Record(target, result, took)
+	c.carried.carrier.Recorder().Record(target, result, took)
 }
 
 func (f *planFleet) reports() (n int64) {
 	for _, d := range f.daemons {
-		n += int64(d.parts.Members.Counters().Sent)
+		n += int64(d.components.Members.Counters().Sent)
 	}
 	return n
 }
@@ -171,8 +171,8 @@
 func (f *planFleet) load(seed uint64) context.CancelFunc {
 	ctx, stop := context.WithCancel(context.Background())
 	for i, d := range f.daemons {
-		for _, w := range *d.parts.Engine.watches.Load() {
-			c := &planCaller{f, w, rand.New(rand.NewPCG(seed, uint64(i)))}
+		for _, cs := range *d.components.Controller.carried.Load() {
+			c := &planCaller{f, cs, rand.New(rand.NewPCG(seed, uint64(i)))}
 			f.traffic.Go(func() { c.run(ctx) })
 		}
 	}
@@ -255,7 +255,7 @@
 	f.sick.Store(&s)
 	began, seen := time.Now(), map[*Daemon]bool{}
 	for time.Since(began) < trafficSpan && len(seen) < planCarriers {
-		time.Sleep(watchTick / 5)
+		time.Sleep(assessInterval / 5)
 		for _, d := range f.daemons {
 			if state, _, _ := d.TargetState(firstTarget); !seen[d] && (state == "avoided" || state == "ejected") {
 				seen[d] = true
--- a/core/daemon/trouble_golden_test.go
+++ b/core/daemon/golden_faults_test.go
@@ -70,7 +70,7 @@
 		s.start()
 		time.Sleep(10 * time.Second)
 		s.forget()
-		state := s.daemons[3].parts.Engine.follower.State()
+		state := s.daemons[3].components.Controller.follower.State()
 		s.note("mdp-2 ready: %v, revision %d, %s", s.daemons[3].Ready(), state.Revision, state.Reason)
 		s.callAt(3, lookup("l1"), "")
 	})
--- a/core/daemon/handlers.go
+++ b/core/daemon/handlers.go
@@ -16,9 +16,9 @@
 	"wisteriarelay.example/core/stats"
 )
 
-// newHandlers returns the answers to the calls of peers.
-func newHandlers(m *member.Table, manager *order.Manager, f *settle.Follower, e *engine, dump *stats.Dump) inner.Handlers {
-	h := &handlers{manager: manager, follower: f, engine: e, dump: dump}
+// newHandlers returns the handlers of the requests from peers.
+func newHandlers(m *member.Table, manager *order.Manager, f *settle.Follower, sc *serviceController, dump *stats.Dump) inner.Handlers {
+	h := &peerHandlers{manager: manager, follower: f, controller: sc, dump: dump}
 	return inner.Handlers{
 		Report:      m.Receive,
 		OrderAsk:    h.orderAsk,
@@ -31,40 +31,41 @@
 	}
 }
 
-type handlers struct {
-	manager  *order.Manager
-	follower *settle.Follower
-	engine   *engine
-	dump     *stats.Dump
+// peerHandlers answers the requests from peers that need more than the membership.
+type peerHandlers struct {
+	manager    *order.Manager
+	follower   *settle.Follower
+	controller *serviceController
+	dump       *stats.Dump
 }
 
-func (h *handlers) orderAsk(_ context.Context, _ fleet.VMID, m *inner.OrderAskMsg) (*inner.OrderReplyMsg, error) {
+func (h *peerHandlers) orderAsk(_ context.Context, _ fleet.VMID, m *inner.OrderAskMsg) (*inner.OrderReplyMsg, error) {
 	reply := h.manager.Answer(*m)
 	return &reply, nil
 }
 
-func (h *handlers) ledger(_ context.Context, _ fleet.VMID, m *inner.LedgerMsg) (*inner.LedgerReplyMsg, error) {
+func (h *peerHandlers) ledger(_ context.Context, _ fleet.VMID, m *inner.LedgerMsg) (*inner.LedgerReplyMsg, error) {
 	if err := h.manager.Import(*m); err != nil {
 		return nil, err
 	}
 	return &inner.LedgerReplyMsg{Kept: uint32(len(m.Records))}, nil
 }
 
-func (h *handlers) revisionAsk(_ context.Context, _ fleet.VMID, m *inner.RevisionAskMsg) (*inner.RevisionReplyMsg, error) {
+func (h *peerHandlers) revisionAsk(_ context.Context, _ fleet.VMID, m *inner.RevisionAskMsg) (*inner.RevisionReplyMsg, error) {
 	reply := h.follower.Answer(*m)
 	return &reply, nil
 }
 
-func (h *handlers) stateAsk(_ context.Context, _ fleet.VMID, m *inner.StateAskMsg) (*inner.StateReplyMsg, error) {
+func (h *peerHandlers) stateAsk(_ context.Context, _ fleet.VMID, m *inner.StateAskMsg) (*inner.StateReplyMsg, error) {
 	data, err := json.Marshal(h.dump.Read(m.What))
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Internal, "state %q cannot be encoded", m.What)
 	}
-	return &inner.StateReplyMsg{Revision: h.engine.revision(), Dump: data}, nil
+	return &inner.StateReplyMsg{Revision: h.controller.revision(), Dump: data}, nil
 }
 
-// daemonState is the part of the state dump about the process.
-type daemonState struct {
+// daemonDump is the part of the state dump about the process.
+type daemonDump struct {
 	VM          fleet.VM          `json:"vm"`
 	Incarnation fleet.Incarnation `json:"incarnation"`
 	Started     time.Time         `json:"started"`
@@ -74,16 +75,18 @@
 	Revision    uint64            `json:"revision"`
 }
 
-func registerState(s *config.Settings, inc fleet.Incarnation, p Platform, m *member.Table, f *settle.Follower, e *engine, manager *order.Manager, rl *proxy.Relay, dump *stats.Dump, set *stats.Set) {
+// registerDumps adds the parts of the state dump, and the gauges of active requests
+// and of the settings revision.
+func registerDumps(s *config.Settings, inc fleet.Incarnation, p Platform, m *member.Table, f *settle.Follower, sc *serviceController, manager *order.Manager, rl *proxy.Relay, dump *stats.Dump, set *stats.Set) {
 	started := time.Now()
 	dump.Add("daemon", func() any {
-		return daemonState{
-			VM: s.Self(), Incarnation: inc, Started: started, Ready: e.isReady(), Leaving: e.leaving.Load(),
-			Active: rl.Active(), Revision: e.revision(),
+		return daemonDump{
+			VM: s.Self(), Incarnation: inc, Started: started, Ready: sc.isReady(), Leaving: sc.leaving.Load(),
+			Active: rl.Active(), Revision: sc.revision(),
 		}
 	})
 	dump.Add("process-settings", func() any { return s })
-	dump.Add("services", e.state)
+	dump.Add("services", sc.dump)
 	dump.Add("settings", func() any { return f.State() })
 	dump.Add("members", func() any { return m.Dump(time.Now()) })
 	dump.Add("reports", func() any { return m.Counters() })
@@ -92,5 +95,5 @@
 		dump.Add("platform", p.State)
 	}
 	set.Gauge("wisteria_requests_active", rl.Active)
-	set.Gauge("wisteria_settings_revision", func() int64 { return int64(e.revision()) })
+	set.Gauge("wisteria_settings_revision", func() int64 { return int64(sc.revision()) })
 }
--- a/core/daemon/platform_test.go
+++ b/core/daemon/outage_test.go
@@ -26,7 +26,7 @@
 // serving, ejects a target, changes settings or runs an order without a claim.
 func TestPlatformAwayForAnHour(t *testing.T) {
 	playFleet(t, 2, func(s *session) {
-		revision := s.daemons[0].parts.Engine.revision()
+		revision := s.daemons[0].components.Controller.revision()
 		s.platformAway()
 		for minute := range 60 {
 			time.Sleep(time.Minute)
@@ -37,7 +37,7 @@
 			r := s.order(i, own)
 			s.g.Expect(r.outcome).To(Equal("unknown"), "%+v", r)
 			s.g.Expect(s.runs(own)).To(BeZero())
-			s.g.Expect(s.daemons[i].parts.Engine.revision()).To(Equal(revision))
+			s.g.Expect(s.daemons[i].components.Controller.revision()).To(Equal(revision))
 		}
 		s.loadAll()
 		time.Sleep(fastWindow)
@@ -67,7 +67,7 @@
 		s.platform.Misbehave(stand.PlatformFaults{})
 		s.callsWithin(30, polls+writes)
 		for i, d := range s.daemons {
-			s.g.Expect(time.Since(d.parts.Engine.follower.State().HeadReadAt)).To(BeNumerically("<", settingsTime), "daemon %d", i)
+			s.g.Expect(time.Since(d.components.Controller.follower.State().HeadReadAt)).To(BeNumerically("<", settingsTime), "daemon %d", i)
 			s.g.Expect(s.order(i, fmt.Sprintf("after-%d", i)).outcome).To(Equal("run"))
 		}
 	})
@@ -97,7 +97,7 @@
 			began := time.Now()
 			s.throughout(20*time.Second, func() {
 				for i, d := range s.daemons {
-					now := d.parts.Engine.follower.Current().Revision
+					now := d.components.Controller.follower.Current().Revision
 					s.g.Expect(now).To(BeNumerically(">=", highest[i]), "daemon %d reverts", i)
 					highest[i] = now
 					if time.Since(began) >= settingsTime {
@@ -106,7 +106,7 @@
 				}
 			})
 		}
-		read := s.daemons[0].parts.Engine.follower.State().HeadReadAt
+		read := s.daemons[0].components.Controller.follower.State().HeadReadAt
 		s.g.Expect(read).To(BeTemporally("<", lagging.Add(settingsTime)), "an old head counts as a recent read")
 		lag.Store(false)
 		s.net.mendAll()
@@ -150,7 +150,7 @@
 		s.platform.Misbehave(stand.PlatformFaults{})
 		revision := s.change(ttl("7s")...)
 		s.within(settingsTime, "in force at all daemons", func() bool {
-			return !slices.ContainsFunc(s.daemons, func(d *Daemon) bool { return d.parts.Engine.follower.Current().Revision != revision })
+			return !slices.ContainsFunc(s.daemons, func(d *Daemon) bool { return d.components.Controller.follower.Current().Revision != revision })
 		})
 	})
 }
--- a/core/daemon/peers.go
+++ b/core/daemon/peers.go
@@ -18,40 +18,43 @@
 )
 
 const (
-	// maxAsked bounds the peers that are asked for settings at once, beside the seeds.
-	maxAsked = 8
-	// ledgerCopies is the number of carriers that take over the ledger of a
-	// daemon that leaves.
+	// maxQueriedPeers limits the peers, besides the seeds, from which settings are
+	// requested at the same time.
+	maxQueriedPeers = 8
+	// ledgerCopies is the number of peers that import the ledger of a leaving
+	// daemon.
 	ledgerCopies = 2
-	// ledgerTimeout bounds the hand-over of one part of a ledger.
-	ledgerTimeout = 2 * time.Second
-	// seedTimeout lets several seeds be asked within the time of one read of the VM list.
+	// ledgerPartTimeout limits the transfer of one part of a ledger.
+	ledgerPartTimeout = 2 * time.Second
+	// seedTimeout limits the request to one seed, so that several seeds can be tried
+	// within the time of one read of the VM list.
 	seedTimeout = 800 * time.Millisecond
 )
 
-// peers calls the other daemons.
-type peers struct {
+// peerClient sends requests to the other daemons.
+type peerClient struct {
 	self    fleet.VM
-	client  *inner.Client
+	rpc     *inner.Client
 	members *member.Table
 	seeds   []string
 	logger  log.Logger
 }
 
-// askHome asks the daemon that runs as the incarnation about an order.
-func (p *peers) askHome(ctx context.Context, to fleet.Incarnation, ask order.OrderAsk) (order.OrderReply, error) {
-	vm, ok := p.find(to.VM())
+// queryOrder queries the daemon with the given incarnation about an order.
+func (p *peerClient) queryOrder(ctx context.Context, to fleet.Incarnation, query order.OrderAsk) (order.OrderReply, error) {
+	vm, ok := p.findVM(to.VM())
 	if !ok {
 		return order.OrderReply{}, fault.New(fault.PeerUnreachable, "VM %s is not known", to.VM())
 	}
-	reply, err := p.client.OrderAsk(ctx, inner.Peer{VM: vm.ID, Address: vm.Inner}, &ask)
+	reply, err := p.rpc.OrderAsk(ctx, inner.Peer{VM: vm.ID, Address: vm.Inner}, &query)
 	if err != nil {
 		return order.OrderReply{}, err
 	}
 	return *reply, nil
 }
 
-func (p *peers) find(id fleet.VMID) (fleet.VM, bool) {
+// findVM returns a VM of the membership, from the peers or from the VM list.
+func (p *peerClient) findVM(id fleet.VMID) (fleet.VM, bool) {
 	view := p.members.View()
 	if peer, ok := view.Peer(id); ok {
 		return peer.VM, true
@@ -64,8 +67,9 @@
 	return fleet.VM{}, false
 }
 
-// holders returns the incarnations that may hold the ledger of one that left.
-func (p *peers) holders(fleet.Incarnation) []fleet.Incarnation {
+// ledgerImporters returns the incarnations that may have imported the ledger of an
+// incarnation that left: all peers that are heard, and this daemon.
+func (p *peerClient) ledgerImporters(fleet.Incarnation) []fleet.Incarnation {
 	var out []fleet.Incarnation
 	now := time.Now()
 	view := p.members.View()
@@ -77,17 +81,18 @@
 	return append(out, view.Incarnation)
 }
 
-// askRevisions asks the seeds and some known VMs for revisions above have.
-func (p *peers) askRevisions(ctx context.Context, have settle.Revision) []settle.PeerReply {
-	calls := p.revisionCalls()
-	replies := make(chan *settle.PeerReply, len(calls))
-	for _, c := range calls {
-		c.have = have
-		c.replies = replies
-		go c.run(ctx)
+// requestRevisions requests the settings revisions above have from the seeds and
+// some other live VMs, and returns the replies that arrive before ctx ends.
+func (p *peerClient) requestRevisions(ctx context.Context, have settle.Revision) []settle.PeerReply {
+	requests := p.revisionRequests()
+	replies := make(chan *settle.PeerReply, len(requests))
+	for _, r := range requests {
+		r.have = have
+		r.replies = replies
+		go r.run(ctx)
 	}
 	var out []settle.PeerReply
-	for range calls {
+	for range requests {
 		select {
 		case r := <-replies:
 			if r != nil {
@@ -100,62 +105,65 @@
 	return out
 }
 
-func (p *peers) revisionCalls() []*revisionCall {
+// revisionRequests returns the requests to send: one to each seed, and up to
+// maxQueriedPeers to other VMs chosen at random.
+func (p *peerClient) revisionRequests() []*revisionRequest {
 	seeds := make(map[string]bool, len(p.seeds))
 	for _, address := range p.seeds {
 		seeds[address] = true
 	}
-	var calls []*revisionCall
+	var requests []*revisionRequest
 	live := p.members.View().Live
 	others := 0
 	for _, i := range rand.Perm(len(live)) {
 		vm := live[i]
-		if vm.ID == p.self.ID || !seeds[vm.Inner] && others >= maxAsked {
+		if vm.ID == p.self.ID || !seeds[vm.Inner] && others >= maxQueriedPeers {
 			continue
 		}
 		if !seeds[vm.Inner] {
 			others++
 		}
-		calls = append(calls, &revisionCall{peers: p, vm: vm, seed: seeds[vm.Inner]})
+		requests = append(requests, &revisionRequest{client: p, vm: vm, seed: seeds[vm.Inner]})
 		delete(seeds, vm.Inner)
 	}
 	for address := range seeds {
 		if address != p.self.Inner {
-			calls = append(calls, &revisionCall{peers: p, vm: fleet.VM{Inner: address}, seed: true})
+			requests = append(requests, &revisionRequest{client: p, vm: fleet.VM{Inner: address}, seed: true})
 		}
 	}
-	return calls
+	return requests
 }
 
-// revisionCall asks one peer for settings.
-type revisionCall struct {
-	peers   *peers
+// revisionRequest requests settings from one peer.
+type revisionRequest struct {
+	client  *peerClient
 	vm      fleet.VM
 	seed    bool
 	have    settle.Revision
 	replies chan<- *settle.PeerReply
 }
 
-func (c *revisionCall) run(ctx context.Context) {
-	msg, err := c.peers.client.RevisionAsk(ctx, inner.Peer{VM: c.vm.ID, Address: c.vm.Inner}, &settle.RevisionAskMsg{Have: c.have})
+func (r *revisionRequest) run(ctx context.Context) {
+	msg, err := r.client.rpc.RevisionAsk(ctx, inner.Peer{VM: r.vm.ID, Address: r.vm.Inner}, &settle.RevisionAskMsg{Have: r.have})
 	if err != nil {
-		_ = level.Debug(c.peers.logger).Log("msg", "peer did not answer about settings", "address", c.vm.Inner, "detail", err)
-		c.replies <- nil
+		_ = level.Debug(r.client.logger).Log("msg", "peer did not reply to the settings request", "address", r.vm.Inner, "detail", err)
+		r.replies <- nil
 		return
 	}
-	c.replies <- &settle.PeerReply{From: c.vm.ID, DataCentre: c.vm.DataCentre, Seed: c.seed, Msg: *msg}
+	r.replies <- &settle.PeerReply{From: r.vm.ID, DataCentre: r.vm.DataCentre, Seed: r.seed, Msg: *msg}
 }
 
-// listVMs reads the platform's VM list. A daemon that has never read it asks its
-// peers instead, so that it can start while the platform is away; version 0
-// makes the next read of the platform a full one.
-func (p *peers) listVMs(list store.VMList) store.VMList {
+// vmListWithFallback returns the platform's VM list with a fallback for a daemon
+// that has never read it: if the platform does not respond, it returns the VMs
+// that a seed knows, so that the daemon can start during an outage. That result
+// has version 0, which makes the next read of the platform a full one.
+func (p *peerClient) vmListWithFallback(list store.VMList) store.VMList {
 	return store.VMList{Since: func(ctx context.Context, version uint64) (store.VMChanges, error) {
 		changes, err := list.Since(ctx, version)
 		if err == nil || version != 0 {
 			return changes, err
 		}
-		vms := p.askVMs(ctx)
+		vms := p.requestVMs(ctx)
 		if len(vms) == 0 {
 			return changes, err
 		}
@@ -163,14 +171,15 @@
 	}}
 }
 
-// askVMs returns the VMs that the first answering seed knows.
-func (p *peers) askVMs(ctx context.Context) []fleet.VM {
+// requestVMs tries the seeds in random order and returns the VMs known to the
+// first that replies.
+func (p *peerClient) requestVMs(ctx context.Context) []fleet.VM {
 	for _, i := range rand.Perm(len(p.seeds)) {
 		if p.seeds[i] == p.self.Inner {
 			continue
 		}
 		callCtx, cancel := context.WithTimeout(ctx, seedTimeout)
-		reply, err := p.client.VMsAsk(callCtx, inner.Peer{Address: p.seeds[i]}, &inner.VMsAskMsg{})
+		reply, err := p.rpc.VMsAsk(callCtx, inner.Peer{Address: p.seeds[i]}, &inner.VMsAskMsg{})
 		cancel()
 		if err == nil && len(reply.VMs) > 0 {
 			return reply.VMs
@@ -179,15 +188,15 @@
 	return nil
 }
 
-// handOver sends the ledger to other carriers, which then answer for this
-// incarnation.
-func (p *peers) handOver(ctx context.Context, parts []order.LedgerPart) int {
+// handOverLedger sends the ledger to up to ledgerCopies peers, which then answer
+// queries in place of this incarnation. It returns the number of copies made.
+func (p *peerClient) handOverLedger(ctx context.Context, parts []order.LedgerPart) int {
 	copies := 0
-	for _, to := range p.successors() {
+	for _, to := range p.ledgerRecipients() {
 		if copies == ledgerCopies {
 			break
 		}
-		if err := p.sendParts(ctx, to, parts); err != nil {
+		if err := p.sendLedger(ctx, to, parts); err != nil {
 			_ = level.Warn(p.logger).Log("msg", "order records not handed over", "to", to.VM, "detail", err)
 			continue
 		}
@@ -196,11 +205,12 @@
 	return copies
 }
 
-// successors returns the peers that may take over the ledger, those first that are
-// heard in both directions.
-func (p *peers) successors() []inner.Peer {
+// ledgerRecipients returns the peers that may import the ledger: those that this
+// daemon hears and that are not leaving. Peers that also hear this daemon come
+// first.
+func (p *peerClient) ledgerRecipients() []inner.Peer {
 	now := time.Now()
-	var both, other []inner.Peer
+	var mutual, heardOnly []inner.Peer
 	view := p.members.View()
 	for i := range view.Peers {
 		peer := &view.Peers[i]
@@ -208,18 +218,19 @@
 		switch {
 		case peer.VM.Leaving || !peer.IsHeard(now):
 		case peer.HearsUs(now):
-			both = append(both, to)
+			mutual = append(mutual, to)
 		default:
-			other = append(other, to)
+			heardOnly = append(heardOnly, to)
 		}
 	}
-	return append(both, other...)
+	return append(mutual, heardOnly...)
 }
 
-func (p *peers) sendParts(ctx context.Context, to inner.Peer, parts []order.LedgerPart) error {
+// sendLedger sends all parts of the ledger to one peer.
+func (p *peerClient) sendLedger(ctx context.Context, to inner.Peer, parts []order.LedgerPart) error {
 	for i := range parts {
-		callCtx, cancel := context.WithTimeout(ctx, ledgerTimeout)
-		_, err := p.client.Ledger(callCtx, to, &parts[i])
+		callCtx, cancel := context.WithTimeout(ctx, ledgerPartTimeout)
+		_, err := p.rpc.Ledger(callCtx, to, &parts[i])
 		cancel()
 		if err != nil {
 			return err
--- a/core/daemon/serve.go
+++ b/core/daemon/ports.go
@@ -19,32 +19,33 @@
 )
 
 const (
-	// headTimeout bounds the time in which a caller sends its request head, so
-	// that slow callers cannot hold connections for nothing.
-	headTimeout = 10 * time.Second
-	// idleTimeout exceeds the usual pause of a counter between two requests.
-	idleTimeout  = 2 * time.Minute
-	maxHeadBytes = 64 << 10
+	// readHeaderTimeout limits the time that a caller takes to send its request
+	// header, so that slow callers cannot hold idle connections.
+	readHeaderTimeout = 10 * time.Second
+	// idleTimeout exceeds the usual pause between two requests of a caller such as
+	// a booking counter, which can then reuse its connection.
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 64 << 10
 )
 
 // ports are the listening ports of the daemon.
 type ports struct {
-	inner    *inner.Server
-	callers  *httpServer
-	operator *httpServer
+	inner   *inner.Server
+	callers *httpServer
+	admin   *httpServer
 }
 
-func newPorts(s *config.Settings, id inner.Identity, h inner.Handlers, rl *proxy.Relay, admin http.Handler, l log.Logger) (*ports, error) {
+func newPorts(s *config.Settings, id inner.Identity, h inner.Handlers, rl *proxy.Relay, adminHandler http.Handler, l log.Logger) (*ports, error) {
 	server, err := inner.NewServer(id, h, inner.WithServerLog(l))
 	if err != nil {
 		return nil, err
 	}
-	callers, err := newHTTPServer("caller", rl, s.CallerTLS, l)
+	callerServer, err := newHTTPServer("caller", rl, s.CallerTLS, l)
 	if err != nil {
 		return nil, err
 	}
-	operator, err := newHTTPServer("admin", admin, s.AdminTLS, l)
-	return &ports{inner: server, callers: callers, operator: operator}, err
+	adminServer, err := newHTTPServer("admin", adminHandler, s.AdminTLS, l)
+	return &ports{inner: server, callers: callerServer, admin: adminServer}, err
 }
 
 func listenTCP(address string) (net.Listener, error) {
@@ -55,42 +56,42 @@
 	return l, nil
 }
 
-// openPorts opens all ports at the start, the callers' port last.
-func openPorts(lc fx.Lifecycle, s *config.Settings, o overrides, p *ports, b *background, l log.Logger) {
+// openPorts opens all ports when the daemon starts, the callers' port last.
+func openPorts(lc fx.Lifecycle, s *config.Settings, o overrides, p *ports, tasks *taskGroup, l log.Logger) {
 	lc.Append(fx.StartHook(func() error {
 		var open []net.Listener
 		for _, address := range []string{s.InnerAddress, s.AdminAddress, s.CallerAddress} {
 			listener, err := o.listen(address)
 			if err != nil {
-				closeAll(open)
+				closeListeners(open)
 				return err
 			}
 			open = append(open, listener)
 		}
 		debug.SetMemoryLimit(s.MemoryLimit)
-		b.start(func(ctx context.Context) { _ = p.inner.Serve(ctx, open[0]) })
-		p.operator.start(open[1])
+		tasks.start(func(ctx context.Context) { _ = p.inner.Serve(ctx, open[0]) })
+		p.admin.start(open[1])
 		p.callers.start(open[2])
 		_ = level.Info(l).Log("msg", "started", "callers", s.CallerAddress, "admin", s.AdminAddress)
 		return nil
 	}))
 	lc.Append(fx.StopHook(func(ctx context.Context) error {
 		err := p.callers.stop(ctx)
-		_ = p.operator.stop(ctx)
+		_ = p.admin.stop(ctx)
 		return err
 	}))
 }
 
-func closeAll(listeners []net.Listener) {
+func closeListeners(listeners []net.Listener) {
 	for _, l := range listeners {
 		_ = l.Close()
 	}
 }
 
-// kill closes the HTTP ports with their connections.
+// kill closes the HTTP ports and their connections at once.
 func (p *ports) kill() {
 	_ = p.callers.server.Close()
-	_ = p.operator.server.Close()
+	_ = p.admin.server.Close()
 }
 
 // httpServer is one HTTP port of the daemon.
@@ -101,8 +102,8 @@
 	done   chan struct{}
 }
 
-// newHTTPServer returns a server for HTTP/1.1 and HTTP/2, over TLS if files are
-// configured.
+// newHTTPServer returns a server for HTTP/1.1 and HTTP/2. It uses TLS if
+// certificate files are configured.
 func newHTTPServer(name string, h http.Handler, files config.TLSFiles, logger log.Logger) (*httpServer, error) {
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(true)
@@ -110,9 +111,9 @@
 	protocols.SetUnencryptedHTTP2(true)
 	s := &http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: headTimeout,
+		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeadBytes,
+		MaxHeaderBytes:    maxHeaderBytes,
 		Protocols:         protocols,
 	}
 	if files.Enabled() {
@@ -138,15 +139,16 @@
 		err = s.server.Serve(l)
 	}
 	if err != nil && err != http.ErrServerClosed {
-		_ = level.Error(s.logger).Log("msg", "port failed", "port", s.name, "detail", err)
+		_ = level.Error(s.logger).Log("msg", "HTTP server failed", "port", s.name, "detail", err)
 	}
 }
 
-// stop waits for requests in progress until ctx ends and then closes.
+// stop waits until the requests in progress have ended. If ctx ends first, it
+// closes their connections and returns an error.
 func (s *httpServer) stop(ctx context.Context) error {
 	err := s.server.Shutdown(ctx)
 	if err != nil {
-		_ = level.Error(s.logger).Log("msg", "requests cut at the shutdown limit", "port", s.name, "detail", err)
+		_ = level.Error(s.logger).Log("msg", "requests interrupted at the shutdown limit", "port", s.name, "detail", err)
 		_ = s.server.Close()
 	}
 	<-s.done
--- a/core/daemon/parts.go
+++ b/core/daemon/provide.go
@@ -25,50 +25,51 @@
 	"wisteriarelay.example/core/store"
 )
 
-// background runs the goroutines of the daemon until it ends.
-type background struct {
+// taskGroup runs the daemon's goroutines and stops them with the daemon.
+type taskGroup struct {
 	ctx     context.Context
 	cancel  context.CancelFunc
 	running sync.WaitGroup
-	// daemons is the number of live daemons, which share the platform's budget.
-	daemons atomic.Int64
+	// liveDaemons is the number of live daemons, which share the fleet's budget of
+	// platform requests.
+	liveDaemons atomic.Int64
 }
 
-func newBackground(lc fx.Lifecycle) *background {
-	b := &background{}
-	b.ctx, b.cancel = context.WithCancel(context.Background())
-	lc.Append(fx.StopHook(b.stop))
-	return b
+func newTaskGroup(lc fx.Lifecycle) *taskGroup {
+	g := &taskGroup{}
+	g.ctx, g.cancel = context.WithCancel(context.Background())
+	lc.Append(fx.StopHook(g.stop))
+	return g
 }
 
-func (b *background) stop() {
-	b.cancel()
-	b.running.Wait()
+func (g *taskGroup) stop() {
+	g.cancel()
+	g.running.Wait()
 }
 
-// part is a goroutine of the daemon.
-type part struct {
-	body func(context.Context)
-	done func()
+// task is one goroutine of a taskGroup.
+type task struct {
+	fn     func(context.Context)
+	onDone func()
 }
 
-func (p part) run(ctx context.Context) {
-	defer p.done()
-	p.body(ctx)
+func (t task) run(ctx context.Context) {
+	defer t.onDone()
+	t.fn(ctx)
 }
 
-func (b *background) start(body func(context.Context)) {
-	b.running.Add(1)
-	go part{body: body, done: b.running.Done}.run(b.ctx)
+func (g *taskGroup) start(fn func(context.Context)) {
+	g.running.Add(1)
+	go task{fn: fn, onDone: g.running.Done}.run(g.ctx)
 }
 
-func newPlatform(lc fx.Lifecycle, s *config.Settings, o overrides, b *background) Platform {
+func newPlatform(lc fx.Lifecycle, s *config.Settings, o overrides, tasks *taskGroup) Platform {
 	if o.platform != nil {
 		return *o.platform
 	}
 	c := store.NewClient(s.PlatformURL,
 		store.WithFleetBudget(s.StoreReads, s.StoreWrites),
-		store.WithDaemons(func() int { return int(max(1, b.daemons.Load())) }))
+		store.WithDaemons(func() int { return int(max(1, tasks.liveDaemons.Load())) }))
 	lc.Append(fx.StopHook(c.Close))
 	return Platform{
 		Table:   c.Table(),
@@ -105,26 +106,26 @@
 	return c
 }
 
-func newEngine(s *config.Settings, inc fleet.Incarnation, o overrides, p Platform, b *background, set *stats.Set, l log.Logger) *engine {
+func newController(s *config.Settings, inc fleet.Incarnation, o overrides, p Platform, tasks *taskGroup, set *stats.Set, l log.Logger) *serviceController {
 	sink := &attemptSink{stats: set, logger: l}
 	probes := &http.Client{Transport: &http.Transport{DialContext: o.dial, MaxIdleConnsPerHost: 1}}
-	return newEngineWith(watchParts{
+	return newControllerWithDeps(serviceDeps{
 		self:        s.Self(),
 		incarnation: inc,
 		table:       p.Table,
 		dial:        o.dial,
 		probe:       detect.HTTPProbe(probes),
-		onAttempt:   sink.take,
-	}, b, l)
+		onAttempt:   sink.receive,
+	}, tasks, l)
 }
 
-// attemptSink counts and logs the ends of attempts on targets.
+// attemptSink counts attempts on targets and logs those that failed.
 type attemptSink struct {
 	stats  *stats.Set
 	logger log.Logger
 }
 
-func (s *attemptSink) take(m proxy.AttemptMsg) {
+func (s *attemptSink) receive(m proxy.AttemptMsg) {
 	s.stats.Counter(stats.Label("wisteria_attempts", "ending", m.Ending.String())).Inc(1)
 	if !m.Result.IsFailure() {
 		return
@@ -133,31 +134,31 @@
 		"target", m.Target, "attempt", m.Number, "ending", m.Ending, "decision", m.Decision.Reason, "took", m.Latency)
 }
 
-func newMembers(s *config.Settings, inc fleet.Incarnation, c *inner.Client, p Platform, ps *peers, e *engine, l log.Logger) *member.Table {
+func newMembers(s *config.Settings, inc fleet.Incarnation, c *inner.Client, p Platform, pc *peerClient, sc *serviceController, l log.Logger) *member.Table {
 	return member.New(s.Self(), inc, member.Hooks{
 		Send:         c.Report,
-		List:         ps.listVMs(p.VMs),
-		Collect:      e.collect,
-		Deliver:      e.deliver,
-		IsSuspect:    e.isSuspect,
-		IsReady:      e.isReady,
-		Revision:     e.revision,
-		SeenRevision: e.hear,
+		List:         pc.vmListWithFallback(p.VMs),
+		Collect:      sc.collectReport,
+		Deliver:      sc.deliverReport,
+		IsSuspect:    sc.hasUrgentEvidence,
+		IsReady:      sc.isReady,
+		Revision:     sc.revision,
+		SeenRevision: sc.onPeerRevision,
 	}, member.WithLog(l))
 }
 
-func newPeers(s *config.Settings, c *inner.Client, l log.Logger) *peers {
-	return &peers{self: s.Self(), client: c, seeds: s.Seeds, logger: l}
+func newPeerClient(s *config.Settings, c *inner.Client, l log.Logger) *peerClient {
+	return &peerClient{self: s.Self(), rpc: c, seeds: s.Seeds, logger: l}
 }
 
-func newFollower(s *config.Settings, p Platform, ps *peers, e *engine) *settle.Follower {
+func newFollower(s *config.Settings, p Platform, pc *peerClient, sc *serviceController) *settle.Follower {
 	return settle.NewFollower(p.Table,
 		settle.WithSnapshots(p.Objects),
-		settle.WithPeers(ps.askRevisions, len(s.Seeds)),
-		settle.WithApplied(e.onApplied))
+		settle.WithPeers(pc.requestRevisions, len(s.Seeds)),
+		settle.WithApplied(sc.onApplied))
 }
 
-func newManager(s *config.Settings, inc fleet.Incarnation, p Platform, ps *peers) (*order.Manager, error) {
+func newManager(s *config.Settings, inc fleet.Incarnation, p Platform, pc *peerClient) (*order.Manager, error) {
 	secrets := make([][]byte, 0, len(s.FleetSecrets))
 	for _, secret := range s.FleetSecrets {
 		secrets = append(secrets, secret)
@@ -168,27 +169,29 @@
 	}
 	return order.NewManager(inc, signer,
 		order.WithTable(p.Table),
-		order.WithAskHome(ps.askHome),
-		order.WithHolders(ps.holders)), nil
+		order.WithAskHome(pc.queryOrder),
+		order.WithHolders(pc.ledgerImporters)), nil
 }
 
-func newRelay(s *config.Settings, e *engine, manager *order.Manager, set *stats.Set, l log.Logger) *proxy.Relay {
-	return proxy.NewRelay(s.Self(), e.view(), manager,
+func newRelay(s *config.Settings, sc *serviceController, manager *order.Manager, set *stats.Set, l log.Logger) *proxy.Relay {
+	return proxy.NewRelay(s.Self(), sc.relayFleet(), manager,
 		proxy.WithDomain(s.Domain),
 		proxy.WithLogger(l),
 		proxy.WithStats(set))
 }
 
-// bind joins engine and peers with the parts that were made from them, and runs all.
-func bind(lc fx.Lifecycle, b *background, e *engine, ps *peers, m *member.Table, f *settle.Follower, manager *order.Manager) {
-	ps.members = m
-	e.members = m
-	e.follower = f
+// connectComponents sets the references by which components depend on each other
+// in a cycle, which constructors cannot pass, and starts the components with the
+// daemon.
+func connectComponents(lc fx.Lifecycle, tasks *taskGroup, sc *serviceController, pc *peerClient, m *member.Table, f *settle.Follower, manager *order.Manager) {
+	pc.members = m
+	sc.members = m
+	sc.follower = f
 	lc.Append(fx.StartHook(func() {
-		b.start(m.Run)
-		b.start(e.run)
-		f.Start(b.ctx)
-		manager.Start(b.ctx)
+		tasks.start(m.Run)
+		tasks.start(sc.run)
+		f.Start(tasks.ctx)
+		manager.Start(tasks.ctx)
 	}))
 	lc.Append(fx.StopHook(f.Stop))
 }
