--- a/core/daemon/admin_test.go
+++ b/core/daemon/admin_test.go
@@ -15,13 +15,13 @@
 )
 
 // TestAdminPort guards against a state dump that is served without a token, and
-// against parts of the daemon that the administration API does not reach.
+// against components that are not connected to the administration API.
 func TestAdminPort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSession(t, sessionSettings)
+		s := newScenario(t, scenarioSettings)
 		digest := sha256.Sum256([]byte("secret"))
 		s.operators = []config.Operator{{Name: "marta", TokenSHA256: hex.EncodeToString(digest[:])}}
-		s.startReady()
+		s.startReadyDaemon()
 		for _, c := range []struct {
 			token, method, path string
 			status              int
@@ -49,7 +49,7 @@
 }
 
 // admin sends a request to the administration port.
-func (s *session) admin(token, method, path string) (status int, body string) {
+func (s *scenario) admin(token, method, path string) (status int, body string) {
 	client := &http.Client{Transport: &http.Transport{DialContext: s.net.dialFrom(callerHost), DisableKeepAlives: true}}
 	req, err := http.NewRequestWithContext(context.Background(), method, "http://10.0.0.1:7200"+path, nil)
 	s.g.Expect(err).NotTo(HaveOccurred())
--- a/core/daemon/carried.go
+++ b/core/daemon/carried.go
@@ -89,7 +89,7 @@
 	cs.carrier = proxy.NewCarrier(deps.self, service, proxy.WithTargetDial(deps.dial), proxy.WithLeavingSign(cs.onResponse), proxy.WithAttempts(cs.onAttempt))
 	cs.ejector = detect.NewEjector(service.ID, deps.incarnation, deps.table,
 		detect.WithRank(cs.proberRank),
-		detect.WithChanged(func(detect.Listing) { cs.requestAssess() }))
+		detect.WithChanged(func(detect.Listing) { cs.requestAssessment() }))
 	cs.prober = detect.NewProber(service, deps.probe,
 		detect.WithAssigned(cs.isProber),
 		detect.WithSuspect(cs.needsFrequentProbes),
@@ -130,7 +130,9 @@
 	}
 }
 
-func (cs *carriedService) requestAssess() {
+// requestAssessment makes run assess the targets without waiting for the next
+// interval.
+func (cs *carriedService) requestAssessment() {
 	select {
 	case cs.assessNow <- struct{}{}:
 	default:
@@ -156,7 +158,7 @@
 		cs.updateRowBuffer(service)
 	}
 	cs.setDataCentres(dataCentres)
-	cs.requestAssess()
+	cs.requestAssessment()
 }
 
 func (cs *carriedService) updateRowBuffer(service *fleet.Service) {
@@ -231,6 +233,7 @@
 // receives.
 const trialShare = 0.05
 
+// gateTargets returns the targets and their states in the form that the gate uses.
 func (cs *carriedService) gateTargets(service *fleet.Service, states []detect.TargetState) []limit.Target {
 	unconfirmed := cs.evidence.Unconfirmed()
 	targets := make([]limit.Target, 0, len(states))
@@ -362,7 +365,7 @@
 	cs.ejector.Hear(report.EjectionVersion)
 	if len(report.Leaving) > 0 {
 		cs.leaving.Peers(report.Leaving, now)
-		cs.requestAssess()
+		cs.requestAssessment()
 	}
 	if len(report.Ejections) > 0 {
 		if err := cs.ejector.Offer(report.EjectionVersion, report.Ejections); err != nil {
--- a/core/daemon/controller.go
+++ b/core/daemon/controller.go
@@ -22,9 +22,8 @@
 // settings triggers one at once.
 const reconcileInterval = 250 * time.Millisecond
 
-// serviceController holds one carriedService for each service that this daemon
-// carries or winds down, and reconciles them with the settings and the
-// membership.
+// serviceController keeps one carriedService for each service that this daemon
+// carries or winds down, and reconciles them with settings and membership.
 type serviceController struct {
 	deps         serviceDeps
 	tasks        *taskGroup
@@ -34,8 +33,7 @@
 	carried      atomic.Pointer[map[fleet.ServiceID]*carriedService]
 	leaving      atomic.Bool
 	reconcileNow chan struct{}
-	// applied, generation and windingDown are the settings, the generation of the
-	// membership and the services being wound down at the last reconciliation.
+	// applied, generation and windingDown are the inputs of the last reconciliation.
 	applied     *settle.Applied
 	generation  uint64
 	windingDown []fleet.ServiceID
@@ -132,8 +130,7 @@
 	return cs, ok
 }
 
-// collectReport returns what this daemon reports about a service; it has the type
-// of member.Hooks.Collect.
+// collectReport implements member.Hooks.Collect.
 func (sc *serviceController) collectReport(id fleet.ServiceID) inner.ServiceReport {
 	cs, ok := sc.findCarried(id)
 	if !ok {
@@ -142,8 +139,7 @@
 	return cs.collectReport()
 }
 
-// deliverReport processes what a peer reports about a service; it has the type of
-// member.Hooks.Deliver.
+// deliverReport implements member.Hooks.Deliver.
 func (sc *serviceController) deliverReport(id fleet.ServiceID, from member.Sender, r *inner.ServiceReport) {
 	cs, ok := sc.findCarried(id)
 	if !ok {
@@ -161,9 +157,9 @@
 	return ok && cs.hasUrgentEvidence()
 }
 
-// isReady reports whether the daemon has settings, knows the fleet and is not
-// shutting down. A daemon whose VM id is used by a newer incarnation is not ready,
-// so that its address is no longer given to callers.
+// isReady reports whether the daemon has settings and knows the fleet. A daemon
+// that is shutting down, or whose VM id belongs to a newer incarnation, is not
+// ready, so that its address is no longer given to callers.
 func (sc *serviceController) isReady() bool {
 	view := sc.members.View()
 	return sc.follower.Current() != nil && view.Known && !view.Superseded && !sc.leaving.Load()
@@ -181,8 +177,7 @@
 	return 0
 }
 
-// relayFleet returns the functions by which the request path reads the settings,
-// the membership and the carried services.
+// relayFleet returns the functions through which the request path reads the fleet.
 func (sc *serviceController) relayFleet() proxy.Fleet {
 	return proxy.Fleet{
 		Carrier:      sc.carrier,
@@ -216,7 +211,7 @@
 }
 
 // addresses returns the carriers of a service in the order in which the caller
-// should try them.
+// is to try them.
 func (sc *serviceController) addresses(id fleet.ServiceID, dc fleet.DataCentre, caller string) proxy.AddressList {
 	list := proxy.AddressList{Service: id, Addresses: []proxy.Address{}}
 	service, ok := sc.service(id)
--- a/core/daemon/cost_bench_test.go
+++ b/core/daemon/cost_bench_test.go
@@ -15,7 +15,7 @@
 	"wisteriarelay.example/core/store"
 )
 
-func heapBytes() float64 {
+func heapSize() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -23,11 +23,11 @@
 	return float64(m.HeapAlloc)
 }
 
-// planWatch returns a watch with the evidence of six carriers over 40 s, ten
-// windows of the preset fast.
-func planWatch(targets int) *carriedService {
+// benchService returns a carried service with the evidence of six carriers over
+// 40 s, which is ten detection windows of the preset "fast".
+func benchService(targets int) *carriedService {
 	s := &fleet.Service{ID: "reservas", Policy: fleet.Policy{
-		Floor: fleet.Floor{Percent: 50}, Carriers: planCarriers, SlowStart: 10 * time.Second,
+		Floor: fleet.Floor{Percent: 50}, Carriers: benchCarriers, SlowStart: 10 * time.Second,
 		Detection: fleet.Detection{Window: 4 * time.Second, MinRequests: 4, FailureRatio: 0.4, SlowFactor: 3, MinObservers: 2},
 	}}
 	var rows []detect.Row
@@ -38,7 +38,7 @@
 	}
 	cs := newCarriedService(serviceDeps{self: fleet.VM{ID: "vm-0", DataCentre: "mdp"}, onAttempt: nil}, s)
 	var carriers []*fleet.VM
-	for i := range planCarriers {
+	for i := range benchCarriers {
 		carriers = append(carriers, &fleet.VM{ID: fleet.VMID(fmt.Sprintf("vm-%d", i)), DataCentre: "mdp"})
 	}
 	cs.update(s, carriers)
@@ -54,15 +54,16 @@
 	return cs
 }
 
-// BenchmarkWatchHeap reports the heap of a carried service by number of targets.
-func BenchmarkWatchHeap(b *testing.B) {
+// BenchmarkServiceHeap reports the heap size of a carried service by its number of
+// targets.
+func BenchmarkServiceHeap(b *testing.B) {
 	for _, targets := range []int{10, 27, 54, 108} {
 		b.Run(fmt.Sprint("targets=", targets), func(b *testing.B) {
 			held := 0.0
 			for b.Loop() {
-				before := heapBytes()
-				cs := planWatch(targets)
-				held = heapBytes() - before
+				before := heapSize()
+				cs := benchService(targets)
+				held = heapSize() - before
 				runtime.KeepAlive(cs)
 			}
 			b.ReportMetric(held, "heap-bytes/service")
@@ -71,62 +72,64 @@
 	}
 }
 
-// BenchmarkTick measures one tick of a carried service with ordinary evidence.
-func BenchmarkTick(b *testing.B) {
+// BenchmarkAssess measures one assessment of a carried service with ordinary
+// evidence.
+func BenchmarkAssess(b *testing.B) {
 	for _, targets := range []int{10, 27, 54, 108} {
 		b.Run(fmt.Sprint("targets=", targets), func(b *testing.B) {
-			cs := planWatch(targets)
+			cs := benchService(targets)
 			b.ReportAllocs()
 			for b.Loop() {
-				cs.carrier.Recorder().Record(cs.service.Load().Targets[0].ID, detect.OK, planWork)
+				cs.carrier.Recorder().Record(cs.service.Load().Targets[0].ID, detect.OK, benchServiceTime)
 				cs.assess(time.Now())
 			}
 		})
 	}
 }
 
-// BenchmarkRoundTrip measures a plain HTTP request on loopback, to which the
-// times of other benchmarks are related.
+// BenchmarkRoundTrip measures a plain HTTP request over loopback, as a reference for
+// the times of other benchmarks.
 func BenchmarkRoundTrip(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
-	must(err)
+	mustSucceed(err)
 	s := &http.Server{Handler: http.HandlerFunc(healthy)}
 	go memServer{s, l}.run()
 	defer s.Close()
 	b.ReportAllocs()
 	for b.Loop() {
 		resp, err := http.Get("http://" + l.Addr().String())
-		must(err)
-		must(resp.Body.Close())
+		mustSucceed(err)
+		mustSucceed(resp.Body.Close())
 	}
 }
 
-// BenchmarkPolls reports the bytes of one read of the head row and of the VM
-// list's changes over HTTP, and of both per second at their intervals of 2 s and 5 s.
+// BenchmarkPolls reports the bytes of one poll of the head row and of the changes of
+// the VM list over HTTP, and the bytes per second of both at their intervals of 2 s
+// and 5 s.
 func BenchmarkPolls(b *testing.B) {
-	f := &wire{}
+	f := &trafficCounter{}
 	p := stand.NewPlatform()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
-	must(err)
+	mustSucceed(err)
 	s := &http.Server{Handler: p}
 	go memServer{s, l}.run()
 	defer s.Close()
 	transport := &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		return wireConn{c, f}, err
+		return countingConn{c, f}, err
 	}}
 	c := store.NewClient("http://"+l.Addr().String(), store.WithTransport(transport))
 	defer c.Close()
 	ctx := context.Background()
-	must(p.Table().Apply(ctx, store.Tx{ID: "t", Puts: []store.Put{{Key: "settings/head", Value: []byte(`{"revision":4000,"change":"0123456789abcdef"}`)}}}))
+	mustSucceed(p.Table().Apply(ctx, store.Tx{ID: "t", Puts: []store.Put{{Key: "settings/head", Value: []byte(`{"revision":4000,"change":"0123456789abcdef"}`)}}}))
 	for i := range 690 {
-		must(p.PutVM(ctx, fleet.VM{ID: fleet.VMID(fmt.Sprintf("mdp-entry-%03d", i)), Region: "ar-costa", DataCentre: "mdp", Caller: "10.0.0.1:7000", Inner: "10.0.0.1:7100", Admin: "10.0.0.1:7200"}))
+		mustSucceed(p.PutVM(ctx, fleet.VM{ID: fleet.VMID(fmt.Sprintf("mdp-entry-%03d", i)), Region: "ar-costa", DataCentre: "mdp", Caller: "10.0.0.1:7000", Inner: "10.0.0.1:7100", Admin: "10.0.0.1:7200"}))
 	}
 	poll := func(call func() error) float64 {
-		must(call())
+		mustSucceed(call())
 		before := f.bytes.Load()
-		must(call())
-		return float64(f.bytes.Load()-before) + 3*packetHeaders
+		mustSucceed(call())
+		return float64(f.bytes.Load()-before) + 3*packetHeaderSize
 	}
 	version := uint64(0)
 	var head, list, full float64
--- a/core/daemon/fleet_bench_test.go
+++ b/core/daemon/fleet_bench_test.go
@@ -25,72 +25,75 @@
 	"wisteriarelay.example/core/tree"
 )
 
-// The planned scale of section 1 of the design page, for one service.
+// The planned scale for one service, from section 1 of the design page.
 const (
-	planCarriers = 6
-	planTargets  = 27
-	planRate     = 1.14 // requests per second of one carrier to one target
-	planLinks    = 15.65
-	planWork     = 40 * time.Millisecond
-	// packetHeaders is the size of the TCP/IP headers of a packet with timestamps.
-	packetHeaders = 52
-	trafficSpan   = time.Minute
-	firstTarget   = "disponible-000"
+	benchCarriers    = 6
+	benchTargets     = 27
+	benchRate        = 1.14  // requests per second from one carrier to one target
+	benchLinks       = 15.65 // links from one daemon to its peers, over all its services
+	benchServiceTime = 40 * time.Millisecond
+	// packetHeaderSize is the size in bytes of the TCP/IP headers of a packet with TCP
+	// timestamps.
+	packetHeaderSize = 52
+	measureTime      = time.Minute
+	faultyTarget     = "disponible-000"
 )
 
-// wire counts the bytes and packets of the inner protocol: a message that fits
-// into a packet is one write, and each reply is acknowledged by a packet of its own.
-type wire struct{ bytes, packets atomic.Int64 }
+// trafficCounter counts the bytes and packets on connections. A message that fits
+// into a packet is one write, and so each read and each write counts as one packet.
+// The packets that acknowledge replies are added by the benchmark.
+type trafficCounter struct{ bytes, packets atomic.Int64 }
 
-type wireConn struct {
+// countingConn counts the traffic of a connection.
+type countingConn struct {
 	net.Conn
-	wire *wire
+	counter *trafficCounter
 }
 
-func (c wireConn) count(n int, err error) (int, error) {
+func (c countingConn) count(n int, err error) (int, error) {
 	if n > 0 {
-		c.wire.bytes.Add(int64(n))
-		c.wire.packets.Add(1)
+		c.counter.bytes.Add(int64(n))
+		c.counter.packets.Add(1)
 	}
 	return n, err
 }
 
-func (c wireConn) Write(b []byte) (int, error) { return c.count(c.Conn.Write(b)) }
-func (c wireConn) Read(b []byte) (int, error)  { return c.count(c.Conn.Read(b)) }
+func (c countingConn) Write(b []byte) (int, error) { return c.count(c.Conn.Write(b)) }
+func (c countingConn) Read(b []byte) (int, error)  { return c.count(c.Conn.Read(b)) }
 
-// planFleet is the six carriers of one service of the planned size.
-type planFleet struct {
-	net      *memNet
-	wire     wire
-	platform *stand.Platform
-	daemons  []*Daemon
-	servers  []*http.Server
-	traffic  sync.WaitGroup
-	// sick changes what the first target of the service does.
-	sick atomic.Pointer[sickness]
+// benchFleet is a fleet of the six carriers of one service of the planned size.
+type benchFleet struct {
+	net        *memNet
+	counter    trafficCounter
+	platform   *stand.Platform
+	daemons    []*Daemon
+	servers    []*http.Server
+	generators sync.WaitGroup
+	// fault is the fault of faultyTarget, or nil.
+	fault atomic.Pointer[targetFault]
 }
 
-func (f *planFleet) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (f *benchFleet) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	c, err := f.net.dialFrom("10.0.0.9")(ctx, network, address)
 	if err == nil && strings.HasSuffix(address, ":7100") {
-		c = wireConn{c, &f.wire}
+		c = countingConn{c, &f.counter}
 	}
 	return c, err
 }
 
 func healthy(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }
 
-func must(err error) {
+func mustSucceed(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
-func (f *planFleet) start() {
+func (f *benchFleet) start() {
 	f.net, f.platform = newMemNet(), stand.NewPlatform()
 	const service = "/workspace/cortavientos/service/disponible-reservas"
 	var entries []tree.TargetEntry
-	for i := range planTargets {
+	for i := range benchTargets {
 		address := fmt.Sprintf("10.1.0.%d:80", i+1)
 		entries = append(entries, tree.TargetEntry{ID: fleet.TargetID(fmt.Sprintf("disponible-%03d", i)), Address: address, DataCentre: "mdp"})
 		l, _ := f.net.listen(address)
@@ -101,97 +104,99 @@
 		tree.Set(tree.Root, "owners", []string{"marta", "hector"}), tree.Declare("/region/ar-costa"), tree.Declare("/data-centre/mdp"), tree.Declare("/workspace/cortavientos"),
 		tree.Set(service, "region", "ar-costa"), tree.Set(service, "targets", entries),
 	})
-	must(err)
+	mustSucceed(err)
 	_, _, err = settle.NewChangelog(f.platform.Table()).Bootstrap(context.Background(), doc, "marta")
-	must(err)
+	mustSucceed(err)
 	authority, err := inner.NewAuthority()
-	must(err)
-	for i := range planCarriers {
+	mustSucceed(err)
+	for i := range benchCarriers {
 		f.startDaemon(authority, i+1)
 	}
 }
 
-func (f *planFleet) startDaemon(authority *inner.Authority, n int) {
+func (f *benchFleet) startDaemon(authority *inner.Authority, n int) {
 	s := config.Defaults()
 	s.VM, s.Region, s.DataCentre = fleet.VMID(fmt.Sprintf("mdp-entry-%03d", n)), "ar-costa", "mdp"
 	s.CallerAddress, s.InnerAddress, s.AdminAddress = fmt.Sprintf("10.0.0.%d:7000", n), fmt.Sprintf("10.0.0.%d:7100", n), fmt.Sprintf("10.0.0.%d:7200", n)
 	s.FleetSecrets = []config.Secret{config.Secret("0123456789abcdef")}
-	must(f.platform.PutVM(context.Background(), s.Self()))
+	mustSucceed(f.platform.PutVM(context.Background(), s.Self()))
 	id, err := authority.Issue(s.VM)
-	must(err)
+	mustSucceed(err)
 	d, err := New(s, WithIdentity(id), WithListen(f.net.listen), WithDial(f.dial),
 		WithPlatform(Platform{Table: f.platform.Table(), Objects: f.platform.Objects(), VMs: f.platform.VMList()}))
-	must(err)
-	must(d.Start(context.Background()))
+	mustSucceed(err)
+	mustSucceed(d.Start(context.Background()))
 	f.daemons = append(f.daemons, d)
 }
 
-// planCaller is the traffic of one carrier: good requests, spread evenly.
-type planCaller struct {
-	fleet   *planFleet
+// benchCaller generates the traffic of one carrier, spread evenly over the targets.
+type benchCaller struct {
+	fleet   *benchFleet
 	carried *carriedService
 	rng     *rand.Rand
 }
 
-func (c *planCaller) run(ctx context.Context) {
+func (c *benchCaller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		time.Sleep(time.Duration(c.rng.ExpFloat64() * float64(time.Second) / (planRate * planTargets)))
-		target := c.carried.service.Load().Targets[c.rng.IntN(planTargets)].ID
-		took := time.Duration(float64(planWork) * math.Exp(c.rng.NormFloat64()/4))
-		c.fleet.traffic.Go(func() { c.request(target, took) })
+		time.Sleep(time.Duration(c.rng.ExpFloat64() * float64(time.Second) / (benchRate * benchTargets)))
+		target := c.carried.service.Load().Targets[c.rng.IntN(benchTargets)].ID
+		took := time.Duration(float64(benchServiceTime) * math.Exp(c.rng.NormFloat64()/4))
+		c.fleet.generators.Go(func() { c.request(target, took) })
 	}
 }
 
-// sickness is how often a target fails and how much slower it is.
-type sickness struct{ failing, slower float64 }
+// targetFault states the share of requests that a target fails and the factor by
+// which its latency rises.
+type targetFault struct{ failureRatio, slowFactor float64 }
 
-func (c *planCaller) request(target fleet.TargetID, took time.Duration) {
-	result, sick := detect.OK, c.fleet.sick.Load()
-	if sick != nil && target == firstTarget {
-		took = time.Duration(float64(took) * sick.slower)
-		if rand.Float64() < sick.failing {
+func (c *benchCaller) request(target fleet.TargetID, took time.Duration) {
+	result, fault := detect.OK, c.fleet.fault.Load()
+	if fault != nil && target == faultyTarget {
+		took = time.Duration(float64(took) * fault.slowFactor)
+		if rand.Float64() < fault.failureRatio {
 			result = detect.Failed
 		}
 	}
 	grant, err := c.carried.carrier.Gate().Acquire(context.Background(), limit.Ask{Kind: fleet.Lookup, Idempotent: true})
-	must(err)
+	mustSucceed(err)
 	time.Sleep(took)
 	grant.Release(limit.Served)
 	c.carried.carrier.Recorder().Record(target, result, took)
 }
 
-func (f *planFleet) reports() (n int64) {
+func (f *benchFleet) sentReports() (n int64) {
 	for _, d := range f.daemons {
 		n += int64(d.components.Members.Counters().Sent)
 	}
 	return n
 }
 
-// load starts the traffic and lets the fleet settle.
-func (f *planFleet) load(seed uint64) context.CancelFunc {
+// startTraffic starts the traffic and waits until the detection has evidence. The
+// returned function stops the traffic.
+func (f *benchFleet) startTraffic(seed uint64) context.CancelFunc {
 	ctx, stop := context.WithCancel(context.Background())
 	for i, d := range f.daemons {
 		for _, cs := range *d.components.Controller.carried.Load() {
-			c := &planCaller{f, cs, rand.New(rand.NewPCG(seed, uint64(i)))}
-			f.traffic.Go(func() { c.run(ctx) })
+			c := &benchCaller{f, cs, rand.New(rand.NewPCG(seed, uint64(i)))}
+			f.generators.Go(func() { c.run(ctx) })
 		}
 	}
 	time.Sleep(20 * time.Second)
 	return stop
 }
 
-// measure returns the reports, bytes and packets of the span.
-func (f *planFleet) measure() (reports, bytes, packets int64) {
-	stop := f.load(1)
-	reports, bytes, packets = -f.reports(), -f.wire.bytes.Load(), -f.wire.packets.Load()
-	time.Sleep(trafficSpan)
-	reports, bytes, packets = reports+f.reports(), bytes+f.wire.bytes.Load(), packets+f.wire.packets.Load()
+// measure returns the reports, bytes and packets sent during measureTime.
+func (f *benchFleet) measure() (reports, bytes, packets int64) {
+	stop := f.startTraffic(1)
+	reports, bytes, packets = -f.sentReports(), -f.counter.bytes.Load(), -f.counter.packets.Load()
+	time.Sleep(measureTime)
+	reports, bytes, packets = reports+f.sentReports(), bytes+f.counter.bytes.Load(), packets+f.counter.packets.Load()
 	stop()
-	f.traffic.Wait()
+	f.generators.Wait()
 	return reports, bytes, packets
 }
 
-func (f *planFleet) close() {
+func (f *benchFleet) close() {
 	for _, d := range f.daemons {
 		d.Kill()
 	}
@@ -201,8 +206,8 @@
 	synctest.Wait()
 }
 
-// virtual runs f on the paused clock.
-func virtual(b *testing.B, f func()) {
+// runInBubble runs f in a synctest bubble, on virtual time.
+func runInBubble(b *testing.B, f func()) {
 	b.Helper()
 	all := func(string, string) (bool, error) { return true, nil }
 	bubble := func(t *testing.T) { synctest.Test(t, func(*testing.T) { f() }) }
@@ -211,76 +216,79 @@
 	}
 }
 
-// BenchmarkTraffic reports what the inner protocol takes on the wire between six
-// real daemons with ordinary traffic, and while a target is suspect all the time
-// because the table is away; and for a daemon with the planned number of links,
-// of which the five of one service are suspect.
+// BenchmarkTraffic reports the network traffic of the inner protocol between six
+// daemons with ordinary traffic, and with a target that stays suspect because an
+// outage of the table prevents its ejection. From both it derives the traffic of a
+// daemon with the planned number of links, of which the five of one service carry
+// reports about a suspect target.
 func BenchmarkTraffic(b *testing.B) {
-	ordinary := traffic(b, "ordinary", nil)
-	suspect := traffic(b, "suspect", &sickness{0.5, 1})
+	ordinary := benchTraffic(b, "ordinary", nil)
+	suspect := benchTraffic(b, "suspect", &targetFault{0.5, 1})
 	b.Run("daemon", func(b *testing.B) {
-		b.ReportMetric(ordinary*planLinks, "bytes/s/ordinary")
-		b.ReportMetric(ordinary*(planLinks-planCarriers+1)+suspect*(planCarriers-1), "bytes/s/one-suspect")
+		b.ReportMetric(ordinary*benchLinks, "bytes/s/ordinary")
+		b.ReportMetric(ordinary*(benchLinks-benchCarriers+1)+suspect*(benchCarriers-1), "bytes/s/one-suspect")
 	})
 }
 
-func traffic(b *testing.B, name string, s *sickness) (onLink float64) {
+func benchTraffic(b *testing.B, name string, fault *targetFault) (bytesPerLink float64) {
 	b.Run(name, func(b *testing.B) {
 		var reports, bytes, packets int64
 		for b.Loop() {
-			virtual(b, func() {
-				f := &planFleet{}
+			runInBubble(b, func() {
+				f := &benchFleet{}
 				f.start()
 				time.Sleep(5 * time.Second)
-				if f.sick.Store(s); s != nil {
+				if f.fault.Store(fault); fault != nil {
 					f.platform.Misbehave(stand.PlatformFaults{TableDown: true})
 				}
 				reports, bytes, packets = f.measure()
 				f.close()
 			})
 		}
-		perLink := 2 / float64(planCarriers*(planCarriers-1)) / trafficSpan.Seconds()
-		onLink = float64(bytes+(packets+reports)*packetHeaders) * perLink
+		perLink := 2 / float64(benchCarriers*(benchCarriers-1)) / measureTime.Seconds()
+		bytesPerLink = float64(bytes+(packets+reports)*packetHeaderSize) * perLink
 		b.ReportMetric(float64(bytes)/float64(reports), "tls-bytes/report")
 		b.ReportMetric(float64(packets)/float64(reports), "packets/report")
 		b.ReportMetric(float64(reports)*perLink/2, "reports/s/way")
-		b.ReportMetric(onLink, "bytes/s/link")
+		b.ReportMetric(bytesPerLink, "bytes/s/link")
 	})
-	return onLink
+	return bytesPerLink
 }
 
-// detect returns the time until each daemon stops using the sick target.
-func (f *planFleet) detect(seed uint64, s sickness) (took []time.Duration) {
-	stop := f.load(seed)
-	f.sick.Store(&s)
+// measureDetection returns the time from the start of the fault until each daemon
+// stops using the faulty target. Daemons that do not stop within measureTime are left
+// out.
+func (f *benchFleet) measureDetection(seed uint64, s targetFault) (took []time.Duration) {
+	stop := f.startTraffic(seed)
+	f.fault.Store(&s)
 	began, seen := time.Now(), map[*Daemon]bool{}
-	for time.Since(began) < trafficSpan && len(seen) < planCarriers {
+	for time.Since(began) < measureTime && len(seen) < benchCarriers {
 		time.Sleep(assessInterval / 5)
 		for _, d := range f.daemons {
-			if state, _, _ := d.TargetState(firstTarget); !seen[d] && (state == "avoided" || state == "ejected") {
+			if state, _, _ := d.TargetState(faultyTarget); !seen[d] && (state == "avoided" || state == "ejected") {
 				seen[d] = true
 				took = append(took, time.Since(began))
 			}
 		}
 	}
 	stop()
-	f.traffic.Wait()
+	f.generators.Wait()
 	return took
 }
 
 // BenchmarkDetection reports the time from the start of a fault until a carrier
 // stops using the target, over ten seeds and six carriers.
 func BenchmarkDetection(b *testing.B) {
-	for name, s := range map[string]sickness{"failing": {1, 1}, "half-failing": {0.5, 1}, "slow": {0, 8}} {
+	for name, s := range map[string]targetFault{"failing": {1, 1}, "half-failing": {0.5, 1}, "slow": {0, 8}} {
 		b.Run(name, func(b *testing.B) {
 			var all []time.Duration
 			for b.Loop() {
 				for seed := range uint64(10) {
-					virtual(b, func() {
-						f := &planFleet{}
+					runInBubble(b, func() {
+						f := &benchFleet{}
 						f.start()
 						time.Sleep(5 * time.Second)
-						all = append(all, f.detect(seed, s)...)
+						all = append(all, f.measureDetection(seed, s)...)
 						f.close()
 					})
 				}
@@ -289,7 +297,7 @@
 			for _, q := range []int{50, 90, 100} {
 				b.ReportMetric(all[(len(all)-1)*q/100].Seconds(), fmt.Sprintf("p%d-s", q))
 			}
-			b.ReportMetric(float64(len(all))/float64(b.N*10*planCarriers), "detected")
+			b.ReportMetric(float64(len(all))/float64(b.N*10*benchCarriers), "detected")
 		})
 	}
 }
--- a/core/daemon/fleet_test.go
+++ b/core/daemon/fleet_test.go
@@ -23,23 +23,23 @@
 	"wisteriarelay.example/core/tree"
 )
 
-// TestMain runs the package on one processor. Under -race, Go 1.26.8 runs the
-// timers of a bubble in one context of the race detector without a lock; the
-// process crashes when two threads do so at once in a large bubble (SIGSEGV in
+// TestMain runs the package's tests on one processor. Under -race, Go 1.26.8 runs
+// the timers of a synctest bubble in one race detector context without a lock. If two
+// threads do so at once in a large bubble, the process crashes (SIGSEGV in
 // runtime.(*timer).maybeRunChan, seen in both of two runs with -count=15).
 func TestMain(m *testing.M) {
 	runtime.GOMAXPROCS(1)
 	os.Exit(m.Run())
 }
 
-// fleetSettings has six targets in three data centres, of which three may be
-// ejected.
+// fleetSettings defines a service with six targets in three data centres. Its floor
+// allows three of them to be ejected.
 var fleetSettings = func() string {
 	var targets []string
 	for i := range 6 {
-		targets = append(targets, fmt.Sprintf(`{"id": "reservas-%d", "address": "%s:80", "data-centre": "%s"}`, i+1, targetHost(i), centres[i%len(centres)]))
+		targets = append(targets, fmt.Sprintf(`{"id": "reservas-%d", "address": "%s:80", "data-centre": "%s"}`, i+1, targetHost(i), testDataCentres[i%len(testDataCentres)]))
 	}
-	a, rest, _ := strings.Cut(sessionSettings, `"targets": [`)
+	a, rest, _ := strings.Cut(scenarioSettings, `"targets": [`)
 	_, b, _ := strings.Cut(rest, "]")
 	text := a + `"targets": [` + strings.Join(targets, ",") + "]" + b
 	text = strings.Replace(text, `"/data-centre/mdp": {}`, `"/data-centre/mdp": {}, "/data-centre/pinamar": {}, "/data-centre/necochea": {}`, 1)
@@ -50,37 +50,39 @@
 
 func targetID(i int) fleet.TargetID { return fleet.TargetID(fmt.Sprintf("reservas-%d", i+1)) }
 
-// playFleet runs n daemons in a bubble until they know each other. A function
-// may change what a daemon sees of the platform.
-func playFleet(t *testing.T, n int, act func(s *session), wrap ...func(i int, p Platform) Platform) {
+// runFleet starts n daemons in a synctest bubble, waits until they know each other
+// and then runs the steps. The wrap functions may change each daemon's client of the
+// platform.
+func runFleet(t *testing.T, n int, steps func(s *scenario), wrap ...func(i int, p Platform) Platform) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSession(t, fleetSettings)
+		s := newScenario(t, fleetSettings)
 		defer s.close()
-		s.wrap, s.quiet = wrap, true
+		s.wrapPlatform, s.noTranscript = wrap, true
 		for range n {
-			s.start()
+			s.startDaemon()
 		}
 		time.Sleep(10 * time.Second)
 		for _, d := range s.daemons {
 			s.g.Expect(d.Ready()).To(BeTrue())
 		}
-		act(s)
+		steps(s)
 	})
 }
 
-// silence cuts a host off in both directions, as a paused or lost VM is.
-func (s *session) silence(host string) {
-	s.net.cut(host, anyHost)
-	s.net.cut(anyHost, host)
+// isolate blocks the network of a host in both directions, as if its VM were paused
+// or lost.
+func (s *scenario) isolate(host string) {
+	s.net.block(host, anyHost)
+	s.net.block(anyHost, host)
 }
 
-func (s *session) unsilence(host string) {
-	s.net.mend(host, anyHost)
-	s.net.mend(anyHost, host)
+func (s *scenario) reconnect(host string) {
+	s.net.unblock(host, anyHost)
+	s.net.unblock(anyHost, host)
 }
 
-// reply is what a caller receives; err is set if it receives no response.
-type reply struct {
+// response is what a caller receives; err is set if it receives no response.
+type response struct {
 	Token     string
 	TTL       int `json:"ttl-seconds"`
 	Addresses []proxy.Address
@@ -91,9 +93,9 @@
 	err       error
 }
 
-// ask sends one request to a daemon; key is set for orders.
-func (s *session) ask(i int, method, path, key string) (r reply) {
-	req, err := http.NewRequest(method, "http://"+host(i)+":7000"+path, nil)
+// send sends one request to a daemon; key is set for orders.
+func (s *scenario) send(i int, method, path, key string) (r response) {
+	req, err := http.NewRequest(method, "http://"+daemonHost(i)+":7000"+path, nil)
 	s.g.Expect(err).NotTo(HaveOccurred())
 	if !strings.HasPrefix(path, "/v1/") {
 		req.Header.Set(proxy.HeaderService, "reservas")
@@ -104,7 +106,7 @@
 	client := http.Client{Transport: &http.Transport{DialContext: s.net.dialFrom(callerHost), DisableKeepAlives: true}}
 	resp, err := client.Do(req)
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
@@ -114,62 +116,66 @@
 	return r
 }
 
-func (s *session) look(i int) reply { return s.ask(i, http.MethodGet, "/bookings/7", "") }
+func (s *scenario) sendLookup(i int) response { return s.send(i, http.MethodGet, "/bookings/7", "") }
 
-func (s *session) order(i int, key string) reply { return s.ask(i, http.MethodPost, "/bookings", key) }
+func (s *scenario) sendOrder(i int, key string) response {
+	return s.send(i, http.MethodPost, "/bookings", key)
+}
 
 // addresses returns the VMs that a daemon lists for the service.
-func (s *session) addresses(i int) (ids []fleet.VMID) {
-	for _, a := range s.ask(i, http.MethodGet, "/v1/addresses?service=reservas", "").Addresses {
+func (s *scenario) addresses(i int) (ids []fleet.VMID) {
+	for _, a := range s.send(i, http.MethodGet, "/v1/addresses?service=reservas", "").Addresses {
 		ids = append(ids, a.VM)
 	}
 	return ids
 }
 
-func (s *session) tokenAt(i int) string {
-	r := s.ask(i, http.MethodPost, "/v1/order-tokens?service=reservas", "")
+// newTokenFrom returns a new order token of a daemon, without writing the request into
+// the transcript.
+func (s *scenario) newTokenFrom(i int) string {
+	r := s.send(i, http.MethodPost, "/v1/order-tokens?service=reservas", "")
 	s.g.Expect(r.Token).NotTo(BeEmpty(), "%+v", r)
 	return r.Token
 }
 
-// lateOrder is an order whose reply is awaited later.
-type lateOrder struct {
-	s     *session
-	i     int
-	key   string
-	reply chan reply
+// asyncOrder sends an order in the background.
+type asyncOrder struct {
+	scenario *scenario
+	daemon   int
+	key      string
+	response chan response
 }
 
-func (o lateOrder) run() { o.reply <- o.s.order(o.i, o.key) }
+func (o asyncOrder) run() { o.response <- o.scenario.sendOrder(o.daemon, o.key) }
 
-func (s *session) sendOrder(i int, key string) chan reply {
-	o := lateOrder{s, i, key, make(chan reply, 1)}
+func (s *scenario) sendOrderAsync(i int, key string) chan response {
+	o := asyncOrder{s, i, key, make(chan response, 1)}
 	go o.run()
-	return o.reply
+	return o.response
 }
 
-// stopper stops a daemon gracefully.
-type stopper struct {
-	s    *session
-	i    int
-	done chan struct{}
+// asyncStop stops a daemon gracefully in the background.
+type asyncStop struct {
+	scenario *scenario
+	daemon   int
+	done     chan struct{}
 }
 
-func (p stopper) run() {
+func (p asyncStop) run() {
 	defer close(p.done)
-	if err := p.s.daemons[p.i].Stop(context.Background()); err != nil {
-		p.s.note("stop failed: %v", err)
+	if err := p.scenario.daemons[p.daemon].Stop(context.Background()); err != nil {
+		p.scenario.transcribe("stop failed: %v", err)
 	}
 }
 
-func (s *session) stop(i int) chan struct{} {
-	p := stopper{s, i, make(chan struct{})}
+func (s *scenario) stopAsync(i int) chan struct{} {
+	p := asyncStop{s, i, make(chan struct{})}
 	go p.run()
 	return p.done
 }
 
 // runs returns how often the targets ran the order with the key.
-func (s *session) runs(key string) (n int) {
+func (s *scenario) runs(key string) (n int) {
 	for _, t := range s.targets {
 		for _, r := range t.Runs() {
 			if strings.Contains(r.Key, key) {
@@ -180,11 +186,11 @@
 	return n
 }
 
-// load sends lookups, or orders with keys of its own, to one daemon until it is
-// stopped.
-type load struct {
-	s        *session
-	i        int
+// loadGenerator sends lookups, or orders with keys chosen by the caller, to one daemon
+// until it is stopped.
+type loadGenerator struct {
+	scenario *scenario
+	daemon   int
 	orders   bool
 	stop     chan struct{}
 	done     chan struct{}
@@ -192,15 +198,15 @@
 }
 
 const (
-	// loadEvery and loadsAtOnce make each daemon use both targets of its data
-	// centre: of two requests at once, each target takes one.
-	loadEvery   = 200 * time.Millisecond
-	loadsAtOnce = 2
+	// loadInterval and generatorsPerDaemon make each daemon use both targets of its
+	// data centre: of two concurrent requests, each target receives one.
+	loadInterval        = 200 * time.Millisecond
+	generatorsPerDaemon = 2
 )
 
-func (l *load) run() {
+func (l *loadGenerator) run() {
 	defer close(l.done)
-	ticker := time.NewTicker(loadEvery)
+	ticker := time.NewTicker(loadInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -208,40 +214,40 @@
 			return
 		case <-ticker.C:
 			if l.orders {
-				l.s.order(l.i, fmt.Sprintf("counter-%d-%d", l.i, time.Now().UnixNano()))
-			} else if r := l.s.look(l.i); r.status != http.StatusOK {
+				l.scenario.sendOrder(l.daemon, fmt.Sprintf("counter-%d-%d", l.daemon, time.Now().UnixNano()))
+			} else if r := l.scenario.sendLookup(l.daemon); r.status != http.StatusOK {
 				l.failures.Add(1)
 			}
 		}
 	}
 }
 
-// loadAll sends lookups to all daemons until endLoad or close.
-func (s *session) loadAll() {
-	for i := range loadsAtOnce * len(s.daemons) {
-		s.startLoad(&load{i: i / loadsAtOnce})
+// startLoad sends lookups to all daemons until stopLoad or close.
+func (s *scenario) startLoad() {
+	for i := range generatorsPerDaemon * len(s.daemons) {
+		s.startGenerator(&loadGenerator{daemon: i / generatorsPerDaemon})
 	}
 }
 
-func (s *session) startLoad(l *load) {
-	l.s, l.stop, l.done = s, make(chan struct{}), make(chan struct{})
-	s.loads = append(s.loads, l)
+func (s *scenario) startGenerator(l *loadGenerator) {
+	l.scenario, l.stop, l.done = s, make(chan struct{}), make(chan struct{})
+	s.loadGenerators = append(s.loadGenerators, l)
 	go l.run()
 }
 
-// endLoad returns the number of lookups that failed.
-func (s *session) endLoad() (failures int64) {
-	for _, l := range s.loads {
+// stopLoad stops the load generators and returns the number of failed lookups.
+func (s *scenario) stopLoad() (failures int64) {
+	for _, l := range s.loadGenerators {
 		close(l.stop)
 		<-l.done
 		failures += l.failures.Load()
 	}
-	s.loads = nil
+	s.loadGenerators = nil
 	return failures
 }
 
 // states returns the state of a target at each daemon.
-func (s *session) states(target int) []string {
+func (s *scenario) states(target int) []string {
 	var out []string
 	for _, d := range s.daemons {
 		state, _, _ := d.TargetState(targetID(target))
@@ -250,8 +256,8 @@
 	return out
 }
 
-// inState returns how many targets a daemon has in a state.
-func (s *session) inState(i int, want string) (n int) {
+// inState returns the number of targets that are in a state at a daemon.
+func (s *scenario) inState(i int, want string) (n int) {
 	for t := range s.targets {
 		if s.states(t)[i] == want {
 			n++
@@ -260,44 +266,46 @@
 	return n
 }
 
-// step is the time between two looks at the fleet.
-const step = 250 * time.Millisecond
+// pollInterval is the time between two checks of the fleet's state.
+const pollInterval = 250 * time.Millisecond
 
-// within checks every step until check holds, and fails after limit.
-func (s *session) within(limit time.Duration, what string, check func() bool) {
+// eventually polls until check holds. The test fails if it does not hold within limit.
+func (s *scenario) eventually(limit time.Duration, what string, check func() bool) {
 	began := time.Now()
 	for !check() {
 		s.g.Expect(time.Since(began)).To(BeNumerically("<", limit), what)
-		time.Sleep(step)
+		time.Sleep(pollInterval)
 	}
 }
 
-// throughout checks every step for the whole time.
-func (s *session) throughout(d time.Duration, check func()) {
-	for began := time.Now(); time.Since(began) < d; time.Sleep(step) {
+// consistently runs check at each poll for the whole duration.
+func (s *scenario) consistently(d time.Duration, check func()) {
+	for began := time.Now(); time.Since(began) < d; time.Sleep(pollInterval) {
 		check()
 	}
 }
 
-// change commits a change of the settings and returns its revision.
-func (s *session) change(ops ...tree.Op) settle.Revision {
-	b := s.operator()
-	r, err := b.Commit(context.Background(), s.propose(b, "marta", ops))
+// commitChange commits a change of the settings and returns its revision.
+func (s *scenario) commitChange(ops ...tree.Op) settle.Revision {
+	changelog := s.newChangelog()
+	r, err := changelog.Commit(context.Background(), s.propose(changelog, "marta", ops))
 	s.g.Expect(err).NotTo(HaveOccurred())
 	return r
 }
 
-func floorOf(n int) tree.Op {
+// setFloor returns the op that sets the floor of the workspace.
+func setFloor(n int) tree.Op {
 	return tree.Op{Path: "/workspace/cortavientos", Key: "floor", Value: json.RawMessage(fmt.Sprint(n))}
 }
 
-func (s *session) fail(targets ...int) {
+// failTargets makes targets fail their requests, while their probes succeed.
+func (s *scenario) failTargets(targets ...int) {
 	for _, t := range targets {
 		s.targets[t].Misbehave(stand.Faults{FailWork: true})
 	}
 }
 
-// platformAway refuses every request to the platform.
-func (s *session) platformAway() {
+// failPlatform makes the platform refuse every request.
+func (s *scenario) failPlatform() {
 	s.platform.Misbehave(stand.PlatformFaults{TableDown: true, ObjectsDown: true, VMsDown: true})
 }
--- a/core/daemon/golden_faults_test.go
+++ b/core/daemon/golden_faults_test.go
@@ -15,164 +15,166 @@
 	"wisteriarelay.example/core/tree"
 )
 
-// booker sends one booking.
-type booker struct {
-	s       *session
-	key, id string
-	done    chan struct{}
+// asyncBooking sends a booking in the background.
+type asyncBooking struct {
+	scenario *scenario
+	key, id  string
+	done     chan struct{}
 }
 
-func (b booker) run() {
+func (b asyncBooking) run() {
 	defer close(b.done)
-	b.s.book(b.key, b.id)
+	b.scenario.sendRawOrder(b.key, b.id)
 }
 
-// TestSessionShutdown guards against a shutdown that cuts a booking on its way
-// or keeps drawing new callers.
-func TestSessionShutdown(t *testing.T) {
-	play(t, "shutdown", func(s *session) {
-		s.start()
-		s.start()
+// TestScenarioShutdown guards against a shutdown that interrupts a booking in progress,
+// or during which the daemon's address is still given to callers.
+func TestScenarioShutdown(t *testing.T) {
+	runScenario(t, "shutdown", func(s *scenario) {
+		s.startDaemon()
+		s.startDaemon()
 		time.Sleep(5 * time.Second)
-		s.forget()
+		s.clearTranscript()
 		for _, target := range s.targets {
 			target.Misbehave(stand.Faults{Delay: 1500 * time.Millisecond})
 		}
-		b := booker{s, s.token() + ".counter-3-1", "b1", make(chan struct{})}
+		b := asyncBooking{s, s.newToken() + ".counter-3-1", "b1", make(chan struct{})}
 		go b.run()
 		time.Sleep(100 * time.Millisecond)
-		s.note("mdp-1 is told to stop while the booking is on its way")
-		done := s.stop(0)
+		s.transcribe("mdp-1 is told to stop while the booking is on its way")
+		done := s.stopAsync(0)
 		time.Sleep(300 * time.Millisecond)
 		const ask = "GET /v1/addresses?service=reservas&data-centre=mdp HTTP/1.1\nX-Request-Id: "
-		s.callAt(1, ask+"a1", "")
-		s.call(ask+"a2", "")
+		s.sendRawTo(1, ask+"a1", "")
+		s.sendRaw(ask+"a2", "")
 		<-b.done
 		<-done
-		s.note("mdp-1 has ended")
+		s.transcribe("mdp-1 has ended")
 	})
 }
 
-// TestSessionColdBoot guards against a daemon that cannot start while the
-// platform is away although its peers serve.
-func TestSessionColdBoot(t *testing.T) {
-	play(t, "cold-boot", func(s *session) {
+// TestScenarioColdBoot guards against a daemon that cannot start during an outage of
+// the platform although its peers are ready.
+func TestScenarioColdBoot(t *testing.T) {
+	runScenario(t, "cold-boot", func(s *scenario) {
 		for range 3 {
-			s.start()
+			s.startDaemon()
 		}
 		time.Sleep(5 * time.Second)
-		s.note("the platform goes away")
+		s.transcribe("the platform goes away")
 		s.platform.Misbehave(stand.PlatformFaults{TableDown: true, ObjectsDown: true, VMsDown: true})
 		time.Sleep(time.Minute)
-		s.seeds = []string{host(0) + ":7100", host(1) + ":7100", host(2) + ":7100"}
-		s.forget()
-		s.note("mdp-2 starts and knows only its seeds")
-		s.start()
+		s.seeds = []string{daemonHost(0) + ":7100", daemonHost(1) + ":7100", daemonHost(2) + ":7100"}
+		s.clearTranscript()
+		s.transcribe("mdp-2 starts and knows only its seeds")
+		s.startDaemon()
 		time.Sleep(10 * time.Second)
-		s.forget()
+		s.clearTranscript()
 		state := s.daemons[3].components.Controller.follower.State()
-		s.note("mdp-2 ready: %v, revision %d, %s", s.daemons[3].Ready(), state.Revision, state.Reason)
-		s.callAt(3, lookup("l1"), "")
+		s.transcribe("mdp-2 ready: %v, revision %d, %s", s.daemons[3].Ready(), state.Revision, state.Reason)
+		s.sendRawTo(3, rawLookup("l1"), "")
 	})
 }
 
-// TestSessionColdBootAlone guards against a daemon that serves from nothing.
-func TestSessionColdBootAlone(t *testing.T) {
-	play(t, "cold-boot-alone", func(s *session) {
+// TestScenarioColdBootWithoutPeers guards against a daemon that is ready without
+// settings, when neither the platform nor a seed replies.
+func TestScenarioColdBootWithoutPeers(t *testing.T) {
+	runScenario(t, "cold-boot-alone", func(s *scenario) {
 		s.platform.Misbehave(stand.PlatformFaults{TableDown: true, ObjectsDown: true, VMsDown: true})
-		s.seeds = []string{host(1) + ":7100", host(2) + ":7100"}
-		s.start()
+		s.seeds = []string{daemonHost(1) + ":7100", daemonHost(2) + ":7100"}
+		s.startDaemon()
 		time.Sleep(10 * time.Second)
-		s.forget()
-		s.note("mdp-1 ready: %v", s.daemons[0].Ready())
-		s.call(lookup("l1"), "")
+		s.clearTranscript()
+		s.transcribe("mdp-1 ready: %v", s.daemons[0].Ready())
+		s.sendRaw(rawLookup("l1"), "")
 	})
 }
 
-// ttl is a change of the address lifetime of the service.
-func ttl(text string) []tree.Op {
+// setAddressTTL returns the ops that set the address lifetime of the service.
+func setAddressTTL(text string) []tree.Op {
 	value, _ := json.Marshal(text)
 	return []tree.Op{{Path: "/workspace/cortavientos/service/reservas", Key: "address-ttl", Value: value}}
 }
 
 // propose returns the id of a change that its author has approved.
-func (s *session) propose(b *settle.Changelog, author string, ops []tree.Op) string {
-	c, err := b.Propose(context.Background(), settle.Proposal{Ops: ops, Author: author})
+func (s *scenario) propose(changelog *settle.Changelog, author string, ops []tree.Op) string {
+	c, err := changelog.Propose(context.Background(), settle.Proposal{Ops: ops, Author: author})
 	s.g.Expect(err).NotTo(HaveOccurred())
-	_, err = b.Approve(context.Background(), c.ID, author)
+	_, err = changelog.Approve(context.Background(), c.ID, author)
 	s.g.Expect(err).NotTo(HaveOccurred())
 	return c.ID
 }
 
-func (s *session) commit(b *settle.Changelog, owner, id string) {
-	revision, err := b.Commit(context.Background(), id)
+func (s *scenario) tryCommit(changelog *settle.Changelog, owner, id string) {
+	revision, err := changelog.Commit(context.Background(), id)
 	var conflict *settle.Conflict
 	switch {
 	case errors.As(err, &conflict):
-		s.note("%s commits: conflict, base %d, head %d, overlapping changes: %d", owner, conflict.Base, conflict.Head, len(conflict.Overlaps))
+		s.transcribe("%s commits: conflict, base %d, head %d, overlapping changes: %d", owner, conflict.Base, conflict.Head, len(conflict.Overlaps))
 	case err != nil:
-		s.note("%s commits: %v", owner, err)
+		s.transcribe("%s commits: %v", owner, err)
 	default:
-		s.note("%s commits: accepted as revision %d", owner, revision)
+		s.transcribe("%s commits: accepted as revision %d", owner, revision)
 	}
 }
 
-// TestSessionOwnersRace guards against two accepted changes to one setting on
-// the same base, and against a daemon that takes the loser.
-func TestSessionOwnersRace(t *testing.T) {
-	play(t, "owners-race", func(s *session) {
-		s.startReady()
-		marta, hector := s.operator(), s.operator()
-		first := s.propose(marta, "marta", ttl("7s"))
-		second := s.propose(hector, "hector", ttl("9s"))
-		s.commit(hector, "hector", second)
-		s.commit(marta, "marta", first)
+// TestScenarioConcurrentCommits guards against two changes of one setting that are
+// both accepted on the same base revision, and against a daemon that applies the one
+// that was not accepted.
+func TestScenarioConcurrentCommits(t *testing.T) {
+	runScenario(t, "owners-race", func(s *scenario) {
+		s.startReadyDaemon()
+		marta, hector := s.newChangelog(), s.newChangelog()
+		first := s.propose(marta, "marta", setAddressTTL("7s"))
+		second := s.propose(hector, "hector", setAddressTTL("9s"))
+		s.tryCommit(hector, "hector", second)
+		s.tryCommit(marta, "marta", first)
 		c, err := marta.Change(context.Background(), first)
-		s.note("marta's change is %s, error %v", c.State, err)
+		s.transcribe("marta's change is %s, error %v", c.State, err)
 		time.Sleep(7 * time.Second)
-		s.forgetLogs()
-		s.call("GET /v1/addresses?service=reservas HTTP/1.1\nX-Request-Id: a1", "")
+		s.dropLogLines()
+		s.sendRaw("GET /v1/addresses?service=reservas HTTP/1.1\nX-Request-Id: a1", "")
 	})
 }
 
-// sessionLostReply covers a commit after which the table is away, so that the
-// owner's client cannot read back at once what became of it.
-func sessionLostReply(t *testing.T, name string, f stand.PlatformFaults) {
-	play(t, name, func(s *session) {
-		s.startReady()
+// runCommitOutage covers a commit during which an outage of the table starts, so that
+// the owner's client cannot read its outcome immediately.
+func runCommitOutage(t *testing.T, name string, f stand.PlatformFaults) {
+	runScenario(t, name, func(s *scenario) {
+		s.startReadyDaemon()
 		table := s.platform.Table()
-		id := s.propose(settle.NewChangelog(table), "marta", ttl("7s"))
+		id := s.propose(settle.NewChangelog(table), "marta", setAddressTTL("7s"))
 		apply := table.Apply
 		table.Apply = func(ctx context.Context, tx store.Tx) error {
 			err := apply(ctx, tx)
 			s.platform.Misbehave(stand.PlatformFaults{TableDown: true})
 			return err
 		}
-		book := settle.NewChangelog(table)
+		changelog := settle.NewChangelog(table)
 		s.platform.Misbehave(f)
-		s.commit(book, "marta", id)
-		r, err := book.Resolve(context.Background(), id)
-		s.note("asked while the table is away: %s, error %v", r.Outcome, err)
+		s.tryCommit(changelog, "marta", id)
+		r, err := changelog.Resolve(context.Background(), id)
+		s.transcribe("asked while the table is away: %s, error %v", r.Outcome, err)
 		s.platform.Misbehave(stand.PlatformFaults{})
-		r, err = s.operator().Resolve(context.Background(), id)
-		s.note("asked when the table is back: %s, error %v", r.Outcome, err)
-		s.commit(s.operator(), "marta", id)
-		s.commit(s.operator(), "marta", id)
-		head, _, err := s.operator().Head(context.Background())
-		s.note("head %d, error %v", head, err)
+		r, err = s.newChangelog().Resolve(context.Background(), id)
+		s.transcribe("asked when the table is back: %s, error %v", r.Outcome, err)
+		s.tryCommit(s.newChangelog(), "marta", id)
+		s.tryCommit(s.newChangelog(), "marta", id)
+		head, _, err := s.newChangelog().Head(context.Background())
+		s.transcribe("head %d, error %v", head, err)
 		time.Sleep(7 * time.Second)
-		s.forgetLogs()
-		s.call("GET /v1/addresses?service=reservas HTTP/1.1\nX-Request-Id: a1", "")
+		s.dropLogLines()
+		s.sendRaw("GET /v1/addresses?service=reservas HTTP/1.1\nX-Request-Id: a1", "")
 	})
 }
 
-// TestSessionCommitApplied guards against a commit that is applied twice.
-func TestSessionCommitApplied(t *testing.T) {
-	sessionLostReply(t, "commit-reply-lost", stand.PlatformFaults{LoseReplies: 1})
+// TestScenarioCommitApplied guards against a commit that is applied twice.
+func TestScenarioCommitApplied(t *testing.T) {
+	runCommitOutage(t, "commit-reply-lost", stand.PlatformFaults{LoseReplies: 1})
 }
 
-// TestSessionCommitNotApplied guards against a commit that is reported as
+// TestScenarioCommitNotApplied guards against a commit that is reported as
 // accepted although its request never arrived.
-func TestSessionCommitNotApplied(t *testing.T) {
-	sessionLostReply(t, "commit-request-lost", stand.PlatformFaults{LoseRequests: 1})
+func TestScenarioCommitNotApplied(t *testing.T) {
+	runCommitOutage(t, "commit-request-lost", stand.PlatformFaults{LoseRequests: 1})
 }
--- a/core/daemon/golden_test.go
+++ b/core/daemon/golden_test.go
@@ -12,82 +12,84 @@
 	"wisteriarelay.example/core/stand"
 )
 
-func decode(g *WithT, resp *http.Response, into any) {
+func decodeJSON(g *WithT, resp *http.Response, into any) {
 	g.Expect(json.NewDecoder(resp.Body).Decode(into)).To(Succeed())
 }
 
-// play runs one session in a bubble and compares it with its golden file.
-func play(t *testing.T, name string, act func(s *session)) {
+// runScenario runs the steps in a synctest bubble and compares the transcript with
+// the golden file of the name.
+func runScenario(t *testing.T, name string, steps func(s *scenario)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSession(t, sessionSettings)
+		s := newScenario(t, scenarioSettings)
 		defer s.close()
-		act(s)
-		s.golden(name, s.transcript())
+		steps(s)
+		s.compareGolden(name, s.transcript())
 	})
 }
 
-func TestSessionLookup(t *testing.T) {
-	play(t, "lookup", func(s *session) {
-		s.startReady()
-		s.call("GET /v1/addresses?service=reservas&data-centre=mdp HTTP/1.1\nX-Request-Id: a1", "")
-		s.show("l1")
+func TestScenarioLookup(t *testing.T) {
+	runScenario(t, "lookup", func(s *scenario) {
+		s.startReadyDaemon()
+		s.sendRaw("GET /v1/addresses?service=reservas&data-centre=mdp HTTP/1.1\nX-Request-Id: a1", "")
+		s.sendRawLookup("l1")
 	})
 }
 
-func TestSessionBooking(t *testing.T) {
-	play(t, "booking", func(s *session) {
-		s.startReady()
-		key := s.token() + ".counter-3-1"
-		s.book(key, "b1")
-		s.note("the counter lost the answer and asks again")
-		s.book(key, "b2")
+func TestScenarioBooking(t *testing.T) {
+	runScenario(t, "booking", func(s *scenario) {
+		s.startReadyDaemon()
+		key := s.newToken() + ".counter-3-1"
+		s.sendRawOrder(key, "b1")
+		s.transcribe("the counter lost the answer and asks again")
+		s.sendRawOrder(key, "b2")
 	})
 }
 
-func TestSessionSickTarget(t *testing.T) {
-	play(t, "sick-target", func(s *session) {
-		s.startReady()
+func TestScenarioFailingTargets(t *testing.T) {
+	runScenario(t, "sick-target", func(s *scenario) {
+		s.startReadyDaemon()
 		s.targets[0].Misbehave(stand.Faults{FailWork: true})
 		s.targets[1].Misbehave(stand.Faults{FailWork: true})
-		s.show("l1")
+		s.sendRawLookup("l1")
 		s.targets[1].Misbehave(stand.Faults{})
 		for _, id := range []string{"l2", "l3", "l4"} {
-			s.show(id)
+			s.sendRawLookup(id)
 			time.Sleep(100 * time.Millisecond)
 		}
 	})
 }
 
-// sessionDeath covers a booking whose target dies before, during and after its work.
-func sessionDeath(t *testing.T, name string, f stand.Faults) {
-	play(t, name, func(s *session) {
-		s.startReady()
+// runTargetFault covers a booking whose targets have the fault, and its repeat once
+// they are healthy again.
+func runTargetFault(t *testing.T, name string, f stand.Faults) {
+	runScenario(t, name, func(s *scenario) {
+		s.startReadyDaemon()
 		for _, target := range s.targets {
 			target.Misbehave(f)
 		}
-		key := s.token() + ".counter-3-1"
-		s.book(key, "b1")
-		s.note("the counter asks again once the targets are well")
+		key := s.newToken() + ".counter-3-1"
+		s.sendRawOrder(key, "b1")
+		s.transcribe("the counter asks again once the targets are well")
 		for _, target := range s.targets {
 			target.Misbehave(stand.Faults{})
 		}
-		s.book(key, "b2")
-		s.note("orders run by the targets: %d", len(s.targets[0].Runs())+len(s.targets[1].Runs()))
+		s.sendRawOrder(key, "b2")
+		s.transcribe("orders run by the targets: %d", len(s.targets[0].Runs())+len(s.targets[1].Runs()))
 	})
 }
 
-func TestSessionTargetRefusesBeforeStart(t *testing.T) {
-	sessionDeath(t, "booking-refused", stand.Faults{ShedAll: true})
+func TestScenarioTargetRefusesBeforeStart(t *testing.T) {
+	runTargetFault(t, "booking-refused", stand.Faults{ShedAll: true})
 }
 
-func TestSessionTargetDiesBefore(t *testing.T) {
-	sessionDeath(t, "booking-died-before", stand.Faults{CutBefore: true})
+func TestScenarioTargetDiesBeforeWork(t *testing.T) {
+	runTargetFault(t, "booking-died-before", stand.Faults{CutBefore: true})
 }
 
-func TestSessionTargetDiesDuring(t *testing.T) {
-	sessionDeath(t, "booking-died-during", stand.Faults{CutShort: true})
+func TestScenarioTargetDiesDuringResponse(t *testing.T) {
+	runTargetFault(t, "booking-died-during", stand.Faults{CutShort: true})
 }
 
-func TestSessionTargetDiesAfter(t *testing.T) {
-	sessionDeath(t, "booking-died-after", stand.Faults{CutAfter: true})
+func TestScenarioTargetDiesAfterWork(t *testing.T) {
+	runTargetFault(t, "booking-died-after", stand.Faults{CutAfter: true})
 }
--- a/core/daemon/memnet_test.go
+++ b/core/daemon/memnet_test.go
@@ -7,66 +7,69 @@
 	"sync"
 )
 
-// memNet is a network in memory, on which the paused clock may advance. A
-// direction between two hosts can be cut: what is sent in it waits, as TCP
-// repeats it, and arrives when the direction is mended.
+// memNet is an in-memory network, so that the virtual time of a synctest bubble can
+// advance while goroutines wait for it. A direction between two hosts can be blocked.
+// Data sent in it then waits, like TCP segments that are retransmitted, and arrives
+// when the direction is unblocked.
 type memNet struct {
-	mu    sync.Mutex
-	ports map[string]*memListener
-	cuts  map[direction]chan struct{}
+	mu        sync.Mutex
+	listeners map[string]*memListener
+	blocked   map[direction]chan struct{}
 }
 
-// direction is the way from one host to another; anyHost stands for all.
+// direction is the path from one host to another; anyHost matches every host.
 type direction struct{ from, to string }
 
 const anyHost = "*"
 
 func newMemNet() *memNet {
-	return &memNet{ports: map[string]*memListener{}, cuts: map[direction]chan struct{}{}}
+	return &memNet{listeners: map[string]*memListener{}, blocked: map[direction]chan struct{}{}}
 }
 
-func (n *memNet) cut(from, to string) {
+func (n *memNet) block(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cuts[direction{from, to}] == nil {
-		n.cuts[direction{from, to}] = make(chan struct{})
+	if n.blocked[direction{from, to}] == nil {
+		n.blocked[direction{from, to}] = make(chan struct{})
 	}
 }
 
-func (n *memNet) mend(from, to string) {
+func (n *memNet) unblock(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if mended, ok := n.cuts[direction{from, to}]; ok {
-		close(mended)
-		delete(n.cuts, direction{from, to})
+	if unblocked, ok := n.blocked[direction{from, to}]; ok {
+		close(unblocked)
+		delete(n.blocked, direction{from, to})
 	}
 }
 
-func (n *memNet) mendAll() {
+func (n *memNet) unblockAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for d, mended := range n.cuts {
-		close(mended)
-		delete(n.cuts, d)
+	for d, unblocked := range n.blocked {
+		close(unblocked)
+		delete(n.blocked, d)
 	}
 }
 
-func (n *memNet) cutIn(d direction) chan struct{} {
+// blockedBy returns the channel that is closed when the direction is unblocked, or
+// nil if it is open.
+func (n *memNet) blockedBy(d direction) chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, each := range []direction{d, {d.from, anyHost}, {anyHost, d.to}} {
-		if mended, ok := n.cuts[each]; ok {
-			return mended
+		if unblocked, ok := n.blocked[each]; ok {
+			return unblocked
 		}
 	}
 	return nil
 }
 
-// await waits until the direction is open.
-func (n *memNet) await(ctx context.Context, d direction) error {
-	for mended := n.cutIn(d); mended != nil; mended = n.cutIn(d) {
+// waitUntilOpen waits until the direction is not blocked.
+func (n *memNet) waitUntilOpen(ctx context.Context, d direction) error {
+	for unblocked := n.blockedBy(d); unblocked != nil; unblocked = n.blockedBy(d) {
 		select {
-		case <-mended:
+		case <-unblocked:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -102,7 +105,7 @@
 func (a memAddr) Network() string { return "tcp" }
 func (a memAddr) String() string  { return string(a) }
 
-// memConn carries the address of its caller.
+// memConn is a connection that reports the address of the connecting host.
 type memConn struct {
 	net.Conn
 	remote net.Addr
@@ -114,24 +117,24 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := &memListener{address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
-	n.ports[address] = l
+	n.listeners[address] = l
 	return l, nil
 }
 
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// dialFrom returns the function by which a host connects to others.
+// dialFrom returns the dial function of a host.
 func (n *memNet) dialFrom(host string) dialFunc {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		to, _, _ := net.SplitHostPort(address)
 		out, back := direction{host, to}, direction{to, host}
 		for _, d := range []direction{out, back} {
-			if err := n.await(ctx, d); err != nil {
+			if err := n.waitUntilOpen(ctx, d); err != nil {
 				return nil, err
 			}
 		}
 		n.mu.Lock()
-		l, ok := n.ports[address]
+		l, ok := n.listeners[address]
 		n.mu.Unlock()
 		if !ok {
 			return nil, fmt.Errorf("connection to %s refused", address)
@@ -145,29 +148,30 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
-		go pump{n, out, nearEnd, farEnd}.run()
-		go pump{n, back, farEnd, nearEnd}.run()
+		go copier{n, out, nearEnd, farEnd}.run()
+		go copier{n, back, farEnd, nearEnd}.run()
 		return near, nil
 	}
 }
 
-// pump carries the bytes and the end of one direction of a connection.
-type pump struct {
+// copier copies one direction of a connection, including its end.
+type copier struct {
 	net       *memNet
 	direction direction
 	src, dst  net.Conn
 }
 
-func (p pump) run() {
+func (c copier) run() {
 	buf := make([]byte, 32<<10)
 	for {
-		k, err := p.src.Read(buf)
-		_ = p.net.await(context.Background(), p.direction)
+		k, err := c.src.Read(buf)
+		_ = c.net.waitUntilOpen(context.Background(), c.direction)
 		if err != nil {
-			_ = p.dst.Close()
+			_ = c.dst.Close()
 			return
 		}
-		// A closed reader is no reason to stop: its end travels the other way.
-		_, _ = p.dst.Write(buf[:k])
+		// A write error does not end the copy: the receiver has closed, which the
+		// copier of the other direction passes on.
+		_, _ = c.dst.Write(buf[:k])
 	}
 }
--- a/core/daemon/ports.go
+++ b/core/daemon/ports.go
@@ -20,7 +20,7 @@
 
 const (
 	// readHeaderTimeout limits the time that a caller takes to send its request
-	// header, so that slow callers cannot hold idle connections.
+	// header, so that slow callers cannot occupy connections without a request.
 	readHeaderTimeout = 10 * time.Second
 	// idleTimeout exceeds the usual pause between two requests of a caller such as
 	// a booking counter, which can then reuse its connection.
@@ -130,6 +130,7 @@
 	go s.run(l)
 }
 
+// run serves requests until stop or kill closes the server.
 func (s *httpServer) run(l net.Listener) {
 	defer close(s.done)
 	var err error
--- a/core/daemon/ports_test.go
+++ b/core/daemon/ports_test.go
@@ -16,7 +16,8 @@
 	"wisteriarelay.example/core/inner"
 )
 
-// Guards against a callers' port that ignores its certificate or loses HTTP/2.
+// Guards against a callers' port that ignores the configured certificate or does not
+// negotiate HTTP/2.
 func TestCallersPortServesTLSAndHTTP2(t *testing.T) {
 	g := NewWithT(t)
 	dir := t.TempDir()
--- a/core/daemon/provide.go
+++ b/core/daemon/provide.go
@@ -63,6 +63,8 @@
 	go task{fn: fn, onDone: g.running.Done}.run(g.ctx)
 }
 
+// newPlatform returns HTTP clients of the platform's services, unless the options
+// replace them.
 func newPlatform(lc fx.Lifecycle, s *config.Settings, o overrides, tasks *taskGroup) Platform {
 	if o.platform != nil {
 		return *o.platform
@@ -79,6 +81,8 @@
 	}
 }
 
+// newIdentity reads the identity for the inner protocol from the configured files,
+// unless the options replace it.
 func newIdentity(s *config.Settings, o overrides) (inner.Identity, error) {
 	if o.identity != nil {
 		return *o.identity, nil
@@ -88,15 +92,15 @@
 		return inner.Identity{}, fault.New(fault.ConfigInvalid,
 			"keys inner-tls-certificate, inner-tls-key and inner-tls-authority are needed")
 	}
-	var blocks [3][]byte
-	for i, name := range []string{files.Certificate, files.Key, files.Authority} {
-		data, err := os.ReadFile(name)
+	var pemBlocks [3][]byte
+	for i, file := range []string{files.Certificate, files.Key, files.Authority} {
+		data, err := os.ReadFile(file)
 		if err != nil {
-			return inner.Identity{}, fault.Wrap(err, fault.ConfigInvalid, "file %s of the inner protocol", name)
+			return inner.Identity{}, fault.Wrap(err, fault.ConfigInvalid, "file %s of the inner protocol", file)
 		}
-		blocks[i] = data
+		pemBlocks[i] = data
 	}
-	return inner.ParseIdentity(blocks[0], blocks[1], blocks[2])
+	return inner.ParseIdentity(pemBlocks[0], pemBlocks[1], pemBlocks[2])
 }
 
 func newClient(lc fx.Lifecycle, id inner.Identity, o overrides) *inner.Client {
@@ -106,6 +110,8 @@
 	return c
 }
 
+// newController returns the controller without its members and its follower, which
+// connectComponents sets.
 func newController(s *config.Settings, inc fleet.Incarnation, o overrides, p Platform, tasks *taskGroup, set *stats.Set, l log.Logger) *serviceController {
 	sink := &attemptSink{stats: set, logger: l}
 	probes := &http.Client{Transport: &http.Transport{DialContext: o.dial, MaxIdleConnsPerHost: 1}}
@@ -147,6 +153,7 @@
 	}, member.WithLog(l))
 }
 
+// newPeerClient returns the client without its members, which connectComponents sets.
 func newPeerClient(s *config.Settings, c *inner.Client, l log.Logger) *peerClient {
 	return &peerClient{self: s.Self(), rpc: c, seeds: s.Seeds, logger: l}
 }
--- a/core/daemon/scenario_test.go
+++ b/core/daemon/scenario_test.go
@@ -33,34 +33,34 @@
 	"wisteriarelay.example/core/tree"
 )
 
-var update = flag.Bool("update", false, "write the golden files of the sessions anew")
-
-// session is daemons, their targets and a caller on the paused clock, with a
-// transcript of what passes between them.
-type session struct {
-	g         *WithT
-	net       *memNet
-	platform  *stand.Platform
-	targets   []*stand.Target
-	servers   []*http.Server
-	authority *inner.Authority
-	clients   []*store.Client
-	daemons   []*Daemon
-	loads     []*load
-	seeds     []string
-	// quiet keeps no transcript.
-	quiet bool
-	// wrap changes what a daemon sees of the platform.
-	wrap []func(i int, p Platform) Platform
-	// operators are those of the daemons' settings.
+var update = flag.Bool("update", false, "rewrite the golden files of the scenarios")
+
+// scenario holds daemons, their targets, a platform and a caller, which run on virtual
+// time, and a transcript of the messages between them.
+type scenario struct {
+	g              *WithT
+	net            *memNet
+	platform       *stand.Platform
+	targets        []*stand.Target
+	servers        []*http.Server
+	authority      *inner.Authority
+	clients        []*store.Client
+	daemons        []*Daemon
+	loadGenerators []*loadGenerator
+	seeds          []string
+	// noTranscript turns the transcript off.
+	noTranscript bool
+	// wrapPlatform functions change the client of the platform of daemon i.
+	wrapPlatform []func(i int, p Platform) Platform
+	// operators are the operators in the process settings of the daemons.
 	operators []config.Operator
 	started   time.Time
 
-	mu    sync.Mutex
-	lines []string
+	mu              sync.Mutex
+	transcriptLines []string
 }
 
-const sessionSettings = `{
+const scenarioSettings = `{
   "/": {"owners": ["marta", "hector"], "address-ttl": "5s"},
   "/region/ar-costa": {},
   "/data-centre/mdp": {},
@@ -81,11 +81,11 @@
   }
 }`
 
-func newSession(t *testing.T, settings string) *session {
-	s := &session{g: NewWithT(t), net: newMemNet(), platform: stand.NewPlatform(), started: time.Now()}
+func newScenario(t *testing.T, settings string) *scenario {
+	s := &scenario{g: NewWithT(t), net: newMemNet(), platform: stand.NewPlatform(), started: time.Now()}
 	doc, err := tree.ParseFile([]byte(settings))
 	s.g.Expect(err).NotTo(HaveOccurred())
-	_, _, err = s.operator().Bootstrap(context.Background(), doc, "marta")
+	_, _, err = s.newChangelog().Bootstrap(context.Background(), doc, "marta")
 	s.g.Expect(err).NotTo(HaveOccurred())
 	s.authority, err = inner.NewAuthority()
 	s.g.Expect(err).NotTo(HaveOccurred())
@@ -95,16 +95,16 @@
 	for _, t := range service.Targets {
 		target := stand.NewTarget(string(t.ID), stand.WithWork(20*time.Millisecond))
 		s.targets = append(s.targets, target)
-		s.serve(t.Address, s.noting(string(t.ID), target))
+		s.serveHTTP(t.Address, s.transcribeRequests(string(t.ID), target))
 	}
-	s.serve(platformHost+":80", s.platform)
+	s.serveHTTP(platformHost+":80", s.platform)
 	return s
 }
 
-// operator returns an operator's view of the settings.
-func (s *session) operator() *settle.Changelog { return settle.NewChangelog(s.platform.Table()) }
+// newChangelog returns the changelog of the settings as an operator uses it.
+func (s *scenario) newChangelog() *settle.Changelog { return settle.NewChangelog(s.platform.Table()) }
 
-// memServer runs an HTTP server in memory.
+// memServer runs an HTTP server on a listener.
 type memServer struct {
 	server   *http.Server
 	listener net.Listener
@@ -112,18 +112,19 @@
 
 func (m memServer) run() { _ = m.server.Serve(m.listener) }
 
-func (s *session) serve(address string, h http.Handler) {
+func (s *scenario) serveHTTP(address string, h http.Handler) {
 	l, _ := s.net.listen(address)
 	server := &http.Server{Handler: h, ErrorLog: stdlog.New(io.Discard, "", 0)}
 	s.servers = append(s.servers, server)
 	go memServer{server, l}.run()
 }
 
-// noting writes the work that reaches a target into the transcript.
-func (s *session) noting(id string, target *stand.Target) http.Handler {
+// transcribeRequests returns a handler that writes the requests to a target, except
+// probes, into the transcript.
+func (s *scenario) transcribeRequests(id string, target *stand.Target) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/health" {
-			s.note("target %s receives %s %s, key %s, deadline %s ms", id, r.Method, r.URL.Path, r.Header.Get("Idempotency-Key"), r.Header.Get("Wisteria-Deadline-Ms"))
+			s.transcribe("target %s receives %s %s, key %s, deadline %s ms", id, r.Method, r.URL.Path, r.Header.Get("Idempotency-Key"), r.Header.Get("Wisteria-Deadline-Ms"))
 		}
 		target.ServeHTTP(w, r)
 	})
@@ -132,72 +133,75 @@
 const (
 	platformHost = "10.3.0.1"
 	callerHost   = "10.9.0.1"
-	mostDaemons  = 6
+	maxDaemons   = 6
 )
 
-var centres = []string{"mdp", "pinamar", "necochea"}
+var testDataCentres = []string{"mdp", "pinamar", "necochea"}
 
-// host returns the host of a daemon by its index.
-func host(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) }
+// daemonHost returns the host of a daemon by its index.
+func daemonHost(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) }
 
-// vmSettings returns the process settings of a daemon. The data centres take turns.
-func (s *session) vmSettings(i int) *config.Settings {
+// daemonSettings returns the process settings of a daemon. Daemons are assigned to the
+// data centres in round-robin order.
+func (s *scenario) daemonSettings(i int) *config.Settings {
 	settings := config.Defaults()
-	dc := centres[i%len(centres)]
-	settings.VM, settings.Region, settings.DataCentre = fleet.VMID(fmt.Sprintf("%s-%d", dc, i/len(centres)+1)), "ar-costa", fleet.DataCentre(dc)
-	settings.CallerAddress, settings.InnerAddress, settings.AdminAddress = host(i)+":7000", host(i)+":7100", host(i)+":7200"
+	dc := testDataCentres[i%len(testDataCentres)]
+	settings.VM, settings.Region, settings.DataCentre = fleet.VMID(fmt.Sprintf("%s-%d", dc, i/len(testDataCentres)+1)), "ar-costa", fleet.DataCentre(dc)
+	settings.CallerAddress, settings.InnerAddress, settings.AdminAddress = daemonHost(i)+":7000", daemonHost(i)+":7100", daemonHost(i)+":7200"
 	settings.FleetSecrets = []config.Secret{config.Secret("0123456789abcdef")}
 	settings.Seeds = s.seeds
 	settings.Operators = s.operators
 	return settings
 }
 
-// start runs one more daemon, which reaches the platform over the network.
-func (s *session) start() {
+// startDaemon starts one more daemon, which reaches the platform over the in-memory
+// network.
+func (s *scenario) startDaemon() {
 	i := len(s.daemons)
-	settings := s.vmSettings(i)
+	settings := s.daemonSettings(i)
 	_ = s.platform.PutVM(context.Background(), settings.Self())
 	id, err := s.authority.Issue(settings.VM)
 	s.g.Expect(err).NotTo(HaveOccurred())
-	dial := s.net.dialFrom(host(i))
+	dial := s.net.dialFrom(daemonHost(i))
 	client := store.NewClient("http://"+platformHost+":80", store.WithTransport(&http.Transport{DialContext: dial}),
-		store.WithDaemons(func() int { return mostDaemons }))
+		store.WithDaemons(func() int { return maxDaemons }))
 	s.clients = append(s.clients, client)
 	platform := Platform{Table: client.Table(), Objects: client.Objects(), VMs: client.VMList()}
-	for _, wrap := range s.wrap {
+	for _, wrap := range s.wrapPlatform {
 		platform = wrap(i, platform)
 	}
-	d, err := New(settings, WithIdentity(id), WithListen(s.net.listen), WithDial(dial), WithLogger(log.NewLogfmtLogger(sessionLog{s})),
+	d, err := New(settings, WithIdentity(id), WithListen(s.net.listen), WithDial(dial), WithLogger(log.NewLogfmtLogger(transcriptWriter{s})),
 		WithPlatform(platform))
 	s.g.Expect(err).NotTo(HaveOccurred())
 	s.daemons = append(s.daemons, d)
 	s.g.Expect(d.Start(context.Background())).To(Succeed())
 }
 
-func (s *session) startReady() {
-	s.start()
+func (s *scenario) startReadyDaemon() {
+	s.startDaemon()
 	time.Sleep(time.Second)
 	s.g.Expect(s.daemons[0].Ready()).To(BeTrue())
-	s.forget()
+	s.clearTranscript()
 }
 
-// forget empties the transcript.
-func (s *session) forget() {
+// clearTranscript empties the transcript.
+func (s *scenario) clearTranscript() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lines = nil
+	s.transcriptLines = nil
 }
 
-// forgetLogs drops the log lines, for sessions in which their times are random.
-func (s *session) forgetLogs() {
+// dropLogLines removes the log lines from the transcript, for scenarios in which their
+// times are random.
+func (s *scenario) dropLogLines() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lines = slices.DeleteFunc(s.lines, func(line string) bool { return strings.Contains(line, "s log  ") })
+	s.transcriptLines = slices.DeleteFunc(s.transcriptLines, func(line string) bool { return strings.Contains(line, "s log  ") })
 }
 
-func (s *session) close() {
-	s.net.mendAll()
-	s.endLoad()
+func (s *scenario) close() {
+	s.net.unblockAll()
+	s.stopLoad()
 	for i, d := range s.daemons {
 		d.Kill()
 		s.clients[i].Close()
@@ -208,26 +212,27 @@
 	synctest.Wait()
 }
 
-func (s *session) note(format string, args ...any) {
-	if s.quiet {
+// transcribe adds lines to the transcript.
+func (s *scenario) transcribe(format string, args ...any) {
+	if s.noTranscript {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	text := redact(fmt.Sprintf(format, args...))
 	for line := range strings.Lines(text) {
-		s.lines = append(s.lines, fmt.Sprintf("%8.3fs %s", time.Since(s.started).Seconds(), strings.TrimRight(line, "\r\n")))
+		s.transcriptLines = append(s.transcriptLines, fmt.Sprintf("%8.3fs %s", time.Since(s.started).Seconds(), strings.TrimRight(line, "\r\n")))
 	}
 }
 
-// redactions replace what differs from run to run.
+// redactions replace texts that differ from run to run.
 var redactions = []struct {
 	pattern *regexp.Regexp
 	text    string
 }{
 	{regexp.MustCompile(`w[0-9]\.[A-Za-z0-9_-]{20,}|[A-Za-z0-9_-]{60,}`), "<token>"},
 	{regexp.MustCompile(`(?m)^Date: .*$`), "Date: <date>"},
-	// The load that a target reports depends on whether a probe is on its way.
+	// The load that a target reports depends on whether a probe is in flight.
 	{regexp.MustCompile(`X-Load: [0-9.]+`), "X-Load: <load>"},
 	{regexp.MustCompile(`[a-z]+-[0-9]\.[0-9a-f]{16}`), "<incarnation>"},
 	{regexp.MustCompile(`change [0-9a-f]{16}`), "change <id>"},
@@ -240,46 +245,48 @@
 	return text
 }
 
-// sessionLog writes the daemon's log lines into the transcript.
-type sessionLog struct{ s *session }
+// transcriptWriter writes the daemon's log lines into the transcript.
+type transcriptWriter struct{ scenario *scenario }
 
-func (l sessionLog) Write(p []byte) (int, error) {
+func (l transcriptWriter) Write(p []byte) (int, error) {
 	if bytes.Contains(p, []byte("connection ended")) {
-		// Peers notice the end of a daemon in random order.
+		// Peers detect the end of a daemon in random order.
 		return len(p), nil
 	}
-	l.s.note("log      %s", p)
+	l.scenario.transcribe("log      %s", p)
 	return len(p), nil
 }
 
-func (s *session) call(head, body string) *http.Response {
-	return s.callAt(0, head, body)
+// sendRaw calls sendRawTo for the first daemon.
+func (s *scenario) sendRaw(header, body string) *http.Response {
+	return s.sendRawTo(0, header, body)
 }
 
-// callAt sends one request to a daemon as bytes and notes the bytes that return.
-func (s *session) callAt(i int, head, body string) *http.Response {
-	c, err := s.net.dialFrom(callerHost)(context.Background(), "tcp", host(i)+":7000")
+// sendRawTo sends one request to a daemon as bytes, and writes the request and the
+// response into the transcript.
+func (s *scenario) sendRawTo(i int, header, body string) *http.Response {
+	c, err := s.net.dialFrom(callerHost)(context.Background(), "tcp", daemonHost(i)+":7000")
 	s.g.Expect(err).NotTo(HaveOccurred())
 	defer c.Close()
-	raw := strings.ReplaceAll(strings.TrimSpace(head), "\n", "\r\n") + "\r\nHost: wisteria\r\nConnection: close\r\n"
+	raw := strings.ReplaceAll(strings.TrimSpace(header), "\n", "\r\n") + "\r\nHost: wisteria\r\nConnection: close\r\n"
 	if body != "" {
 		raw += fmt.Sprintf("Content-Length: %d\r\n", len(body))
 	}
 	raw += "\r\n" + body
-	s.note("%s", prefixed("caller > ", raw))
+	s.transcribe("%s", prefixLines("caller > ", raw))
 	_, err = io.WriteString(c, raw)
 	s.g.Expect(err).NotTo(HaveOccurred())
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	s.g.Expect(err).NotTo(HaveOccurred())
 	data, err := httputil.DumpResponse(resp, true)
-	s.note("%s", prefixed("caller < ", string(data)))
+	s.transcribe("%s", prefixLines("caller < ", string(data)))
 	if err != nil {
-		s.note("caller   the response broke off: %v", err)
+		s.transcribe("caller   the response broke off: %v", err)
 	}
 	return resp
 }
 
-func prefixed(prefix, text string) string {
+func prefixLines(prefix, text string) string {
 	var b strings.Builder
 	for line := range strings.Lines(strings.TrimRight(redact(text), "\r\n")) {
 		b.WriteString(strings.TrimRight(prefix+strings.TrimRight(line, "\r\n"), " ") + "\n")
@@ -287,10 +294,11 @@
 	return strings.TrimRight(b.String(), "\n")
 }
 
-func (s *session) token() string {
-	resp := s.call("POST /v1/order-tokens?service=reservas HTTP/1.1\nX-Request-Id: t1", "")
+// newToken returns a new order token of the first daemon.
+func (s *scenario) newToken() string {
+	resp := s.sendRaw("POST /v1/order-tokens?service=reservas HTTP/1.1\nX-Request-Id: t1", "")
 	var reply tokenBody
-	decode(s.g, resp, &reply)
+	decodeJSON(s.g, resp, &reply)
 	return reply.Token
 }
 
@@ -298,26 +306,27 @@
 	Token string `json:"token"`
 }
 
-func (s *session) book(key, id string) {
-	s.call("POST /bookings HTTP/1.1\nWisteria-Service: reservas\nX-Request-Id: "+id+"\nIdempotency-Key: \""+key+"\"", `{"windbreak":7}`)
+func (s *scenario) sendRawOrder(key, id string) {
+	s.sendRaw("POST /bookings HTTP/1.1\nWisteria-Service: reservas\nX-Request-Id: "+id+"\nIdempotency-Key: \""+key+"\"", `{"windbreak":7}`)
 }
 
-func (s *session) show(id string) {
-	s.call(lookup(id), "")
+func (s *scenario) sendRawLookup(id string) {
+	s.sendRaw(rawLookup(id), "")
 }
 
-func lookup(id string) string {
+// rawLookup returns the header of a lookup with the request id.
+func rawLookup(id string) string {
 	return "GET /bookings/7 HTTP/1.1\nWisteria-Service: reservas\nX-Request-Id: " + id
 }
 
-func (s *session) transcript() []byte {
+func (s *scenario) transcript() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return []byte(strings.Join(s.lines, "\n") + "\n")
+	return []byte(strings.Join(s.transcriptLines, "\n") + "\n")
 }
 
-// golden compares the transcript with the golden file.
-func (s *session) golden(name string, got []byte) {
+// compareGolden compares the transcript with the golden file.
+func (s *scenario) compareGolden(name string, got []byte) {
 	file := filepath.Join("testdata", name+".golden")
 	if *update {
 		s.g.Expect(os.MkdirAll("testdata", 0o755)).To(Succeed())
@@ -326,5 +335,5 @@
 	}
 	want, err := os.ReadFile(file)
 	s.g.Expect(err).NotTo(HaveOccurred())
-	s.g.Expect(string(got)).To(Equal(string(bytes.TrimLeft(want, "\n"))), "session %s differs; run with -update and read the difference", name)
+	s.g.Expect(string(got)).To(Equal(string(bytes.TrimLeft(want, "\n"))), "scenario %s differs; run with -update and review the difference", name)
 }
