--- a/core/daemon/carried.go
+++ b/core/daemon/carried.go
@@ -48,7 +48,7 @@
 
 	mu sync.Mutex
 	// pending holds this daemon's statistics since the last report, one entry for
-	// each assessment.
+	// each assessment that found any.
 	pending   [][]detect.Row
 	rowBuffer *rowBuffer
 	// sentEjectionsVersion is the version of the ejection list that was last put
@@ -329,8 +329,8 @@
 	}
 }
 
-// collectReport returns the service's part of the next round of reports, and takes
-// the pending statistics out.
+// collectReport returns the service's part of the next round of reports, and clears
+// the pending statistics.
 func (cs *carriedService) collectReport() inner.ServiceReport {
 	service := cs.service.Load()
 	listing := cs.ejector.Current()
--- a/core/daemon/rowbuffer.go
+++ b/core/daemon/rowbuffer.go
@@ -79,8 +79,8 @@
 	*b = *kept
 }
 
-// isOrdinary reports whether the row shows no failed or refused request, no failed
-// probe, and about the latency that the peers know.
+// isOrdinary reports whether the row has no failed or refused requests and no failed
+// probes, and a latency close to the one that the peers know.
 func (b *rowBuffer) isOrdinary(r detect.Row) bool {
 	if r.Failures() > 0 || r.Counts[detect.Shed] > 0 || r.ProbesFailed > 0 {
 		return false
