--- a/core/daemon/engine.go
+++ b/core/daemon/engine.go
@@ -18,221 +18,227 @@
 	"wisteriarelay.example/core/settle"
 )
 
-// engineTick is how often the carried services are compared with settings and
-// membership, beside the times when the settings change.
-const engineTick = 250 * time.Millisecond
-
-// engine keeps one watch for each service that this daemon carries or winds
-// down, in step with settings and membership.
-type engine struct {
-	parts    watchParts
-	shared   *background
-	follower *settle.Follower
-	members  *member.Table
-	logger   log.Logger
-	watches  atomic.Pointer[map[fleet.ServiceID]*watch]
-	leaving  atomic.Bool
-	wake     chan struct{}
-	// applied and generation are what the watches were last brought in step with.
-	applied    *settle.AppliedRevision
-	generation uint64
-	winding    []fleet.ServiceID
-}
-
-func newEngineWith(parts watchParts, shared *background, logger log.Logger) *engine {
-	e := &engine{parts: parts, shared: shared, logger: logger, wake: make(chan struct{}, 1)}
-	e.parts.reportNow = func(id fleet.ServiceID) { e.members.ReportNow(id) }
-	e.watches.Store(&map[fleet.ServiceID]*watch{})
-	return e
-}
-
-// onApplied is told by the follower of a new revision.
-func (e *engine) onApplied(a *settle.AppliedRevision) {
-	_ = level.Info(e.logger).Log("msg", "settings applied", "revision", a.Revision, "services", len(a.Catalog.Services()))
+// reconcileInterval is the time between two reconciliations. A change of the
+// settings triggers one at once.
+const reconcileInterval = 250 * time.Millisecond
+
+// serviceController keeps one carriedService for each service that this daemon
+// carries or winds down, and reconciles them with settings and membership.
+type serviceController struct {
+	deps         serviceDeps
+	tasks        *taskGroup
+	follower     *settle.Follower
+	members      *member.Table
+	logger       log.Logger
+	carried      atomic.Pointer[map[fleet.ServiceID]*carriedService]
+	leaving      atomic.Bool
+	reconcileNow chan struct{}
+	// applied, generation and windingDown are the inputs of the last reconciliation.
+	applied     *settle.AppliedRevision
+	generation  uint64
+	windingDown []fleet.ServiceID
+}
+
+func newControllerWithDeps(deps serviceDeps, tasks *taskGroup, logger log.Logger) *serviceController {
+	sc := &serviceController{deps: deps, tasks: tasks, logger: logger, reconcileNow: make(chan struct{}, 1)}
+	sc.deps.reportNow = func(id fleet.ServiceID) { sc.members.ReportNow(id) }
+	sc.carried.Store(&map[fleet.ServiceID]*carriedService{})
+	return sc
+}
+
+// onApplied is called by the follower with each revision that comes into force.
+func (sc *serviceController) onApplied(a *settle.AppliedRevision) {
+	_ = level.Info(sc.logger).Log("msg", "settings applied", "revision", a.Revision, "services", len(a.Catalog.Services()))
 	select {
-	case e.wake <- struct{}{}:
+	case sc.reconcileNow <- struct{}{}:
 	default:
 	}
 }
 
-func (e *engine) run(ctx context.Context) {
-	ticker := time.NewTicker(engineTick)
+func (sc *serviceController) run(ctx context.Context) {
+	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			e.closeAll()
+			sc.closeCarried()
 			return
-		case <-e.wake:
+		case <-sc.reconcileNow:
 		case <-ticker.C:
 		}
-		e.sync(ctx, time.Now())
+		sc.reconcile(ctx, time.Now())
 	}
 }
 
-func (e *engine) closeAll() {
-	for _, w := range *e.watches.Load() {
-		w.close()
+func (sc *serviceController) closeCarried() {
+	for _, cs := range *sc.carried.Load() {
+		cs.close()
 	}
-	e.watches.Store(&map[fleet.ServiceID]*watch{})
+	sc.carried.Store(&map[fleet.ServiceID]*carriedService{})
 }
 
-// sync starts, renews and ends watches.
-func (e *engine) sync(ctx context.Context, now time.Time) {
-	applied := e.follower.Current()
+// reconcile creates, updates and closes the carried services, if the settings or
+// the membership have changed.
+func (sc *serviceController) reconcile(ctx context.Context, now time.Time) {
+	applied := sc.follower.Current()
 	if applied == nil {
 		return
 	}
-	if applied != e.applied {
-		e.members.SetServices(applied.Catalog.Services())
+	if applied != sc.applied {
+		sc.members.SetServices(applied.Catalog.Services())
 	}
-	view := e.members.View()
-	e.shared.daemons.Store(int64(len(view.Live)))
-	winding := view.WindingDown(now)
-	if applied == e.applied && view.PlacementGeneration == e.generation && slices.Equal(winding, e.winding) {
+	view := sc.members.View()
+	sc.tasks.liveDaemons.Store(int64(len(view.Live)))
+	windingDown := view.WindingDown(now)
+	if applied == sc.applied && view.PlacementGeneration == sc.generation && slices.Equal(windingDown, sc.windingDown) {
 		return
 	}
-	e.applied, e.generation, e.winding = applied, view.PlacementGeneration, winding
-	e.replace(ctx, applied, view, slices.Concat(view.Carried, winding))
+	sc.applied, sc.generation, sc.windingDown = applied, view.PlacementGeneration, windingDown
+	sc.replaceCarried(ctx, applied, view, slices.Concat(view.Carried, windingDown))
 }
 
-func (e *engine) replace(ctx context.Context, applied *settle.AppliedRevision, view *member.View, wanted []fleet.ServiceID) {
-	old := *e.watches.Load()
-	next := make(map[fleet.ServiceID]*watch, len(wanted))
+func (sc *serviceController) replaceCarried(ctx context.Context, applied *settle.AppliedRevision, view *member.View, wanted []fleet.ServiceID) {
+	old := *sc.carried.Load()
+	next := make(map[fleet.ServiceID]*carriedService, len(wanted))
 	for _, id := range wanted {
 		service, ok := applied.Catalog.Service(id)
 		if !ok {
 			continue
 		}
-		w, carried := old[id]
-		if !carried {
-			w = newWatch(e.parts, service)
-			w.update(service, view.Carriers(id))
-			w.start(ctx)
-			_ = level.Info(e.logger).Log("msg", "service carried", "service", id)
+		cs, exists := old[id]
+		if !exists {
+			cs = newCarriedService(sc.deps, service)
+			cs.update(service, view.Carriers(id))
+			cs.start(ctx)
+			_ = level.Info(sc.logger).Log("msg", "service carried", "service", id)
 		} else {
-			w.update(service, view.Carriers(id))
+			cs.update(service, view.Carriers(id))
 		}
-		next[id] = w
+		next[id] = cs
 	}
-	e.watches.Store(&next)
-	for id, w := range old {
+	sc.carried.Store(&next)
+	for id, cs := range old {
 		if _, kept := next[id]; !kept {
-			_ = level.Info(e.logger).Log("msg", "service no longer carried", "service", id)
-			w.close()
+			_ = level.Info(sc.logger).Log("msg", "service no longer carried", "service", id)
+			cs.close()
 		}
 	}
 }
 
-func (e *engine) watch(id fleet.ServiceID) (*watch, bool) {
-	w, ok := (*e.watches.Load())[id]
-	return w, ok
+func (sc *serviceController) findCarried(id fleet.ServiceID) (*carriedService, bool) {
+	cs, ok := (*sc.carried.Load())[id]
+	return cs, ok
 }
 
-// collect answers the membership's question what to report of a service.
-func (e *engine) collect(id fleet.ServiceID) inner.ServiceReport {
-	w, ok := e.watch(id)
+// collectReport implements member.Hooks.Collect.
+func (sc *serviceController) collectReport(id fleet.ServiceID) inner.ServiceReport {
+	cs, ok := sc.findCarried(id)
 	if !ok {
 		return inner.ServiceReport{Service: id}
 	}
-	return w.collect()
+	return cs.collectReport()
 }
 
-func (e *engine) deliver(id fleet.ServiceID, from member.Sender, r *inner.ServiceReport) {
-	w, ok := e.watch(id)
+// deliverReport implements member.Hooks.Deliver.
+func (sc *serviceController) deliverReport(id fleet.ServiceID, from member.Sender, r *inner.ServiceReport) {
+	cs, ok := sc.findCarried(id)
 	if !ok {
 		return
 	}
-	if err := w.deliver(from.Incarnation.VM(), from.DataCentre, r, time.Now()); err != nil {
-		_ = level.Warn(e.logger).Log("msg", "report refused", "service", id, "from", from.Incarnation, "detail", err)
+	if err := cs.deliverReport(from.Incarnation.VM(), from.DataCentre, r, time.Now()); err != nil {
+		_ = level.Warn(sc.logger).Log("msg", "report from peer rejected", "service", id, "from", from.Incarnation, "detail", err)
 	}
 }
 
-func (e *engine) isSuspect(id fleet.ServiceID) bool {
-	w, ok := e.watch(id)
-	return ok && w.hasNews()
+// hasUrgentEvidence reports whether the service's next report is due early, since
+// it has evidence about a suspect target.
+func (sc *serviceController) hasUrgentEvidence(id fleet.ServiceID) bool {
+	cs, ok := sc.findCarried(id)
+	return ok && cs.hasUrgentEvidence()
 }
 
 // isReady reports whether the daemon has settings and knows the fleet. A daemon
-// whose VM id belongs to a newer incarnation is no longer handed out.
-func (e *engine) isReady() bool {
-	view := e.members.View()
-	return e.follower.Current() != nil && view.VMsKnown && !view.Superseded && !e.leaving.Load()
+// that is shutting down, or whose VM id belongs to a newer incarnation, is not
+// ready, so that its address is no longer given to callers.
+func (sc *serviceController) isReady() bool {
+	view := sc.members.View()
+	return sc.follower.Current() != nil && view.VMsKnown && !view.Superseded && !sc.leaving.Load()
 }
 
-// hear takes the settings revision that a peer states.
-func (e *engine) hear(_ fleet.VMID, revision uint64) {
-	e.follower.ObservePeerRevision(settle.Revision(revision))
+// onPeerRevision tells the follower which settings revision a peer holds.
+func (sc *serviceController) onPeerRevision(_ fleet.VMID, revision uint64) {
+	sc.follower.ObservePeerRevision(settle.Revision(revision))
 }
 
-func (e *engine) revision() uint64 {
-	if a := e.follower.Current(); a != nil {
+func (sc *serviceController) revision() uint64 {
+	if a := sc.follower.Current(); a != nil {
 		return uint64(a.Revision)
 	}
 	return 0
 }
 
-// view returns what the request path reads.
-func (e *engine) view() proxy.FleetView {
+// relayFleet returns the functions through which the request path reads the fleet.
+func (sc *serviceController) relayFleet() proxy.FleetView {
 	return proxy.FleetView{
-		Upstream:     e.carrier,
-		Service:      e.service,
-		HasWorkspace: e.hasWorkspace,
-		Addresses:    e.addresses,
-		Ready:        e.isReady,
-		Leaving:      e.leaving.Load,
+		Upstream:     sc.carrier,
+		Service:      sc.service,
+		HasWorkspace: sc.hasWorkspace,
+		Addresses:    sc.addresses,
+		Ready:        sc.isReady,
+		Leaving:      sc.leaving.Load,
 	}
 }
 
-func (e *engine) carrier(id fleet.ServiceID) (*proxy.Upstream, bool) {
-	w, ok := e.watch(id)
+func (sc *serviceController) carrier(id fleet.ServiceID) (*proxy.Upstream, bool) {
+	cs, ok := sc.findCarried(id)
 	if !ok {
 		return nil, false
 	}
-	return w.carrier, true
+	return cs.carrier, true
 }
 
-func (e *engine) service(id fleet.ServiceID) (*fleet.Service, bool) {
-	a := e.follower.Current()
+func (sc *serviceController) service(id fleet.ServiceID) (*fleet.Service, bool) {
+	a := sc.follower.Current()
 	if a == nil {
 		return nil, false
 	}
 	return a.Catalog.Service(id)
 }
 
-func (e *engine) hasWorkspace(id fleet.WorkspaceID) bool {
-	a := e.follower.Current()
+func (sc *serviceController) hasWorkspace(id fleet.WorkspaceID) bool {
+	a := sc.follower.Current()
 	return a != nil && a.Catalog.HasWorkspace(id)
 }
 
 // addresses returns the carriers of a service in the order in which the caller
 // is to try them.
-func (e *engine) addresses(id fleet.ServiceID, dc fleet.DataCentre, caller string) proxy.AddressList {
+func (sc *serviceController) addresses(id fleet.ServiceID, dc fleet.DataCentre, caller string) proxy.AddressList {
 	list := proxy.AddressList{Service: id, Addresses: []proxy.Address{}}
-	service, ok := e.service(id)
+	service, ok := sc.service(id)
 	if !ok {
 		return list
 	}
 	list.TTLSeconds = int(service.Policy.AddressTTL.Seconds())
-	for _, vm := range e.members.View().Addresses(id, place.Caller{DataCentre: dc, Key: caller}, time.Now()) {
+	for _, vm := range sc.members.View().Addresses(id, place.Caller{DataCentre: dc, Key: caller}, time.Now()) {
 		list.Addresses = append(list.Addresses, proxy.Address{VM: vm.ID, DataCentre: vm.DataCentre, Address: vm.CallerAddress})
 	}
 	return list
 }
 
-// longestTTL is the time for which a caller may still hold this daemon's address.
-func (e *engine) longestTTL() time.Duration {
+// maxAddressTTL returns the longest address lifetime of the carried services. A
+// caller may keep this daemon's address for that time.
+func (sc *serviceController) maxAddressTTL() time.Duration {
 	longest := time.Duration(0)
-	for w := range maps.Values(*e.watches.Load()) {
-		longest = max(longest, w.service.Load().Policy.AddressTTL)
+	for cs := range maps.Values(*sc.carried.Load()) {
+		longest = max(longest, cs.service.Load().Policy.AddressTTL)
 	}
 	return longest
 }
 
-func (e *engine) state() any {
-	out := make(map[fleet.ServiceID]serviceState)
-	for id, w := range *e.watches.Load() {
-		out[id] = w.state()
+func (sc *serviceController) dump() any {
+	out := make(map[fleet.ServiceID]serviceDump)
+	for id, cs := range *sc.carried.Load() {
+		out[id] = cs.dump()
 	}
 	return out
 }
--- a/core/daemon/held.go
+++ b/core/daemon/held.go
@@ -6,81 +6,86 @@
 )
 
 const (
-	// holdReports is the number of reports of which one carries the rows of
-	// targets with ordinary traffic.
-	holdReports = 2
-	// ordinarySteps is the largest change of the latency code that a held row
-	// may show: 8 steps are a doubling, below every slow factor.
-	ordinarySteps = 8
+	// ordinaryRowInterval is the interval, in reports, at which the rows of targets
+	// with ordinary traffic are sent: 2 sends them with every second report.
+	ordinaryRowInterval = 2
+	// maxOrdinaryChange is the largest change of the latency code in a row that may
+	// be delayed. 8 steps are a doubling, which is below every slow factor.
+	maxOrdinaryChange = 8
 )
 
-// heldRows keeps ordinary rows back, so that most reports carry news only.
-type heldRows struct {
-	reports int
-	rows    map[fleet.TargetID]detect.IntervalStats
-	// sent holds the latency code that the peers know of each target.
-	sent map[fleet.TargetID]detect.LatencyCode
+// rowBuffer delays the rows of targets with ordinary traffic, so that most reports
+// contain only rows with failures, refusals or a changed latency.
+type rowBuffer struct {
+	reportCount int
+	delayed     map[fleet.TargetID]detect.IntervalStats
+	// sentLatency holds the latency code of each target as last sent to the peers.
+	sentLatency map[fleet.TargetID]detect.LatencyCode
 }
 
-func newHeldRows() *heldRows {
-	return &heldRows{rows: map[fleet.TargetID]detect.IntervalStats{}, sent: map[fleet.TargetID]detect.LatencyCode{}}
+func newRowBuffer() *rowBuffer {
+	return &rowBuffer{delayed: map[fleet.TargetID]detect.IntervalStats{}, sentLatency: map[fleet.TargetID]detect.LatencyCode{}}
 }
 
-// pick returns the rows for the next report. A row with news replaces what is
-// held of its target: older good results beside it would hide a fresh fault.
-func (h *heldRows) pick(fresh []detect.IntervalStats) []detect.IntervalStats {
-	h.reports++
+// nextReport returns the rows for the next report. A row that is not ordinary
+// replaces the delayed row of its target: together with older good results, a new
+// fault would be diluted.
+func (b *rowBuffer) nextReport(fresh []detect.IntervalStats) []detect.IntervalStats {
+	b.reportCount++
 	var out []detect.IntervalStats
 	for _, r := range fresh {
-		if h.isOrdinary(r) {
-			h.hold(r)
+		if b.isOrdinary(r) {
+			b.delay(r)
 			continue
 		}
-		delete(h.rows, r.Target)
+		delete(b.delayed, r.Target)
 		out = append(out, r)
 	}
-	if h.reports%holdReports == 0 {
-		for _, r := range h.rows {
+	if b.reportCount%ordinaryRowInterval == 0 {
+		for _, r := range b.delayed {
 			out = append(out, r)
 		}
-		clear(h.rows)
+		clear(b.delayed)
 	}
 	for _, r := range out {
 		if r.Counts[detect.OK] > 0 {
-			h.sent[r.Target] = r.Latency
+			b.sentLatency[r.Target] = r.Latency
 		}
 	}
 	return out
 }
 
-func (h *heldRows) hold(r detect.IntervalStats) {
-	if old, ok := h.rows[r.Target]; ok {
+// delay adds the row to the delayed row of its target.
+func (b *rowBuffer) delay(r detect.IntervalStats) {
+	if old, ok := b.delayed[r.Target]; ok {
 		r = detect.MergeStats([]detect.IntervalStats{old}, []detect.IntervalStats{r})[0]
 	}
-	h.rows[r.Target] = r
+	b.delayed[r.Target] = r
 }
 
-// update forgets targets that the service no longer has.
-func (h *heldRows) update(s *fleet.Service) {
-	kept := newHeldRows()
-	kept.reports = h.reports
+// update removes targets that the service no longer has.
+func (b *rowBuffer) update(s *fleet.Service) {
+	kept := newRowBuffer()
+	kept.reportCount = b.reportCount
 	for i := range s.Targets {
 		id := s.Targets[i].ID
-		if r, ok := h.rows[id]; ok {
-			kept.rows[id] = r
+		if r, ok := b.delayed[id]; ok {
+			kept.delayed[id] = r
 		}
-		if code, ok := h.sent[id]; ok {
-			kept.sent[id] = code
+		if code, ok := b.sentLatency[id]; ok {
+			kept.sentLatency[id] = code
 		}
 	}
-	*h = *kept
+	*b = *kept
 }
 
-func (h *heldRows) isOrdinary(r detect.IntervalStats) bool {
+// isOrdinary reports whether the row has no failed or refused requests and no failed
+// probes, and a latency close to the one that the peers know.
+func (b *rowBuffer) isOrdinary(r detect.IntervalStats) bool {
 	if r.Failures() > 0 || r.Counts[detect.Shed] > 0 || r.ProbesFailed > 0 {
 		return false
 	}
-	sent, known := h.sent[r.Target]
+	sent, known := b.sentLatency[r.Target]
 	change := int(r.Latency) - int(sent)
-	return r.Counts[detect.OK] == 0 || known && change <= ordinarySteps && change >= -ordinarySteps
+	return r.Counts[detect.OK] == 0 || known && change <= maxOrdinaryChange && change >= -maxOrdinaryChange
 }
