--- a/core/stand/platform_test.go
+++ b/core/stand/platform_test.go
@@ -117,7 +117,7 @@
 		Expect(send("PUT", "/v1/vms/b", `{"id":"a"}`)).To(Equal(400))
 		Expect(send("GET", "/v1/vms?since=x", "")).To(Equal(400))
 		list, _ := p.VMList().ChangesSince(ctx, 0)
-		Expect(list.Live).To(ConsistOf(HaveField("Caller", "127.0.0.1:80")))
+		Expect(list.Live).To(ConsistOf(HaveField("CallerAddress", "127.0.0.1:80")))
 		Expect(send("DELETE", "/v1/vms/a", "")).To(Equal(200))
 		list, _ = p.VMList().ChangesSince(ctx, 0)
 		Expect(list.Live).To(BeEmpty())
