--- a/core/relay/error.go
+++ b/core/relay/error.go
@@ -27,10 +27,10 @@
 	if http.StatusText(status) == "" {
 		status = http.StatusBadGateway
 	}
-	a := caller.TextResponse(status, info.Name+"\n")
+	resp := caller.TextResponse(status, info.Name+"\n")
 	if status == http.StatusServiceUnavailable {
 		wait := minRetryAfter + rand.N(retryAfterJitter)
-		a.Header.Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
+		resp.Header.Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
 	}
-	return a
+	return resp
 }
--- a/core/relay/exchange.go
+++ b/core/relay/exchange.go
@@ -77,8 +77,8 @@
 			x.slowReported = false
 			slowTimer.Reset(x.targetPool.SlowThreshold())
 		case r := <-x.results:
-			if a := x.handleResult(r); a != nil {
-				return a
+			if resp := x.handleResult(r); resp != nil {
+				return resp
 			}
 		case <-slowTimer.C:
 			if next := x.reportSlow(); next > 0 {
@@ -136,8 +136,8 @@
 	return x.request.ReceivedAt.Add(x.route.Objective)
 }
 
-// deliver passes the result of an attempt to run. A response that arrives after the
-// exchange has finished is discarded.
+// deliver hands the result of an attempt over to [exchange.run]. A response that arrives
+// after the exchange has finished is discarded.
 func (x *exchange) deliver(r *result) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -44,7 +44,7 @@
 	logger        log.Logger
 	metrics       *stats.Registry
 	emit          func(sched.Event)
-	beforeAcquire func(ctx context.Context, service string, repeatable bool)
+	beforeAcquire func(ctx context.Context, service string, idempotent bool)
 	table         atomic.Pointer[route.Table]
 	connPools     connPools
 	sizes         sizes
@@ -62,7 +62,7 @@
 	return func(r *Relay) { r.logger = l }
 }
 
-// WithStats sets the set that the relay's metrics are registered in.
+// WithStats sets the registry for the relay's metrics.
 func WithStats(s *stats.Registry) Option {
 	return func(r *Relay) { r.metrics = s }
 }
@@ -80,8 +80,8 @@
 
 // WithBeforeAcquire sets a function that is called before a request acquires a target. It
 // may wait briefly for what peers know about the health of the service's targets.
-// repeatable is true if the request is idempotent.
-func WithBeforeAcquire(hook func(ctx context.Context, service string, repeatable bool)) Option {
+// idempotent says whether the request may run more than once.
+func WithBeforeAcquire(hook func(ctx context.Context, service string, idempotent bool)) Option {
 	return func(r *Relay) { r.beforeAcquire = hook }
 }
 
@@ -170,10 +170,10 @@
 	return r.service(name).targetPool
 }
 
-// SetBudgetAllocation sets the part of the fleet's retry budget for a service that this daemon
-// may use.
-func (r *Relay) SetBudgetAllocation(name string, part retry.Allocation) {
-	r.service(name).retryBudget.SetAllocation(part)
+// SetBudgetAllocation sets the part of the fleet's retry budget for a service that this
+// daemon may use.
+func (r *Relay) SetBudgetAllocation(name string, allocation retry.Allocation) {
+	r.service(name).retryBudget.SetAllocation(allocation)
 }
 
 // RetryBudgetState returns the use of this daemon's part of the retry budget for a
@@ -264,9 +264,9 @@
 
 // refuse returns the error response to a request for which no attempt is made.
 func (r *Relay) refuse(req *caller.Request, kind fault.Kind) *caller.Response {
-	a := errorResponse(kind)
+	resp := errorResponse(kind)
 	r.metrics.Counter(stats.Label("relay_refused", "kind", kind.String())).Inc(1)
 	_ = r.logger.Log("msg", "request refused", "id", req.Header.Get(r.headers.RequestID),
-		"kind", kind, "status", a.Status, "host", req.Host, "path", req.Path())
-	return a
+		"kind", kind, "status", resp.Status, "host", req.Host, "path", req.Path())
+	return resp
 }
--- a/core/relay/result.go
+++ b/core/relay/result.go
@@ -111,17 +111,17 @@
 	h := withoutHopByHop(r.header)
 	x.relay.sizes.add(x.route.Name, int64(len(x.request.Body))+max(r.length, int64(len(r.body))))
 	x.relay.recordResponse(x, r.status, "")
-	a := &caller.Response{Status: r.status, Header: h, Body: r.body, ContentLength: r.length}
+	resp := &caller.Response{Status: r.status, Header: h, Body: r.body, ContentLength: r.length}
 	if r.rest != nil {
-		a.UnreadBody = r.rest
+		resp.UnreadBody = r.rest
 	}
-	a.Release = func() { r.memory.release(r.reserved) }
-	return a
+	resp.Release = func() { r.memory.release(r.reserved) }
+	return resp
 }
 
 // fail returns an error response of the relay itself; reason goes only to the log.
 func (x *exchange) fail(kind fault.Kind, reason string) *caller.Response {
-	a := errorResponse(kind)
-	x.relay.recordResponse(x, a.Status, reason)
-	return a
+	resp := errorResponse(kind)
+	x.relay.recordResponse(x, resp.Status, reason)
+	return resp
 }
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -20,9 +20,9 @@
 	burst = 32
 )
 
-// TokenBudget is a token bucket that limits the retries and hedged requests of one service
-// at one daemon to a ratio of its requests plus retriesPerSecond. It is safe for
-// concurrent use.
+// TokenBudget is a token bucket that limits the retries and hedged requests of one
+// service at one daemon to a ratio of its requests plus retriesPerSecond. It is safe
+// for concurrent use.
 type TokenBudget struct {
 	ratio  atomic.Int64
 	tokens atomic.Int64
@@ -33,7 +33,7 @@
 	denied     atomic.Uint64
 }
 
-// TokenBudgetStats are the counters of a Budget for the state dump.
+// TokenBudgetStats are the counters of a TokenBudget for the state dump.
 type TokenBudgetStats struct {
 	Tokens float64 `json:"tokens"`
 	Spent  uint64  `json:"spent"`
--- a/core/retry/decide.go
+++ b/core/retry/decide.go
@@ -8,8 +8,8 @@
 )
 
 // nonIdempotentAttempts is the minimum limit on attempts for a non-idempotent request
-// as long as no attempt was run. Such a route has `attempts` 1, with which a single
-// refused connection would fail an order.
+// as long as no attempt was run. Its route has `attempts` 1, with which a single
+// refused connection would fail a request such as an order.
 const nonIdempotentAttempts = 2
 
 // Attempt describes an attempt that has ended.
--- a/core/retry/window.go
+++ b/core/retry/window.go
@@ -36,7 +36,7 @@
 
 // NewWindowBudget returns a budget with a window of the span. It allows ratio extra
 // attempts for each request; slack is the number that the fleet may make besides in one
-// span, of which this daemon gets nothing until SetPart.
+// span, of which this daemon gets nothing until [WindowBudget.SetAllocation] is called.
 func NewWindowBudget(span time.Duration, ratio, slack float64, now time.Time) *WindowBudget {
 	return &WindowBudget{span: span, ratio: ratio, slack: slack, allocation: Allocation{RatioFraction: 1}, start: now}
 }
@@ -49,10 +49,10 @@
 }
 
 // SetAllocation sets the part of the fleet's retry budget that this daemon may use.
-func (w *WindowBudget) SetAllocation(p Allocation) {
+func (w *WindowBudget) SetAllocation(a Allocation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.allocation = p
+	w.allocation = a
 }
 
 // CountRequest counts one request of a caller.
--- a/core/route/config.go
+++ b/core/route/config.go
@@ -37,7 +37,8 @@
 	Name        string
 	Prefix      string
 	Idempotency Idempotency
-	// IdempotencyText is the kind as written in the configuration, for messages.
+	// IdempotencyText is the idempotency as written in the configuration, where it is
+	// called the kind of the route. It is used in messages.
 	IdempotencyText string
 	// Timeout is the maximum time until the caller has its response.
 	Timeout time.Duration
@@ -58,8 +59,9 @@
 // Idempotency says whether the requests of a route may run more than once.
 type Idempotency uint8
 
-// The kinds of routes. A request on a route of an unknown kind, for example of a later
-// version, runs at most once, because that is safe for every kind.
+// The values of Idempotency. A request on a route with UnknownIdempotency, for example
+// because its kind was added by a later version, runs at most once, because that is safe
+// for every kind.
 const (
 	UnknownIdempotency Idempotency = iota
 	NotIdempotent
--- a/core/sched/beliefs.go
+++ b/core/sched/beliefs.go
@@ -30,12 +30,13 @@
 	return out
 }
 
-// allPeers is the peer name under which the load received with a [TargetBelief] is
+// allPeers is the peer name under which the load received with a [TargetEstimate] is
 // stored: the sum over all other daemons.
 const allPeers = "all"
 
 // MergeEstimates merges the state of targets received from a peer. The load is used only
-// without peer events, because a daemon that receives these counts from them.
+// by a daemon that does not receive peer events, because one that does computes the load
+// from the events.
 func (p *Pool) MergeEstimates(estimates []TargetEstimate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/core/sched/grant.go
+++ b/core/sched/grant.go
@@ -36,7 +36,7 @@
 }
 
 // Grant is the permission to send one request to a target. Its holder ends it with
-// [Grant.Settle].
+// [Grant.Complete].
 type Grant struct {
 	Target Target
 	// FailRate is the expected failure rate of the target when it was chosen.
@@ -47,7 +47,7 @@
 	Reason Reason
 	pool   *Pool
 	member *member
-	// lastReported is the last result passed to Report.
+	// lastReported is the last result passed to ReportPending.
 	lastReported judge.Result
 	completed    bool
 }
@@ -154,9 +154,9 @@
 	p.grantWaiting(g.member, now)
 }
 
-// ReportPending records that the request is still pending: judge.Slow first, judge.Overdue
-// later. Each result counts once. It returns whether the target is now expected to
-// fail the request.
+// ReportPending records that the request is still pending: judge.Slow first,
+// judge.Overdue later. Each result counts once. It reports whether the target is now
+// expected to fail the request.
 func (g *Grant) ReportPending(r judge.Result) (lost bool) {
 	p := g.pool
 	p.mu.Lock()
--- a/core/sched/pool.go
+++ b/core/sched/pool.go
@@ -103,16 +103,17 @@
 	p.scanQueue(now)
 }
 
-// SetReceivesPeerEvents sets whether this daemon receives the events of its peers. The default
-// is true.
-func (p *Pool) SetReceivesPeerEvents(informed bool) {
+// SetReceivesPeerEvents sets whether this daemon receives the events of its peers. The
+// default is true.
+func (p *Pool) SetReceivesPeerEvents(receives bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.noPeerEvents = !informed
+	p.noPeerEvents = !receives
 }
 
-// SetMonitoredElsewhere sets the data centres whose targets only the daemons there monitor. This
-// daemon receives few events about these targets and does not keep them in use.
+// SetMonitoredElsewhere sets the data centres whose targets only the daemons there
+// monitor. This daemon receives few events about these targets and does not keep them
+// in use.
 func (p *Pool) SetMonitoredElsewhere(dataCentres map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -223,8 +224,8 @@
 	}
 }
 
-// ApplyPeerEvent applies an event of a peer. The result Unreached is ignored, because the peer's
-// path to the target is not the path from here.
+// ApplyPeerEvent applies an event of a peer. The result Unreached is ignored, because
+// the peer's path to the target is not the path from here.
 func (p *Pool) ApplyPeerEvent(peer string, e Event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/core/sched/slow_test.go
+++ b/core/sched/slow_test.go
@@ -101,7 +101,8 @@
 }
 
 // Guards against transferring large responses between data centres while targets in all
-// of them have capacity, and against preferring a failing local target to such a transfer.
+// of them have capacity, and against preferring a failing local target to such a
+// transfer.
 func TestLargeResponsesStayInTheDataCentre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
