--- a/core/gossip/beliefs.go
+++ b/core/gossip/beliefs.go
@@ -10,11 +10,11 @@
 	"wisteriarelay.example/core/sched"
 )
 
-// maxBeliefs is the largest number of targets in one report; with more it would not
+// maxEstimates is the largest number of targets in one report; with more it would not
 // fit in a datagram.
-const maxBeliefs = 28
+const maxEstimates = 28
 
-// ServiceEstimates holds the sender's beliefs about some targets of a service.
+// ServiceEstimates holds the sender's health estimates of some targets of a service.
 type ServiceEstimates struct {
 	Service string            `cbor:"1,keyasint"`
 	Targets []encodedEstimate `cbor:"2,keyasint"`
@@ -22,24 +22,24 @@
 	Remaining int `cbor:"3,keyasint,omitempty"`
 }
 
-// encodedEstimate is the compact encoding of a sched.TargetBelief.
+// encodedEstimate is the compact encoding of a sched.TargetEstimate.
 type encodedEstimate struct {
 	_           struct{} `cbor:",toarray"`
 	ID          string
 	StartMillis int64
-	// Impaired and Sick are probabilities, scaled to the range from 0 to
-	// math.MaxUint8.
+	// Impaired and Sick are the probabilities that the target is degraded or failing,
+	// scaled to the range from 0 to math.MaxUint8.
 	Impaired uint8
 	Sick     uint8
-	// Age and OnsetAge are in milliseconds; a negative OnsetAge means that the target
-	// is not in a spell of failures.
+	// Age and OnsetAge, the age of the episode, are in milliseconds; a negative
+	// OnsetAge means that the target is not in an episode.
 	Age      int64
 	OnsetAge int64
 	// Load is the number of requests that the whole fleet has in flight at the target.
 	Load int
 }
 
-func encodeBelief(b sched.TargetEstimate) encodedEstimate {
+func encodeEstimate(b sched.TargetEstimate) encodedEstimate {
 	scale := func(p float64) uint8 { return uint8(math.Round(p * math.MaxUint8)) }
 	out := encodedEstimate{
 		ID:          b.ID,
@@ -57,10 +57,10 @@
 }
 
 func (b *encodedEstimate) decode() sched.TargetEstimate {
-	sick := float64(b.Sick) / math.MaxUint8
+	failing := float64(b.Sick) / math.MaxUint8
 	s := judge.Snapshot{
-		Degraded:   min(float64(b.Impaired)/math.MaxUint8, 1-sick),
-		Failing:    sick,
+		Degraded:   min(float64(b.Impaired)/math.MaxUint8, 1-failing),
+		Failing:    failing,
 		Age:        time.Duration(max(b.Age, 0)) * time.Millisecond,
 		EpisodeAge: -1,
 	}
@@ -70,28 +70,29 @@
 	return sched.TargetEstimate{ID: b.ID, StartMillis: b.StartMillis, Snapshot: s, Load: b.Load}
 }
 
-// SendEstimates sends a peer this daemon's beliefs about the targets of a service, in as
-// many reports as they need.
+// SendEstimates sends a peer this daemon's health estimates of the targets of a
+// service, in as many reports as they need.
 func (n *Transport) SendEstimates(to roster.Member, service string, targets []sched.TargetEstimate) {
-	remaining := (len(targets) + maxBeliefs - 1) / maxBeliefs
-	for part := range slices.Chunk(targets, maxBeliefs) {
+	remaining := (len(targets) + maxEstimates - 1) / maxEstimates
+	for part := range slices.Chunk(targets, maxEstimates) {
 		remaining--
 		out := ServiceEstimates{Service: service, Remaining: remaining}
 		for _, t := range part {
-			out.Targets = append(out.Targets, encodeBelief(t))
+			out.Targets = append(out.Targets, encodeEstimate(t))
 		}
 		n.sendReport(&Report{VM: n.self.VM, StartMillis: n.self.StartMillis, Estimates: []ServiceEstimates{out}}, []roster.Member{to})
 	}
 }
 
-// RequestEstimates requests from peers their beliefs about the targets of a service.
+// RequestEstimates requests from peers their health estimates of the targets of a
+// service.
 func (n *Transport) RequestEstimates(members []roster.Member, service string) {
 	n.sendReport(&Report{VM: n.self.VM, StartMillis: n.self.StartMillis, EstimateRequests: []string{service}}, members)
 }
 
-// handleBeliefs calls the handlers for the beliefs in a report and for the services
-// whose beliefs it requests.
-func (r *receiver) handleBeliefs(report *Report, from string) {
+// handleEstimates calls the handlers for the estimates in a report and for the services
+// whose estimates it requests.
+func (r *receiver) handleEstimates(report *Report, from string) {
 	for _, b := range report.Estimates {
 		targets := make([]sched.TargetEstimate, 0, len(b.Targets))
 		for i := range b.Targets {
--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -56,13 +56,13 @@
 	_, err = list.Encode()
 	g.Expect(err).NotTo(HaveOccurred())
 
-	beliefs := Report{VM: "front-lautoka-north-12", StartMillis: 1 << 41, Estimates: []ServiceEstimates{{Service: "service-with-a-name"}}}
-	for range maxBeliefs {
-		beliefs.Estimates[0].Targets = append(beliefs.Estimates[0].Targets, encodeBelief(sched.TargetEstimate{
+	estimates := Report{VM: "front-lautoka-north-12", StartMillis: 1 << 41, Estimates: []ServiceEstimates{{Service: "service-with-a-name"}}}
+	for range maxEstimates {
+		estimates.Estimates[0].Targets = append(estimates.Estimates[0].Targets, encodeEstimate(sched.TargetEstimate{
 			ID: "i-0123456789", StartMillis: 1 << 41, Snapshot: judge.Snapshot{Degraded: 0.123, Failing: 0.456, Age: 1 << 33, EpisodeAge: 1 << 33},
 		}))
 	}
-	_, err = beliefs.Encode()
+	_, err = estimates.Encode()
 	g.Expect(err).NotTo(HaveOccurred())
 }
 
--- a/core/gossip/groups.go
+++ b/core/gossip/groups.go
@@ -52,13 +52,13 @@
 // fanoutCache caches the fanouts of services for fanoutTTL. It must be used by one
 // goroutine only.
 type fanoutCache struct {
-	node    *Transport
-	fanouts map[string]*fanout
-	asOf    time.Time
+	transport *Transport
+	fanouts   map[string]*fanout
+	asOf      time.Time
 }
 
 func newFanoutCache(n *Transport) *fanoutCache {
-	return &fanoutCache{node: n, fanouts: map[string]*fanout{}}
+	return &fanoutCache{transport: n, fanouts: map[string]*fanout{}}
 }
 
 // get returns the fanout of the service, from the cache if it is recent enough.
@@ -69,7 +69,7 @@
 	}
 	f := c.fanouts[service]
 	if f == nil {
-		f = c.node.newFanout(service)
+		f = c.transport.newFanout(service)
 		c.fanouts[service] = f
 	}
 	return f
@@ -77,9 +77,9 @@
 
 // newFanout returns the current fanout of the service.
 func (n *Transport) newFanout(service string) *fanout {
-	audience := n.sources.Recipients(service)
-	out := &fanout{failuresOnly: audience.FailuresOnly, ownTargetsOnly: audience.OwnTargetsOnly, remote: map[string][]roster.Member{}}
-	for _, m := range audience.Carriers {
+	recipients := n.sources.Recipients(service)
+	out := &fanout{failuresOnly: recipients.FailuresOnly, ownTargetsOnly: recipients.OwnTargetsOnly, remote: map[string][]roster.Member{}}
+	for _, m := range recipients.Carriers {
 		if m.DataCentre == n.self.DataCentre {
 			out.local = append(out.local, m)
 			continue
--- a/core/gossip/node.go
+++ b/core/gossip/node.go
@@ -40,8 +40,8 @@
 // Handlers are called with the contents of the reports that arrive. They must not
 // block.
 type Handlers struct {
-	// Heartbeat is called with each heartbeat. If it returns false, the rest of the report
-	// is ignored.
+	// Heartbeat is called with each heartbeat. If it returns false, the rest of the
+	// report is ignored.
 	Heartbeat func(m roster.Member, r *Report) bool
 	// Event is called once with each event of a target.
 	Event func(peer string, e sched.Event)
@@ -55,10 +55,11 @@
 	Members  func(sender string, members []roster.Member)
 	// Config is called with a configuration that a peer read from the store.
 	Config func(d Document)
-	// Beliefs is called with a peer's beliefs about targets of a service; left is the
-	// number of reports on the service that follow.
+	// Beliefs is called with a peer's health estimates of targets of a service; left is
+	// the number of reports on the service that follow.
 	Beliefs func(service string, targets []sched.TargetEstimate, left int)
-	// EstimateRequest is called if a peer requests this daemon's beliefs about a service.
+	// EstimateRequest is called if a peer requests this daemon's health estimates for a
+	// service.
 	EstimateRequest func(peer roster.Member, service string)
 }
 
@@ -78,18 +79,19 @@
 	Recipients func(service string) Recipients
 	// GroupPeers returns the daemons that carry a group which this daemon carries too.
 	GroupPeers func() []roster.Member
-	// RemoteCarriers returns the carriers in other data centres that the local data centre is
-	// informed of.
+	// RemoteCarriers returns the carriers in other data centres that the local data
+	// centre is informed of.
 	RemoteCarriers func() []GroupCarriers
 }
 
 // Recipients holds the daemons that get the events of a service.
 type Recipients struct {
 	Carriers []roster.Member
-	// FailuresOnly are daemons of the local data centre that get only the events that count
-	// against a target.
+	// FailuresOnly are daemons of the local data centre that get only the events that
+	// count against a target.
 	FailuresOnly []roster.Member
-	// OwnTargetsOnly is true if another data centre gets only the events of its own targets.
+	// OwnTargetsOnly is true if another data centre gets only the events of its own
+	// targets.
 	OwnTargetsOnly bool
 }
 
@@ -120,11 +122,11 @@
 
 // senderWindow is the deduplication window for one run of a sender.
 type senderWindow struct {
-	born   int64
-	window dedupWindow
+	startMillis int64
+	window      dedupWindow
 }
 
-// NewTransport returns a node that uses the connection.
+// NewTransport returns a transport that uses the connection.
 func NewTransport(self roster.Member, conn *net.UDPConn, sources Sources, handlers Handlers, logger log.Logger) *Transport {
 	return &Transport{
 		self:     self,
@@ -149,8 +151,8 @@
 	go s.loop(ctx)
 }
 
-// QueueEvent queues an event to be sent to the daemons that get the events of its service.
-// It does not block.
+// QueueEvent queues an event to be sent to the daemons that get the events of its
+// service. It does not block.
 func (n *Transport) QueueEvent(e sched.Event) {
 	n.mu.Lock()
 	n.lastSeq++
@@ -186,7 +188,8 @@
 	return int64(n.dropped)
 }
 
-// SendListChanges sends a change of the target list to the members of the local data centre.
+// SendListChanges sends a change of the target list to the members of the local data
+// centre.
 func (n *Transport) SendListChanges(d watch.Delta) {
 	local := n.sources.LocalPeers()
 	for _, part := range d.Split(maxChanges) {
@@ -194,8 +197,8 @@
 	}
 }
 
-// SendHeartbeat sends a heartbeat to the members of the local data centre and to carriers in
-// others at once, for example when the daemon starts or leaves.
+// SendHeartbeat sends a heartbeat to the members of the local data centre and to
+// carriers in others at once, for example when the daemon starts or leaves.
 func (n *Transport) SendHeartbeat() {
 	report := n.sources.Heartbeat()
 	n.sendReport(&report, n.sources.LocalPeers())
--- a/core/gossip/receiver.go
+++ b/core/gossip/receiver.go
@@ -36,14 +36,14 @@
 	}
 }
 
-// handle processes one report. If the report is a heartbeat that the Heard handler
+// handle processes one report. If the report is a heartbeat that the Heartbeat handler
 // rejects, its other contents are ignored.
 func (r *receiver) handle(report *Report, from string) {
 	if report.IsHeartbeat() && !r.handlers.Heartbeat(report.Sender(from), report) {
 		return
 	}
 	r.handleEvents(report)
-	r.handleBeliefs(report, from)
+	r.handleEstimates(report, from)
 	r.handleStartup(report)
 	for _, g := range report.RemoteCarriers {
 		r.handlers.RemoteCarriers(g)
@@ -103,8 +103,8 @@
 	r.windowsMu.Lock()
 	defer r.windowsMu.Unlock()
 	w := r.windows[report.VM]
-	if w == nil || w.born != report.StartMillis {
-		w = &senderWindow{born: report.StartMillis}
+	if w == nil || w.startMillis != report.StartMillis {
+		w = &senderWindow{startMillis: report.StartMillis}
 		r.windows[report.VM] = w
 	}
 	return w.window.markNew(seq)
--- a/core/gossip/report.go
+++ b/core/gossip/report.go
@@ -30,7 +30,7 @@
 	// Estimates are sent to a daemon that starts to carry a service, or requests them.
 	// Field 11 held them in another encoding.
 	Estimates []ServiceEstimates `cbor:"18,keyasint,omitempty"`
-	// EstimateRequests are the services for which the sender requests beliefs.
+	// EstimateRequests are the services for which the sender requests health estimates.
 	EstimateRequests []string `cbor:"17,keyasint,omitempty"`
 	// RemoteCarriers inform the local data centre of carriers in others.
 	RemoteCarriers []GroupCarriers `cbor:"12,keyasint,omitempty"`
--- a/core/gossip/start.go
+++ b/core/gossip/start.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// RequestMembers asks daemons of which only the addresses are known for the members of this
-// daemon's data centre.
+// RequestMembers asks daemons of which only the addresses are known for the members of
+// this daemon's data centre.
 func (n *Transport) RequestMembers(addresses []string) {
 	report := n.sources.Heartbeat()
 	report.WantsMembers = true
--- a/core/node/config_readers_test.go
+++ b/core/node/config_readers_test.go
@@ -80,7 +80,7 @@
 	for ctx.Err() == nil {
 		for i := range 5 {
 			m := roster.Member{VM: fmt.Sprintf("vm-%d", i), DataCentre: "a", PeerAddress: "127.0.0.1:1", CallerAddress: "127.0.0.1:2", StartMillis: 1}
-			p.node.handleReport(m, &gossip.Report{VM: m.VM, DataCentre: "a", Ready: true, ConfigVersion: p.config()})
+			p.node.handleHeartbeat(m, &gossip.Report{VM: m.VM, DataCentre: "a", Ready: true, ConfigVersion: p.config()})
 		}
 		sleep(ctx, 200*time.Millisecond)
 	}
--- a/core/node/health_query.go
+++ b/core/node/health_query.go
@@ -12,8 +12,8 @@
 	// healthQueryTimeout is the longest time that a request waits for the health
 	// estimates of carriers, which are usually in the same data centre.
 	healthQueryTimeout = 10 * time.Millisecond
-	// healthQueryTTL is how long an answer is reused. Periods in which a target fails
-	// last seconds.
+	// healthQueryTTL is how long an answer is reused. Episodes, in which a target
+	// fails, last seconds.
 	healthQueryTTL = time.Second
 	// healthQueryPeers is the number of carriers that are queried.
 	healthQueryPeers = 2
@@ -21,9 +21,8 @@
 
 // healthQueries asks carriers for health estimates of the targets of services that
 // this daemon does not carry. Under load, callers with an outdated address reach
-// daemons that receive no events about these targets. With every third target in a
-// period of failures, such a daemon would send non-idempotent requests to failing
-// targets.
+// daemons that receive no events about these targets. With every third target in an
+// episode, such a daemon would send non-idempotent requests to failing targets.
 type healthQueries struct {
 	node   *Node
 	mu     sync.Mutex
--- a/core/node/health_query_test.go
+++ b/core/node/health_query_test.go
@@ -41,7 +41,7 @@
 	}
 	for _, n := range nodes {
 		for _, o := range nodes {
-			n.handleReport(o.self, &gossip.Report{VM: o.self.VM, DataCentre: "a", Ready: true})
+			n.handleHeartbeat(o.self, &gossip.Report{VM: o.self.VM, DataCentre: "a", Ready: true})
 		}
 	}
 	for _, n := range nodes {
@@ -90,17 +90,17 @@
 	group, _ := nodes[0].plan().Group("orders")
 	for _, n := range nodes {
 		for _, o := range nodes[2:] {
-			n.handleReport(o.self, &gossip.Report{VM: o.self.VM, DataCentre: "a", Ready: true, Carries: []string{group}})
+			n.handleHeartbeat(o.self, &gossip.Report{VM: o.self.VM, DataCentre: "a", Ready: true, Carries: []string{group}})
 		}
 	}
 	for _, n := range nodes {
 		n.refresh()
-		audience := n.eventAudience("orders")
-		g.Expect(audience.OwnTargetsOnly).To(BeFalse())
-		for _, m := range audience.Carriers {
+		recipients := n.eventRecipients("orders")
+		g.Expect(recipients.OwnTargetsOnly).To(BeFalse())
+		for _, m := range recipients.Carriers {
 			g.Expect(m.VM).To(BeElementOf("vm-1", "vm-2"))
 		}
-		for _, m := range audience.FailuresOnly {
+		for _, m := range recipients.FailuresOnly {
 			g.Expect(m.VM).To(BeElementOf("vm-3", "vm-4"))
 		}
 		g.Expect(n.relay.TargetPool("orders").ReceivesPeerEvents()).To(Equal(n.self.VM < "vm-3"))
@@ -117,12 +117,12 @@
 	for i := range localEventsMinCarriers {
 		m := n.self
 		m.VM, m.DataCentre = fmt.Sprint("far-", i), "b"
-		g.Expect(n.eventAudience("orders").OwnTargetsOnly).To(BeFalse())
-		g.Expect(n.remotelyMonitored(n.eventAudience("orders"))).To(BeEmpty())
-		n.handleReport(m, &gossip.Report{VM: m.VM, DataCentre: "b", Ready: true, Carries: []string{group}})
+		g.Expect(n.eventRecipients("orders").OwnTargetsOnly).To(BeFalse())
+		g.Expect(n.remotelyMonitored(n.eventRecipients("orders"))).To(BeEmpty())
+		n.handleHeartbeat(m, &gossip.Report{VM: m.VM, DataCentre: "b", Ready: true, Carries: []string{group}})
 	}
-	g.Expect(n.eventAudience("orders").OwnTargetsOnly).To(BeTrue())
-	g.Expect(n.remotelyMonitored(n.eventAudience("orders"))).To(Equal(map[string]bool{"b": true}))
+	g.Expect(n.eventRecipients("orders").OwnTargetsOnly).To(BeTrue())
+	g.Expect(n.remotelyMonitored(n.eventRecipients("orders"))).To(Equal(map[string]bool{"b": true}))
 }
 
 // Guards against requests that wait for daemons which do not answer, or that each
@@ -133,7 +133,7 @@
 	n.relay.TargetPool("orders").SetReceivesPeerEvents(false)
 	silent := n.self
 	silent.VM, silent.PeerAddress, silent.Cores = "vm-1", "127.0.0.1:1", highShare
-	n.handleReport(silent, &gossip.Report{VM: "vm-1", DataCentre: "a", Ready: true})
+	n.handleHeartbeat(silent, &gossip.Report{VM: "vm-1", DataCentre: "a", Ready: true})
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	n.healthQueries.wait(ctx, "orders", true)
--- a/core/node/maintenance.go
+++ b/core/node/maintenance.go
@@ -62,7 +62,7 @@
 		group, cores := plan.Group(s)
 		carries := n.roster.Carries(now, group, cores)
 		n.relay.TargetPool(s).SetReceivesPeerEvents(carries)
-		n.relay.TargetPool(s).SetMonitoredElsewhere(n.remotelyMonitored(n.eventAudience(s)))
+		n.relay.TargetPool(s).SetMonitoredElsewhere(n.remotelyMonitored(n.eventRecipients(s)))
 		part := retry.AllocationFor(1, start)
 		part.SlackFraction = 0
 		if carries {
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -117,7 +117,7 @@
 		fx.NopLogger,
 		fx.Supply(settings, platform, n.metrics, n.self),
 		fx.Provide(func() log.Logger { return n.logger }),
-		fx.Provide(roster.New, n.newRelay, n.newCallerServer, n.newGossipConn, n.newGossipNode),
+		fx.Provide(roster.New, n.newRelay, n.newCallerServer, n.newGossipConn, n.newGossipTransport),
 		fx.Populate(&n.relay, &n.callerServer, &n.roster, &n.gossipConn, &n.gossip),
 		fx.Invoke(n.registerHooks),
 	)
@@ -163,9 +163,9 @@
 	return net.ListenUDP("udp4", address)
 }
 
-func (n *Node) newGossipNode(conn *net.UDPConn) *gossip.Transport {
-	sources := gossip.Sources{Heartbeat: n.selfReport, Targets: n.targetIndex, LocalPeers: func() []roster.Member { return n.roster.LocalPeers() }, Monitored: n.watched, Recipients: n.eventAudience, GroupPeers: n.coCarriers, RemoteCarriers: n.remoteGroups}
-	handlers := gossip.Handlers{Heartbeat: n.handleReport, Event: n.handleEvent, ListPart: n.handleListPart, RemoteCarriers: n.handleGroup, Config: n.handleConfig, Beliefs: n.handleEstimates, EstimateRequest: n.handleHealthQuery, Snapshot: n.handleSnapshot, Members: n.handleMembers}
+func (n *Node) newGossipTransport(conn *net.UDPConn) *gossip.Transport {
+	sources := gossip.Sources{Heartbeat: n.heartbeat, Targets: n.targetIndex, LocalPeers: func() []roster.Member { return n.roster.LocalPeers() }, Monitored: n.monitored, Recipients: n.eventRecipients, GroupPeers: n.coCarriers, RemoteCarriers: n.remoteCarriers}
+	handlers := gossip.Handlers{Heartbeat: n.handleHeartbeat, Event: n.handleEvent, ListPart: n.handleListPart, RemoteCarriers: n.handleRemoteCarriers, Config: n.handleConfig, Beliefs: n.handleEstimates, EstimateRequest: n.handleHealthQuery, Snapshot: n.handleSnapshot, Members: n.handleMembers}
 	return gossip.NewTransport(n.self, conn, sources, handlers, n.logger)
 }
 
--- a/core/node/peers.go
+++ b/core/node/peers.go
@@ -15,8 +15,8 @@
 // the failures at its targets.
 const minRequestsForEvents = 20
 
-// selfReport returns what reports to peers say of this daemon itself.
-func (n *Node) selfReport() gossip.Report {
+// heartbeat returns this daemon's heartbeat.
+func (n *Node) heartbeat() gossip.Report {
 	r := gossip.Report{
 		VM:            n.self.VM,
 		StartMillis:   n.self.StartMillis,
@@ -65,9 +65,9 @@
 	return roster.NewPlan(demand)
 }
 
-// watched returns the daemons from which the local data centre needs frequent
+// monitored returns the daemons from which the local data centre needs frequent
 // heartbeats, without this one, and whether this one has to send them.
-func (n *Node) watched() (members []roster.Member, self bool) {
+func (n *Node) monitored() (members []roster.Member, self bool) {
 	plan := n.plan()
 	groups := map[string]float64{}
 	for _, s := range n.services() {
@@ -95,12 +95,12 @@
 // events are sent only within the data centres of the sender and of the target.
 const localEventsMinCarriers = 12
 
-// eventAudience returns the other daemons that receive the events of the service.
+// eventRecipients returns the other daemons that receive the events of the service.
 // Under load, callers that cannot reach the address endpoint spread over all
 // daemons; if each of these received every event, the number of event messages
 // would grow with the square of the fleet. And a group of small VMs has many
 // carriers, each of which would receive the results of all others.
-func (n *Node) eventAudience(service string) gossip.Recipients {
+func (n *Node) eventRecipients(service string) gossip.Recipients {
 	now := time.Now()
 	group, cores := n.plan().Group(service)
 	localCarriers := n.roster.Carriers(now, group, n.self.DataCentre, cores)
@@ -120,10 +120,10 @@
 // remotelyMonitored returns the data centres whose targets of a service are
 // monitored only by the daemons there, because the group has so many carriers that
 // events stay local.
-func (n *Node) remotelyMonitored(audience gossip.Recipients) map[string]bool {
+func (n *Node) remotelyMonitored(recipients gossip.Recipients) map[string]bool {
 	out := map[string]bool{}
-	for _, m := range audience.Carriers {
-		if audience.OwnTargetsOnly && m.DataCentre != n.self.DataCentre {
+	for _, m := range recipients.Carriers {
+		if recipients.OwnTargetsOnly && m.DataCentre != n.self.DataCentre {
 			out[m.DataCentre] = true
 		}
 	}
@@ -146,9 +146,9 @@
 	return out
 }
 
-// remoteGroups returns the carriers in other data centres that this daemon reports
+// remoteCarriers returns the carriers in other data centres that this daemon reports
 // to the local data centre.
-func (n *Node) remoteGroups() []gossip.GroupCarriers {
+func (n *Node) remoteCarriers() []gossip.GroupCarriers {
 	now := time.Now()
 	plan := n.plan()
 	var out []gossip.GroupCarriers
@@ -160,13 +160,13 @@
 	return out
 }
 
-func (n *Node) handleGroup(g gossip.GroupCarriers) {
+func (n *Node) handleRemoteCarriers(g gossip.GroupCarriers) {
 	n.roster.RecordRemoteCarriers(time.Now(), g.Name, g.Members)
 }
 
-func (n *Node) handleReport(m roster.Member, r *gossip.Report) bool {
-	standing := roster.Status{Ready: r.Ready, Leaving: r.Leaving, ReducedRate: r.ReducedRate}
-	newGroups, ok := n.roster.RecordHeartbeat(time.Now(), m, standing, r.Carries)
+func (n *Node) handleHeartbeat(m roster.Member, r *gossip.Report) bool {
+	status := roster.Status{Ready: r.Ready, Leaving: r.Leaving, ReducedRate: r.ReducedRate}
+	newGroups, ok := n.roster.RecordHeartbeat(time.Now(), m, status, r.Carries)
 	if !ok {
 		return false
 	}
@@ -250,7 +250,8 @@
 		n.updateTargets()
 	}
 	if first {
-		// The targets must be in place before this, because refresh makes the daemon ready.
+		// The targets must be in place before this, because refresh makes the daemon
+		// ready.
 		n.listLoaded.Store(true)
 		n.refresh()
 	}
--- a/core/node/platform.go
+++ b/core/node/platform.go
@@ -32,14 +32,14 @@
 	LongPollConfig func(ctx context.Context, after int64, wait time.Duration) (ConfigResult, error)
 	// DecodeConfig decodes a configuration that was received from a peer.
 	DecodeConfig func(raw []byte) (*route.Config, error)
-	// ReadTargets reads the full target list, PollTargets only its changes. Both also
-	// return the errors of single entries.
+	// ReadTargets reads the full target list, ReadTargetChanges only its changes. Both
+	// also return the errors of single entries.
 	ReadTargets       func(ctx context.Context) (watch.Delta, []error, error)
 	ReadTargetChanges func(ctx context.Context, since int64) (watch.Delta, []error, error)
 	ReadMembers       func(ctx context.Context) ([]roster.Member, error)
 	WriteMember       func(ctx context.Context, m roster.Member) error
-	// AddressHandler and Readiness return the handlers of the address endpoint, from which
-	// callers get the daemons to connect to, and of the readiness endpoint.
+	// AddressHandler and ReadinessHandler return the handlers of the address endpoint,
+	// from which callers get the daemons to connect to, and of the readiness endpoint.
 	AddressHandler   func(lookup func(host, dataCentre string) ([]string, time.Duration)) http.Handler
 	ReadinessHandler func(ready func() bool) http.Handler
 }
--- a/core/node/settings.go
+++ b/core/node/settings.go
@@ -19,9 +19,9 @@
 	VM         string `json:"vm"`
 	DataCentre string `json:"data-centre"`
 	Region     string `json:"region"`
-	// CallerAddress, AddressAddress and ReadyAddress are the listen addresses for
+	// CallerAddress, LookupAddress and ReadyAddress are the listen addresses for
 	// requests, for callers that ask which daemons to connect to, and for readiness
-	// checks. An empty AddressAddress or ReadyAddress disables that endpoint.
+	// checks. An empty LookupAddress or ReadyAddress disables that endpoint.
 	CallerAddress string `json:"caller-address"`
 	LookupAddress string `json:"address-address"`
 	ReadyAddress  string `json:"ready-address"`
@@ -31,7 +31,7 @@
 	MetricsAddress string `json:"metrics-address"`
 	StoreAddress   string `json:"store-address"`
 	// Seeds are addresses of some other VMs, which may be down or gone. A daemon that
-	// starts asks the daemons there for peers, at the port of its own InnerAddress.
+	// starts asks the daemons there for peers, at the port of its own PeerAddress.
 	Seeds []string `json:"seeds"`
 	// FirstStart says that the whole fleet starts for the first time.
 	FirstStart bool `json:"first-start"`
@@ -51,15 +51,15 @@
 }
 
 // RetryBudget limits the retries and hedges that the whole fleet sends to one
-// service: Ratio for each request plus Slack, within a sliding window of
-// SpanSeconds.
+// service: Ratio for each request plus Slack, within a sliding window of WindowSeconds.
 type RetryBudget struct {
 	Ratio         float64 `json:"ratio"`
 	WindowSeconds float64 `json:"span-s"`
 	Slack         float64 `json:"slack"`
 }
 
-// ShutdownTimeout returns the time between the signal to stop and the kill of the process.
+// ShutdownTimeout returns the time between the signal to stop and the kill of the
+// process.
 func (s *Settings) ShutdownTimeout() time.Duration {
 	return seconds(s.ShutdownSeconds)
 }
--- a/core/node/startup_test.go
+++ b/core/node/startup_test.go
@@ -126,11 +126,11 @@
 	for age, settled := range map[time.Duration]bool{time.Second: false, time.Minute: true} {
 		g := NewWithT(t)
 		n := newTestNode(g, lowShare, &configWriter{start: time.Now()})
-		born := n.self.StartMillis - age.Milliseconds()
+		startMillis := n.self.StartMillis - age.Milliseconds()
 		n.listLoaded.Store(false)
 		n.handleMembers("vm-1", []roster.Member{
-			{VM: "vm-1", DataCentre: "a", PeerAddress: "127.0.0.1:1", StartMillis: born},
-			{VM: "vm-2", DataCentre: "b", PeerAddress: "127.0.0.1:1", StartMillis: born},
+			{VM: "vm-1", DataCentre: "a", PeerAddress: "127.0.0.1:1", StartMillis: startMillis},
+			{VM: "vm-2", DataCentre: "b", PeerAddress: "127.0.0.1:1", StartMillis: startMillis},
 		})
 		g.Expect(n.membersKnown.Load()).To(Equal(settled))
 		g.Expect(n.roster.DataCentres()).To(Equal([]string{"a", "b"}))
--- a/core/node/targets_test.go
+++ b/core/node/targets_test.go
@@ -62,7 +62,7 @@
 		defer n.gossipConn.Close()
 		m := n.self
 		m.VM, m.Cores = "vm-1", highShare
-		n.handleReport(m, &gossip.Report{VM: m.VM, DataCentre: "a", Ready: true})
+		n.handleHeartbeat(m, &gossip.Report{VM: m.VM, DataCentre: "a", Ready: true})
 		g.Expect(n.sendsList(time.Now())).To(BeTrue(), "no other daemon has sent a part")
 		n.handleListPart(watch.Part{Delta: watch.Delta{Since: 5, Version: 6}, Count: 2})
 		g.Expect(n.sendsList(time.Now())).To(BeFalse())
--- a/core/roster/carriers.go
+++ b/core/roster/carriers.go
@@ -106,9 +106,9 @@
 	return false
 }
 
-// GroupPeers returns the other daemons, in all data centres, that handle requests for the
-// group: its carriers by order of preference, those that recently reported that they
-// carry it, and those that a peer recently named as carriers.
+// GroupPeers returns the other daemons, in all data centres, that handle requests for
+// the group: its carriers by order of preference, those that recently reported that
+// they carry it, and those that a peer recently named as carriers.
 func (r *Roster) GroupPeers(now time.Time, group string, cores float64) []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -131,10 +131,10 @@
 	return out
 }
 
-// RemoteCarriers returns the carriers of the group in other data centres from which this
-// daemon received heartbeats. It returns nil unless this daemon is the first carrier
-// of the group in its own data centre, because only that one sends the list to the
-// others there.
+// RemoteCarriers returns the carriers of the group in other data centres from which
+// this daemon received heartbeats. It returns nil unless this daemon is the first
+// carrier of the group in its own data centre, because only that one sends the list to
+// the others there.
 func (r *Roster) RemoteCarriers(now time.Time, group string, cores float64) []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -151,9 +151,9 @@
 	return out
 }
 
-// CallerAddresses returns the addresses to which a caller in the data centre should connect:
-// those of the carriers there or, if there are none, in the first other data centre
-// that has any.
+// CallerAddresses returns the addresses to which a caller in the data centre should
+// connect: those of the carriers there or, if there are none, in the first other data
+// centre that has any.
 func (r *Roster) CallerAddresses(now time.Time, group, dataCentre string, cores float64) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -25,7 +25,7 @@
 type Member struct {
 	VM         string `cbor:"1,keyasint"`
 	DataCentre string `cbor:"2,keyasint"`
-	// PeerAddress is the address for peers, Callers the address for callers.
+	// PeerAddress is the address for peers, CallerAddress the address for callers.
 	PeerAddress   string `cbor:"3,keyasint"`
 	CallerAddress string `cbor:"4,keyasint"`
 	// StartMillis is the Unix time in milliseconds at which the daemon started.
@@ -99,9 +99,9 @@
 	r.ready, r.leaving = ready, leaving
 }
 
-// RecordHeartbeat records a heartbeat of a member and the groups that it carries. It returns the
-// groups that the member did not carry before. ok is false if the heartbeat is
-// ignored, because it comes from an earlier run of the daemon or from this daemon.
+// RecordHeartbeat records a heartbeat of a member and the groups that it carries. It
+// returns the groups that the member did not carry before. ok is false if the heartbeat
+// is ignored, because it comes from an earlier run of the daemon or from this daemon.
 func (r *Roster) RecordHeartbeat(now time.Time, m Member, s Status, carries []string) (newlyCarried []string, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,9 +125,9 @@
 	return newlyCarried, true
 }
 
-// RecordRemoteCarriers records the carriers of a group in other data centres, as reported by a peer.
-// The members do not count as alive because of it; the report only adds them to the
-// daemons to which results are sent.
+// RecordRemoteCarriers records the carriers of a group in other data centres, as
+// reported by a peer. The members do not count as alive because of it; the report only
+// adds them to the daemons to which results are sent.
 func (r *Roster) RecordRemoteCarriers(now time.Time, group string, members []Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -199,8 +199,8 @@
 	return append([]string{r.self.DataCentre}, slices.Compact(others)...)
 }
 
-// LocalPeers returns the other members of the local data centre, whether or not they are
-// alive.
+// LocalPeers returns the other members of the local data centre, whether or not they
+// are alive.
 func (r *Roster) LocalPeers() []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -54,8 +54,8 @@
 	g.Expect(vmNames(one.Carriers(startTime, "orders", "a", minimalDemand))).To(Equal(vmNames(other.Carriers(startTime, "orders", "a", minimalDemand))))
 }
 
-// A carrier fails. Guards against callers who are still directed to it, and against
-// the loss of the remaining carrier.
+// A carrier fails. Guards against callers who are still directed to it, against the
+// loss of the remaining carrier, and against a change of the carriers of other services.
 func TestFailedCarrierIsReplaced(t *testing.T) {
 	g := NewWithT(t)
 	r := newRoster(startTime)
@@ -72,7 +72,7 @@
 	g.Expect(after).To(ContainElement(before[1].VM))
 }
 
-// Guards against callers who are directed to a daemon that is leaving.
+// Guards against callers who are directed to a daemon that is leaving or not ready.
 func TestLeavingDaemonIsNotReturnedToCallers(t *testing.T) {
 	g := NewWithT(t)
 	r := newRoster(startTime)
--- a/core/roster/watched.go
+++ b/core/roster/watched.go
@@ -43,8 +43,8 @@
 	return all[:min(carrierCount(all, cores)+standbys, len(all))]
 }
 
-// ReaderOrder returns the members of a data centre that are alive, in the order in which
-// they read the store for the others.
+// ReaderOrder returns the members of a data centre that are alive, in the order in
+// which they read the store for the others.
 func (r *Roster) ReaderOrder(now time.Time, dataCentre string) []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,8 +79,8 @@
 	return false
 }
 
-// ReadersAhead returns the number of daemons of the local data centre that precede this one
-// in the order of readers and may be alive. It is meant for a daemon that has just
+// ReadersAhead returns the number of daemons of the local data centre that precede this
+// one in the order of readers and may be alive. It is meant for a daemon that has just
 // started: members from which it has not received a heartbeat yet are counted.
 func (r *Roster) ReadersAhead(now time.Time) int {
 	r.mu.Lock()
@@ -95,9 +95,9 @@
 	return ahead
 }
 
-// ReaderRank returns the position of this daemon in the order of readers of its data centre.
-// ReaderRank 0 reads the store for the others. If this daemon does not count as alive, the
-// rank is the number of those that do.
+// ReaderRank returns the position of this daemon in the order of readers of its data
+// centre. Rank 0 reads the store for the others. If this daemon does not count as
+// alive, the rank is the number of those that do.
 func (r *Roster) ReaderRank(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/core/watch/entry.go
+++ b/core/watch/entry.go
@@ -75,7 +75,7 @@
 	return parts
 }
 
-// maxParts is the largest number of parts that an [Assembly] accepts for one delta.
+// maxParts is the largest number of parts that an [Assembler] accepts for one delta.
 const maxParts = 256
 
 // Assembler joins the parts of the delta with the highest version. If a part is lost,
--- a/core/watch/watch_test.go
+++ b/core/watch/watch_test.go
@@ -12,8 +12,8 @@
 
 var startTime = time.Unix(1000, 0)
 
-func entry(born, seq int64) *watch.Entry {
-	return &watch.Entry{Service: "orders", Address: "10.0.0.1:80", DataCentre: "a", Slots: 2, StartMillis: born, Seq: seq}
+func entry(startMillis, seq int64) *watch.Entry {
+	return &watch.Entry{Service: "orders", Address: "10.0.0.1:80", DataCentre: "a", Slots: 2, StartMillis: startMillis, Seq: seq}
 }
 
 func targetIDs(l *watch.List) []string {
@@ -125,8 +125,8 @@
 }
 
 // The list is so long that a read takes longer than the delay between two ranks. Guards
-// against all daemons of a data centre reading the store because the list from rank 0 is
-// already old when it arrives.
+// against all daemons of a data centre reading the store because the list from rank 0
+// is already old when it arrives.
 func TestSlowFirstReadDelaysOtherReaders(t *testing.T) {
 	g := NewWithT(t)
 	var s watch.Schedule
