--- a/core/daemon/shutdown.go
+++ b/core/daemon/shutdown.go
@@ -35,9 +35,9 @@
 	_ = level.Info(d.logger).Log("msg", "left", "ledger-copies", copies, "active", d.components.Relay.ActiveRequests())
 }
 
-// Hurry makes Stop no longer wait for callers that may still have the daemon's
+// SkipCallerWait makes Stop no longer wait for callers that may still have the daemon's
 // address. Requests in progress are still completed.
-func (d *Daemon) Hurry() {
+func (d *Daemon) SkipCallerWait() {
 	d.endCallerWaitOnce.Do(func() { close(d.endCallerWait) })
 }
 
--- a/core/gossip/beliefs.go
+++ b/core/gossip/beliefs.go
@@ -27,14 +27,14 @@
 	_           struct{} `cbor:",toarray"`
 	ID          string
 	StartMillis int64
-	// Impaired and Sick are the probabilities that the target is degraded or failing,
+	// Degraded and Sick are the probabilities that the target is degraded or failing,
 	// scaled to the range from 0 to math.MaxUint8.
-	Impaired uint8
-	Sick     uint8
+	Degraded uint8
+	Failing  uint8
 	// Age and OnsetAge, the age of the episode, are in milliseconds; a negative
 	// OnsetAge means that the target is not in an episode.
-	Age      int64
-	OnsetAge int64
+	Age        int64
+	EpisodeAge int64
 	// Load is the number of requests that the whole fleet has in flight at the target.
 	Load int
 }
@@ -44,28 +44,28 @@
 	out := encodedEstimate{
 		ID:          b.ID,
 		StartMillis: b.StartMillis,
-		Impaired:    scale(b.Snapshot.Degraded),
-		Sick:        scale(b.Snapshot.Failing),
+		Degraded:    scale(b.Snapshot.Degraded),
+		Failing:     scale(b.Snapshot.Failing),
 		Age:         b.Snapshot.Age.Milliseconds(),
-		OnsetAge:    -1,
+		EpisodeAge:  -1,
 		Load:        b.Load,
 	}
 	if b.Snapshot.EpisodeAge >= 0 {
-		out.OnsetAge = b.Snapshot.EpisodeAge.Milliseconds()
+		out.EpisodeAge = b.Snapshot.EpisodeAge.Milliseconds()
 	}
 	return out
 }
 
 func (b *encodedEstimate) decode() sched.TargetEstimate {
-	failing := float64(b.Sick) / math.MaxUint8
+	failing := float64(b.Failing) / math.MaxUint8
 	s := judge.Snapshot{
-		Degraded:   min(float64(b.Impaired)/math.MaxUint8, 1-failing),
+		Degraded:   min(float64(b.Degraded)/math.MaxUint8, 1-failing),
 		Failing:    failing,
 		Age:        time.Duration(max(b.Age, 0)) * time.Millisecond,
 		EpisodeAge: -1,
 	}
-	if b.OnsetAge >= 0 {
-		s.EpisodeAge = time.Duration(b.OnsetAge) * time.Millisecond
+	if b.EpisodeAge >= 0 {
+		s.EpisodeAge = time.Duration(b.EpisodeAge) * time.Millisecond
 	}
 	return sched.TargetEstimate{ID: b.ID, StartMillis: b.StartMillis, Snapshot: s, Load: b.Load}
 }
@@ -98,7 +98,7 @@
 		for i := range b.Targets {
 			targets = append(targets, b.Targets[i].decode())
 		}
-		r.handlers.Beliefs(b.Service, targets, b.Remaining)
+		r.handlers.Estimates(b.Service, targets, b.Remaining)
 	}
 	for _, service := range report.EstimateRequests {
 		r.handlers.EstimateRequest(roster.Member{VM: report.VM, StartMillis: report.StartMillis, PeerAddress: from}, service)
--- a/core/gossip/node.go
+++ b/core/gossip/node.go
@@ -55,9 +55,9 @@
 	Members  func(sender string, members []roster.Member)
 	// Config is called with a configuration that a peer read from the store.
 	Config func(d Document)
-	// Beliefs is called with a peer's health estimates of targets of a service; left is
+	// Estimates is called with a peer's health estimates of targets of a service; left is
 	// the number of reports on the service that follow.
-	Beliefs func(service string, targets []sched.TargetEstimate, left int)
+	Estimates func(service string, targets []sched.TargetEstimate, left int)
 	// EstimateRequest is called if a peer requests this daemon's health estimates for a
 	// service.
 	EstimateRequest func(peer roster.Member, service string)
--- a/core/node/node.go
+++ b/core/node/node.go
@@ -165,7 +165,7 @@
 
 func (n *Node) newGossipTransport(conn *net.UDPConn) *gossip.Transport {
 	sources := gossip.Sources{Heartbeat: n.heartbeat, Targets: n.targetIndex, LocalPeers: func() []roster.Member { return n.roster.LocalPeers() }, Monitored: n.monitored, Recipients: n.eventRecipients, GroupPeers: n.coCarriers, RemoteCarriers: n.remoteCarriers}
-	handlers := gossip.Handlers{Heartbeat: n.handleHeartbeat, Event: n.handleEvent, ListPart: n.handleListPart, RemoteCarriers: n.handleRemoteCarriers, Config: n.handleConfig, Beliefs: n.handleEstimates, EstimateRequest: n.handleHealthQuery, Snapshot: n.handleSnapshot, Members: n.handleMembers}
+	handlers := gossip.Handlers{Heartbeat: n.handleHeartbeat, Event: n.handleEvent, ListPart: n.handleListPart, RemoteCarriers: n.handleRemoteCarriers, Config: n.handleConfig, Estimates: n.handleEstimates, EstimateRequest: n.handleHealthQuery, Snapshot: n.handleSnapshot, Members: n.handleMembers}
 	return gossip.NewTransport(n.self, conn, sources, handlers, n.logger)
 }
 
--- a/standin/demo/control.go
+++ b/standin/demo/control.go
@@ -81,7 +81,7 @@
 		http.Error(w, "no such daemon", http.StatusNotFound)
 		return
 	}
-	n.Hurry()
+	n.SkipCallerWait()
 	fmt.Fprintf(w, "daemon %s no longer waits for callers\n", n.VM.ID)
 }
 
--- a/wisteriad/main.go
+++ b/wisteriad/main.go
@@ -71,7 +71,7 @@
 
 func (h *secondSignalHandler) run() {
 	<-h.signals
-	h.daemon.Hurry()
+	h.daemon.SkipCallerWait()
 }
 
 func newLogger(levelName string) log.Logger {
