--- a/core/caller/server.go
+++ b/core/caller/server.go
@@ -38,13 +38,13 @@
 	return func(s *Server) { s.logger = l }
 }
 
-// WithMaxBodyMemory sets the maximum memory, in bytes, for the bodies of all requests in
-// progress.
+// WithMaxBodyMemory sets the maximum memory, in bytes, for the bodies of all requests
+// in progress.
 func WithMaxBodyMemory(bytes int64) Option {
 	return func(s *Server) { s.maxBodyMemory = bytes }
 }
 
-// defaultMaxBodyMemory is the default of WithBodyMemory, in bytes.
+// defaultMaxBodyMemory is the default of WithMaxBodyMemory, in bytes.
 const defaultMaxBodyMemory = 64 << 20
 
 // NewServer returns a server. It calls limits for the current limits.
--- a/core/config/settings.go
+++ b/core/config/settings.go
@@ -54,8 +54,8 @@
 	// Domain is the suffix of the services' host names, <service>.<domain>.
 	Domain   string `json:"domain"`
 	LogLevel string `json:"log-level"`
-	// StoreReadRate and StoreWrites are the rate limits of the whole fleet for requests
-	// to the store, in requests per second.
+	// StoreReadRate and StoreWriteRate are the rate limits of the whole fleet for
+	// requests to the store, in requests per second.
 	StoreReadRate  float64 `json:"store-reads"`
 	StoreWriteRate float64 `json:"store-writes"`
 	// MemoryLimit is the soft memory limit of the process in bytes.
--- a/core/daemon/carried.go
+++ b/core/daemon/carried.go
@@ -204,7 +204,7 @@
 	cs.ejector.Submit(detect.Assessment{Service: service, Verdicts: verdicts, Signals: signals, MedianLatency: cs.evidence.MedianLatency()})
 	states := detect.States(service, listing.Ejections, signals, verdicts, cs.evidence.StartTimes(), now)
 	cs.states.Store(&states)
-	cs.carrier.Update(service, cs.gateTargets(service, states), cs.members())
+	cs.carrier.Update(service, cs.limiterTargets(service, states), cs.members())
 	cs.carrier.Prune(now)
 }
 
@@ -218,9 +218,9 @@
 	return ids
 }
 
-// gateStates maps the state of a target to the way in which requests are assigned
+// limiterStates maps the state of a target to the way in which requests are assigned
 // to it.
-var gateStates = map[detect.State]choose.State{
+var limiterStates = map[detect.State]choose.State{
 	detect.Ready:     choose.Ready,
 	detect.SlowStart: choose.SlowStart,
 	detect.Trial:     choose.Trial,
@@ -233,8 +233,8 @@
 // receives.
 const trialShare = 0.05
 
-// gateTargets returns the targets and their states in the form that the gate uses.
-func (cs *carriedService) gateTargets(service *fleet.Service, states []detect.TargetState) []limit.Target {
+// limiterTargets returns the targets and their states in the form that the limiter uses.
+func (cs *carriedService) limiterTargets(service *fleet.Service, states []detect.TargetState) []limit.Target {
 	unconfirmed := cs.evidence.UndersampledSuspects()
 	targets := make([]limit.Target, 0, len(states))
 	for _, s := range states {
@@ -242,7 +242,7 @@
 		g := limit.Target{
 			ID:             s.Target,
 			Slots:          t.Slots,
-			State:          gateStates[s.State],
+			State:          limiterStates[s.State],
 			Weight:         s.Weight,
 			SameDataCentre: t.DataCentre == cs.self.DataCentre,
 			DataCentre:     t.DataCentre,
--- a/core/detect/detector.go
+++ b/core/detect/detector.go
@@ -44,7 +44,7 @@
 	medianLatency time.Duration
 }
 
-// NewDetector returns a Service without evidence; self is the VM of this daemon.
+// NewDetector returns a Detector without evidence; self is the VM of this daemon.
 func NewDetector(svc *fleet.Service, self fleet.VMID) *Detector {
 	s := &Detector{
 		self:         self,
--- a/core/detect/prober.go
+++ b/core/detect/prober.go
@@ -68,7 +68,8 @@
 	return func(p *Prober) { p.isSuspect = f }
 }
 
-// WithReport sets the function that receives each result; Observe returns one.
+// WithReport sets the function that receives each result, such as the one that
+// NewReportFunc returns.
 func WithReport(f func(ProbeReport)) ProberOption {
 	return func(p *Prober) { p.report = f }
 }
--- a/core/detect/recorder.go
+++ b/core/detect/recorder.go
@@ -21,7 +21,7 @@
 	byTarget map[fleet.TargetID]*targetCounters
 }
 
-// targetCounters holds what was counted about one target since the last Drain.
+// targetCounters holds what was counted about one target since the last Collect.
 type targetCounters struct {
 	counts [resultCount]atomic.Uint32
 	// packedOK and packedProbeOK each hold a count and the sum of its latency
--- a/core/inner/inner_test.go
+++ b/core/inner/inner_test.go
@@ -87,7 +87,8 @@
 	return &net.TCPAddr{}
 }
 
-// makeReport returns a report in which each target has requests in flight and 6 B of evidence.
+// makeReport returns a report in which each target has requests in flight and 6 B of
+// evidence.
 func makeReport(services, targets int) *ReportMsg {
 	m := &ReportMsg{Run: 1<<63 + 5, Started: 1_790_000_000_000, Sequence: 70_000, Revision: 4_000, Ready: true}
 	for i := range 5 {
--- a/core/inner/pool.go
+++ b/core/inner/pool.go
@@ -89,7 +89,8 @@
 	return conn, false
 }
 
-// dialWithBackoff dials, or fails at once if the backoff after failed dials has not elapsed.
+// dialWithBackoff dials, or fails at once if the backoff after failed dials has not
+// elapsed.
 func (p *pool[T]) dialWithBackoff(ctx context.Context) (conn T, err error) {
 	if d := p.untilNextDial(); d > 0 {
 		return conn, fault.New(fault.PeerUnreachable, "next dial is due in %v", d).WithRetryAfter(d)
--- a/core/inner/report.go
+++ b/core/inner/report.go
@@ -65,8 +65,8 @@
 // quartersPerRequest converts between requests and TargetLoad.Quarters.
 const quartersPerRequest = 4
 
-// NewTargetLoad returns the TargetLoad for a mean number of requests in flight. ok is false
-// if the mean rounds to 0; reports omit such a target.
+// NewTargetLoad returns the TargetLoad for a mean number of requests in flight. ok is
+// false if the mean rounds to 0; reports omit such a target.
 func NewTargetLoad(target fleet.TargetID, inFlight float64) (l TargetLoad, ok bool) {
 	q := math.Round(min(max(inFlight, 0)*quartersPerRequest, math.MaxUint32))
 	return TargetLoad{Target: TargetHash(target), Quarters: uint32(q)}, q > 0
@@ -89,7 +89,8 @@
 	return uint32(xxhash.Sum64String(string(i)))
 }
 
-// Validate returns fault.MessageInvalid if the message exceeds a size limit or lacks a field.
+// Validate returns fault.MessageInvalid if the message exceeds a size limit or lacks
+// a field.
 func (m *ReportMsg) Validate() error {
 	v := validator{message: "report"}
 	v.require(m.Run != 0, "run is missing")
--- a/core/inner/vms.go
+++ b/core/inner/vms.go
@@ -16,7 +16,8 @@
 	VMs []fleet.VM `cbor:"1,keyasint,omitempty"`
 }
 
-// Validate returns fault.MessageInvalid if the message exceeds a size limit or lacks a field.
+// Validate returns fault.MessageInvalid if the message exceeds a size limit or lacks
+// a field.
 func (m *VMsReplyMsg) Validate() error {
 	v := validator{message: "VMs reply"}
 	v.atMost("VMs", len(m.VMs), MaxVMs)
--- a/core/limit/gate.go
+++ b/core/limit/gate.go
@@ -69,7 +69,7 @@
 	queue       queue
 }
 
-// Option configures a Gate.
+// Option configures a Limiter.
 type Option func(*Limiter)
 
 // WithSeed fixes the seed of the random choices; the default is 0.
@@ -82,7 +82,7 @@
 	return func(g *Limiter) { g.Update(s) }
 }
 
-// New returns a gate for one service on a daemon. It refuses all requests until it has
+// New returns a limiter for one service on a daemon. It refuses all requests until it has
 // received a snapshot.
 func New(daemon fleet.VMID, options ...Option) *Limiter {
 	g := &Limiter{
@@ -99,7 +99,7 @@
 	return g
 }
 
-// now returns the monotonic time since the gate was created.
+// now returns the monotonic time since the limiter was created.
 func (g *Limiter) now() time.Duration {
 	return time.Since(g.created)
 }
@@ -224,7 +224,7 @@
 	return false
 }
 
-// deadlineOf returns the deadline of req on the gate's clock, or never.
+// deadlineOf returns the deadline of req on the limiter's clock, or never.
 func (g *Limiter) deadlineOf(req *Request) time.Duration {
 	if req.Deadline.IsZero() {
 		return never
--- a/core/limit/gate_test.go
+++ b/core/limit/gate_test.go
@@ -22,10 +22,10 @@
 		a, b := h.mustAcquire(lookup), h.mustAcquire(lookup)
 		a.Release(limit.Served)
 		a.Release(limit.Shed)
-		h.Expect(h.gate.SlotsInUse()).To(gomega.Equal(map[fleet.TargetID]int{"t00": 1}))
-		h.Expect(h.gate.Stats().Shed).To(gomega.BeZero())
+		h.Expect(h.limiter.SlotsInUse()).To(gomega.Equal(map[fleet.TargetID]int{"t00": 1}))
+		h.Expect(h.limiter.Stats().Shed).To(gomega.BeZero())
 		b.Release(limit.Served)
-		h.Expect(h.gate.SlotsInUse()).To(gomega.BeEmpty())
+		h.Expect(h.limiter.SlotsInUse()).To(gomega.BeEmpty())
 	})
 }
 
@@ -35,19 +35,19 @@
 	inBubble(t, readySnapshot(1, 1), func(h *harness) {
 		holder := h.mustAcquire(lookup)
 		first, second := h.start("", lookup), h.start("", order)
-		h.Expect(h.gate.Stats().Waiting).To(gomega.Equal(2))
+		h.Expect(h.limiter.Stats().Waiting).To(gomega.Equal(2))
 		first.cancel()
 		synctest.Wait()
 		h.expectRefused(first, fault.CallerGone)
-		h.Expect(h.gate.Stats().Waiting).To(gomega.Equal(1))
+		h.Expect(h.limiter.Stats().Waiting).To(gomega.Equal(1))
 		second.cancel()
 		holder.Release(limit.Served)
 		synctest.Wait()
 		if second.grant() != nil {
 			second.grant().Release(limit.Unused)
 		}
-		h.Expect(h.gate.SlotsInUse()).To(gomega.BeEmpty())
-		h.Expect(h.gate.Stats().Waiting).To(gomega.BeZero())
+		h.Expect(h.limiter.SlotsInUse()).To(gomega.BeEmpty())
+		h.Expect(h.limiter.Stats().Waiting).To(gomega.BeZero())
 	})
 }
 
@@ -120,7 +120,7 @@
 		h.Expect(e.RetryAfter).To(gomega.BeNumerically(">=", 50*time.Millisecond))
 		h.Expect(time.Since(asked)).To(gomega.BeZero())
 		h.expectWaiting(h.start("", withDeadline(lookup, 350*time.Millisecond)), "refused although it can be in time")
-		h.Expect(h.gate.Stats().RefusedEarly).To(gomega.BeEquivalentTo(1))
+		h.Expect(h.limiter.Stats().RefusedEarly).To(gomega.BeEquivalentTo(1))
 	})
 }
 
@@ -134,11 +134,11 @@
 		h.expectWaiting(c, "refused before its deadline")
 		advance(time.Nanosecond)
 		h.expectRefused(c, fault.DeadlineExceeded)
-		h.Expect(h.gate.Stats()).To(gomega.Equal(limit.Stats{Granted: 1, RefusedLate: 1}))
+		h.Expect(h.limiter.Stats()).To(gomega.Equal(limit.Stats{Granted: 1, RefusedLate: 1}))
 
 		ctx, cancel := context.WithTimeoutCause(h.ctx, time.Millisecond, errors.New("attempt timeout"))
 		defer cancel()
-		_, err := h.gate.Acquire(ctx, lookup)
+		_, err := h.limiter.Acquire(ctx, lookup)
 		h.Expect(fault.Is(err, fault.DeadlineExceeded)).To(gomega.BeTrue(), "a context with its own cause is reported as a caller that left")
 	})
 }
@@ -155,7 +155,7 @@
 			}
 			gr.Release(limit.Served)
 		}
-		h.Expect(h.gate.ExpectedServiceTime(fleet.Lookup)).To(gomega.BeNumerically("<", 20*time.Millisecond))
+		h.Expect(h.limiter.ExpectedServiceTime(fleet.Lookup)).To(gomega.BeNumerically("<", 20*time.Millisecond))
 	})
 }
 
@@ -199,7 +199,7 @@
 		h.expectRefused(ls[3], fault.QueueFull)
 		h.expectWaiting(h.start("", newRequest(fleet.Lookup, "x")), "a workspace keeps another out of the queue")
 		h.expectRefused(ls[2], fault.QueueFull)
-		h.Expect(h.gate.Stats().Waiting).To(gomega.Equal(4))
+		h.Expect(h.limiter.Stats().Waiting).To(gomega.Equal(4))
 	})
 }
 
@@ -210,23 +210,23 @@
 		both := readySnapshot(2, 1)
 		first := h.mustAcquire(lookup)
 		w := h.start("", lookup)
-		h.gate.Update(both)
+		h.limiter.Update(both)
 		synctest.Wait()
 		h.Expect(w.grant()).NotTo(gomega.BeNil(), "the added target is not used")
 		h.Expect(w.grant().Target).To(gomega.Equal(fleet.TargetID("t01")))
 
-		h.gate.Update(&limit.Snapshot{Targets: both.Targets[1:]})
-		h.gate.Update(both)
-		h.Expect(h.gate.SlotsInUse()).To(gomega.HaveLen(2), "the work at a removed target was forgotten")
+		h.limiter.Update(&limit.Snapshot{Targets: both.Targets[1:]})
+		h.limiter.Update(both)
+		h.Expect(h.limiter.SlotsInUse()).To(gomega.HaveLen(2), "the work at a removed target was forgotten")
 		both.Targets[1].State = choose.Unavailable
-		h.gate.Update(both)
+		h.limiter.Update(both)
 		w.grant().Release(limit.Served)
 		stuck := h.expectWaiting(h.start("", lookup), "a closed target received a grant")
-		h.gate.Update(&limit.Snapshot{})
+		h.limiter.Update(&limit.Snapshot{})
 		synctest.Wait()
 		h.expectRefused(stuck, fault.NoTarget)
 		first.Release(limit.Served)
-		h.Expect(h.gate.SlotsInUse()).To(gomega.BeEmpty())
+		h.Expect(h.limiter.SlotsInUse()).To(gomega.BeEmpty())
 	})
 }
 
--- a/core/limit/grant.go
+++ b/core/limit/grant.go
@@ -30,7 +30,7 @@
 	Target fleet.TargetID
 	// Waited is the time spent in the queue.
 	Waited   time.Duration
-	gate     *Limiter
+	limiter  *Limiter
 	usage    *targetUsage
 	start    time.Duration
 	kind     fleet.RequestKind
@@ -41,7 +41,7 @@
 func (g *Limiter) newGrant(usage *targetUsage, kind fleet.RequestKind, now time.Duration) *Grant {
 	g.counts.granted.Add(1)
 	usage.workOffset.Add(-int64(now))
-	return &Grant{Target: usage.id, gate: g, usage: usage, kind: kind, start: now}
+	return &Grant{Target: usage.id, limiter: g, usage: usage, kind: kind, start: now}
 }
 
 // Release frees the slot. Calls after the first have no effect.
@@ -49,7 +49,7 @@
 	if gr.released.Swap(true) {
 		return
 	}
-	g := gr.gate
+	g := gr.limiter
 	now := g.now()
 	held := now - gr.start
 	switch r {
--- a/core/limit/harness_test.go
+++ b/core/limit/harness_test.go
@@ -79,8 +79,8 @@
 // the test.
 type harness struct {
 	*gomega.WithT
-	ctx  context.Context
-	gate *limit.Limiter
+	ctx     context.Context
+	limiter *limit.Limiter
 }
 
 func inBubble(t *testing.T, s *limit.Snapshot, f func(h *harness)) {
@@ -88,7 +88,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		f(&harness{WithT: gomega.NewWithT(t), ctx: ctx, gate: limit.New("vm", limit.WithSnapshot(s))})
+		f(&harness{WithT: gomega.NewWithT(t), ctx: ctx, limiter: limit.New("vm", limit.WithSnapshot(s))})
 	})
 }
 
@@ -97,7 +97,7 @@
 	c := &call{name: name, req: req}
 	var ctx context.Context
 	ctx, c.cancel = context.WithCancel(h.ctx)
-	go c.run(ctx, h.gate)
+	go c.run(ctx, h.limiter)
 	synctest.Wait()
 	return c
 }
--- a/core/limit/peers.go
+++ b/core/limit/peers.go
@@ -33,7 +33,7 @@
 	// peersIdleBelow is the mean of the peers' requests in flight at a target below
 	// which they do not keep it busy.
 	peersIdleBelow = 0.5
-	// never is later than any time of the gate's clock.
+	// never is later than any time of the limiter's clock.
 	never = time.Duration(math.MaxInt64)
 )
 
--- a/core/limit/peers_test.go
+++ b/core/limit/peers_test.go
@@ -25,13 +25,13 @@
 // use its quota, which is one slot of each target here.
 func TestPeerLoadLimitsGrants(t *testing.T) {
 	inBubble(t, readySnapshot(4, 2), func(h *harness) {
-		h.gate.SetPeerLoads("p", append(loads(1, 2), limit.Load{Target: "t01", InFlight: 1}), time.Now())
+		h.limiter.SetPeerLoads("p", append(loads(1, 2), limit.Load{Target: "t01", InFlight: 1}), time.Now())
 		for range 6 {
 			h.mustAcquire(lookup)
 		}
-		h.Expect(h.gate.SlotsInUse()).To(gomega.Equal(map[fleet.TargetID]int{"t00": 1, "t01": 1, "t02": 2, "t03": 2}))
+		h.Expect(h.limiter.SlotsInUse()).To(gomega.Equal(map[fleet.TargetID]int{"t00": 1, "t01": 1, "t02": 2, "t03": 2}))
 		w := h.expectWaiting(h.start("", lookup), "a slot in use by a peer was granted")
-		h.gate.SetPeerLoads("p", nil, time.Now())
+		h.limiter.SetPeerLoads("p", nil, time.Now())
 		synctest.Wait()
 		h.Expect(w.grant()).NotTo(gomega.BeNil(), "a slot that a peer freed is not used")
 	})
@@ -44,16 +44,16 @@
 	for i := range 6 {
 		inBubble(t, daemonSnapshot(10, 2, i), func(h *harness) {
 			vm := func(i int) fleet.VMID { return fleet.VMID(fmt.Sprint("vm", i)) }
-			h.gate = limit.New(vm(i), limit.WithSnapshot(daemonSnapshot(10, 2, i)))
+			h.limiter = limit.New(vm(i), limit.WithSnapshot(daemonSnapshot(10, 2, i)))
 			for p := range 6 {
 				if p != i {
-					h.gate.SetPeerLoads(vm(p), loads(10, 2), time.Now())
+					h.limiter.SetPeerLoads(vm(p), loads(10, 2), time.Now())
 				}
 			}
 			for range 20 {
 				h.start("", lookup)
 			}
-			for id, n := range h.gate.SlotsInUse() {
+			for id, n := range h.limiter.SlotsInUse() {
 				used[id] += n
 			}
 		})
@@ -67,7 +67,7 @@
 func TestDaemonWithoutQuotaIsServed(t *testing.T) {
 	inBubble(t, readySnapshot(1, 1), func(h *harness) {
 		for p := range 20 {
-			h.gate.SetPeerLoads(fleet.VMID(fmt.Sprint("p", p)), loads(1, 1), time.Now())
+			h.limiter.SetPeerLoads(fleet.VMID(fmt.Sprint("p", p)), loads(1, 1), time.Now())
 		}
 		h.mustAcquire(lookup)
 		h.expectWaiting(h.start("", lookup), "more than one slot without a quota")
@@ -78,8 +78,8 @@
 func TestOldReportIsIgnored(t *testing.T) {
 	inBubble(t, readySnapshot(1, 2), func(h *harness) {
 		time.Sleep(time.Second)
-		h.gate.SetPeerLoads("p", loads(1, 1), time.Now())
-		h.gate.SetPeerLoads("p", nil, time.Now().Add(-time.Second))
+		h.limiter.SetPeerLoads("p", loads(1, 1), time.Now())
+		h.limiter.SetPeerLoads("p", nil, time.Now().Add(-time.Second))
 		h.mustAcquire(lookup)
 		h.expectWaiting(h.start("", lookup), "the older report was used")
 	})
@@ -90,17 +90,17 @@
 // peer must decay.
 func TestSilentPeersDoNotStarveDaemon(t *testing.T) {
 	inBubble(t, readySnapshot(4, 2), func(h *harness) {
-		h.gate.SetPeerLoads("p", loads(4, 2), time.Now())
-		h.gate.SetPeerLoads("q", loads(4, 100), time.Now())
+		h.limiter.SetPeerLoads("p", loads(4, 2), time.Now())
+		h.limiter.SetPeerLoads("q", loads(4, 100), time.Now())
 		h.mustAcquire(lookup)
 		h.mustAcquire(lookup)
 		w := h.expectWaiting(h.start("", lookup), "more than the quota of 8 slots among 3 daemons")
 		advance(15 * time.Second)
 		h.Expect(w.grant()).NotTo(gomega.BeNil(), "the load of a silent peer does not decay")
-		h.gate.SetPeerLoads("p", loads(4, 2), time.Now())
+		h.limiter.SetPeerLoads("p", loads(4, 2), time.Now())
 		h.mustAcquire(lookup)
 		rest := h.expectWaiting(h.start("", lookup), "more than the quota of 8 slots among 2 daemons")
-		h.gate.RemovePeer("p")
+		h.limiter.RemovePeer("p")
 		synctest.Wait()
 		h.Expect(rest.grant()).NotTo(gomega.BeNil(), "a peer that left keeps its slots")
 	})
@@ -114,8 +114,8 @@
 		time.Sleep(500 * time.Millisecond)
 		gr.Release(limit.Served)
 		time.Sleep(1500 * time.Millisecond)
-		h.Expect(h.gate.MeanLoads()).To(gomega.Equal([]limit.Load{{Target: "t00", InFlight: 0.25}}))
+		h.Expect(h.limiter.MeanLoads()).To(gomega.Equal([]limit.Load{{Target: "t00", InFlight: 0.25}}))
 		time.Sleep(2 * time.Second)
-		h.Expect(h.gate.MeanLoads()).To(gomega.BeEmpty())
+		h.Expect(h.limiter.MeanLoads()).To(gomega.BeEmpty())
 	})
 }
--- a/core/limit/property_test.go
+++ b/core/limit/property_test.go
@@ -17,7 +17,7 @@
 	"wisteriarelay.example/core/limit"
 )
 
-// stateModel runs random operations on a gate and keeps an exact count of its grants.
+// stateModel runs random operations on a limiter and keeps an exact count of its grants.
 type stateModel struct {
 	*harness
 	rng   *rand.Rand
@@ -35,9 +35,9 @@
 		m.finish(m.calls[m.rng.IntN(len(m.calls))], limit.Result(m.rng.IntN(4)))
 	case n < 16:
 		m.snap = m.snapshot()
-		m.gate.Update(m.snap)
+		m.limiter.Update(m.snap)
 	case n < 17 && m.peers:
-		m.gate.SetPeerLoads(fleet.VMID(fmt.Sprint("p", m.rng.IntN(3))), loads(m.rng.IntN(6), m.rng.Float64()*2), time.Now())
+		m.limiter.SetPeerLoads(fleet.VMID(fmt.Sprint("p", m.rng.IntN(3))), loads(m.rng.IntN(6), m.rng.Float64()*2), time.Now())
 	default:
 		time.Sleep(time.Duration(m.rng.IntN(400)) * time.Millisecond)
 	}
@@ -80,7 +80,7 @@
 	return s
 }
 
-// check compares the gate with the model.
+// check compares the limiter with the model.
 func (m *stateModel) check() {
 	targets := map[fleet.TargetID]limit.Target{}
 	for _, t := range m.snap.Targets {
@@ -99,13 +99,13 @@
 			m.Expect(m.held[gr.Target]).To(gomega.BeNumerically("<=", targets[gr.Target].Slots), "%s has no slot", gr.Target)
 		}
 	}
-	m.Expect(m.gate.Stats().Waiting).To(gomega.Equal(waiting))
+	m.Expect(m.limiter.Stats().Waiting).To(gomega.Equal(waiting))
 	m.Expect(waiting).To(gomega.BeNumerically("<=", 10))
-	used := m.gate.SlotsInUse()
+	used := m.limiter.SlotsInUse()
 	for id, n := range m.held {
 		m.Expect(used[id]).To(gomega.Equal(n), "slots in use at %s", id)
 	}
-	if !lookupWaits || m.peers || m.gate.Stats().Shed > 0 {
+	if !lookupWaits || m.peers || m.limiter.Stats().Shed > 0 {
 		return
 	}
 	for id, t := range targets {
@@ -122,7 +122,7 @@
 		inBubble(t, readySnapshot(6, 2), func(h *harness) {
 			m := &stateModel{harness: h, rng: rand.New(rand.NewPCG(seed, 1)), peers: seed%2 == 0, held: map[fleet.TargetID]int{}}
 			m.snap = m.snapshot()
-			h.gate.Update(m.snap)
+			h.limiter.Update(m.snap)
 			for range 300 {
 				m.step()
 				m.check()
@@ -131,17 +131,17 @@
 				m.finish(c, limit.Served)
 				synctest.Wait()
 			}
-			h.Expect(h.gate.SlotsInUse()).To(gomega.BeEmpty(), "seed %d", seed)
-			h.Expect(h.gate.Stats().Waiting).To(gomega.BeZero(), "seed %d", seed)
+			h.Expect(h.limiter.SlotsInUse()).To(gomega.BeEmpty(), "seed %d", seed)
+			h.Expect(h.limiter.Stats().Waiting).To(gomega.BeZero(), "seed %d", seed)
 		})
 	}
 }
 
-// stressTest uses a gate from many goroutines and checks that the targets' slots are
+// stressTest uses a limiter from many goroutines and checks that the targets' slots are
 // not exceeded.
 type stressTest struct {
 	sync.WaitGroup
-	gate      *limit.Limiter
+	limiter   *limit.Limiter
 	held      [6]atomic.Int64
 	overSlots atomic.Int64
 }
@@ -151,7 +151,7 @@
 	rng := rand.New(rand.NewPCG(seed, 2))
 	for range 300 {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(rng.IntN(2000))*time.Microsecond)
-		if gr, err := c.gate.Acquire(ctx, newRequest(fleet.RequestKind(rng.IntN(3)), fleet.WorkspaceID(fmt.Sprint(rng.IntN(3))))); err == nil {
+		if gr, err := c.limiter.Acquire(ctx, newRequest(fleet.RequestKind(rng.IntN(3)), fleet.WorkspaceID(fmt.Sprint(rng.IntN(3))))); err == nil {
 			n := &c.held[gr.Target[2]-'0']
 			if n.Add(1) > 2 {
 				c.overSlots.Add(1)
@@ -166,17 +166,17 @@
 // Guards against concurrent use that exceeds the slots or loses some.
 func TestConcurrentUse(t *testing.T) {
 	g := gomega.NewWithT(t)
-	c := &stressTest{gate: limit.New("vm", limit.WithSnapshot(readySnapshot(6, 2)))}
+	c := &stressTest{limiter: limit.New("vm", limit.WithSnapshot(readySnapshot(6, 2)))}
 	c.Add(16)
 	for i := range 16 {
 		go c.run(uint64(i))
 	}
 	for i := range 200 {
-		c.gate.Update(&limit.Snapshot{Targets: readySnapshot(6, 2).Targets[i%3:]})
-		c.gate.SetPeerLoads("p", loads(i%3, 1), time.Now())
+		c.limiter.Update(&limit.Snapshot{Targets: readySnapshot(6, 2).Targets[i%3:]})
+		c.limiter.SetPeerLoads("p", loads(i%3, 1), time.Now())
 	}
 	c.Wait()
 	g.Expect(c.overSlots.Load()).To(gomega.BeZero())
-	g.Expect(c.gate.SlotsInUse()).To(gomega.BeEmpty())
-	g.Expect(c.gate.Stats().Waiting).To(gomega.BeZero())
+	g.Expect(c.limiter.SlotsInUse()).To(gomega.BeEmpty())
+	g.Expect(c.limiter.Stats().Waiting).To(gomega.BeZero())
 }
--- a/core/limit/queue.go
+++ b/core/limit/queue.go
@@ -31,7 +31,7 @@
 	count  int
 }
 
-// queue is the bounded queue of a gate. Orders and lookups are the interactive kinds:
+// queue is the bounded queue of a limiter. Orders and lookups are the interactive kinds:
 // they take turns with each other and go before batch requests. Empty queues of
 // workspaces are removed, so that the memory is bounded by the number of waiting
 // requests.
--- a/core/limit/sim_test.go
+++ b/core/limit/sim_test.go
@@ -36,13 +36,13 @@
 	}
 }
 
-// simulation is a set of simulated targets and of daemons with one gate each. Requests
+// simulation is a set of simulated targets and of daemons with one limiter each. Requests
 // above a target's slots wait at the target. mu guards the fields below it.
 type simulation struct {
 	sync.WaitGroup
-	gates []*limit.Limiter
-	slots map[fleet.TargetID]chan struct{}
-	stop  chan struct{}
+	limiters []*limit.Limiter
+	slots    map[fleet.TargetID]chan struct{}
+	stop     chan struct{}
 
 	mu         sync.Mutex
 	rng        *rand.Rand
@@ -63,7 +63,7 @@
 	}
 	for i := range daemons {
 		vm := fleet.VMID(fmt.Sprint("vm", i))
-		sim.gates = append(sim.gates, limit.New(vm, limit.WithSeed(seed), limit.WithSnapshot(daemonSnapshot(simTargets, simSlots, i))))
+		sim.limiters = append(sim.limiters, limit.New(vm, limit.WithSeed(seed), limit.WithSnapshot(daemonSnapshot(simTargets, simSlots, i))))
 	}
 	for _, t := range readySnapshot(simTargets, simSlots).Targets {
 		sim.slots[t.ID] = make(chan struct{}, simSlots)
@@ -118,9 +118,10 @@
 	sim.inTime[q.req.Kind]++
 }
 
-// loop sends the loads of gate i to the other gates at the interval of the reports.
+// loop sends the loads of limiter i to the other limiters at the interval of the
+// reports.
 func (sim *simulation) loop(i int) {
-	time.Sleep(simReportInterval * time.Duration(i) / time.Duration(len(sim.gates)))
+	time.Sleep(simReportInterval * time.Duration(i) / time.Duration(len(sim.limiters)))
 	tick := time.NewTicker(simReportInterval)
 	defer tick.Stop()
 	for {
@@ -129,8 +130,8 @@
 			return
 		case <-tick.C:
 		}
-		loads := sim.gates[i].MeanLoads()
-		for j, g := range sim.gates {
+		loads := sim.limiters[i].MeanLoads()
+		for j, g := range sim.limiters {
 			if j != i {
 				g.SetPeerLoads(fleet.VMID(fmt.Sprint("vm", i)), loads, time.Now())
 			}
@@ -154,13 +155,13 @@
 	return q
 }
 
-// offerLoad sends requests to random gates; factor is their rate relative to the
+// offerLoad sends requests to random limiters; factor is their rate relative to the
 // capacity of the targets.
 func (sim *simulation) offerLoad(factor float64, span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); {
 		sim.mu.Lock()
 		gap := time.Duration(sim.rng.ExpFloat64() / factor / simCapacity * float64(time.Second))
-		q, g := sim.mixedRequest(), sim.gates[sim.rng.IntN(len(sim.gates))]
+		q, g := sim.mixedRequest(), sim.limiters[sim.rng.IntN(len(sim.limiters))]
 		sim.offered[q.req.Kind]++
 		sim.mu.Unlock()
 		sim.Add(1)
@@ -169,9 +170,9 @@
 	}
 }
 
-// startReports starts the reports of the gates.
+// startReports starts the reports of the limiters.
 func (sim *simulation) startReports() {
-	for i := range sim.gates {
+	for i := range sim.limiters {
 		go sim.loop(i)
 	}
 }
@@ -188,7 +189,7 @@
 		sums["%"+fleet.RequestKind(k).String()+"-in-time"] += 100 * float64(sim.inTime[k]) / float64(n)
 	}
 	percent := 100 / float64(sim.offered[0]+sim.offered[1]+sim.offered[2])
-	for _, g := range sim.gates {
+	for _, g := range sim.limiters {
 		stats := g.Stats()
 		sums["%refused-early"] += percent * float64(stats.RefusedEarly)
 		sums["%refused-late"] += percent * float64(stats.RefusedLate)
@@ -256,9 +257,9 @@
 	}
 }
 
-// reopen sets three targets to the given state at all gates and resets the counts.
+// reopen sets three targets to the given state at all limiters and resets the counts.
 func (sim *simulation) reopen(state limit.Target) {
-	for i, g := range sim.gates {
+	for i, g := range sim.limiters {
 		s := daemonSnapshot(simTargets, simSlots, i)
 		for k := range s.Targets[:3] {
 			s.Targets[k].State, s.Targets[k].Weight = state.State, state.Weight
--- a/core/limit/snapshot.go
+++ b/core/limit/snapshot.go
@@ -16,7 +16,7 @@
 	ID fleet.TargetID
 	// Slots is the number of requests that the target processes concurrently.
 	Slots int
-	// State is Closed for targets that are ejected, leaving, drained or excluded.
+	// State is choose.Closed for targets that are ejected, leaving, drained or excluded.
 	State choose.State
 	// Weight is used in the states SlowStart and Trial; see choose.Candidate.
 	Weight         float64
@@ -24,18 +24,18 @@
 	SameDataCentre bool
 	// NeedsEvidence gives the target additional idempotent requests; see choose.Candidate.
 	NeedsEvidence bool
-	// DataCentre is compared with Snapshot.Members when the slots are divided among
+	// DataCentre is compared with Snapshot.DataCentres when the slots are divided among
 	// the daemons.
 	DataCentre fleet.DataCentre
 }
 
-// Snapshot is the state of a service's targets as given to a Gate.
+// Snapshot is the state of a service's targets as given to a Limiter.
 type Snapshot struct {
 	Targets []Target
 	// QueueLength is the maximum number of waiting requests; 0 means DefaultQueueLength.
 	QueueLength int
-	// DataCentres holds the data centres of this daemon and its peers, as far as known. The
-	// slots of a target are divided first among the daemons in its data centre.
+	// DataCentres holds the data centres of this daemon and its peers, as far as known.
+	// The slots of a target are divided first among the daemons in its data centre.
 	DataCentres map[fleet.VMID]fleet.DataCentre
 }
 
--- a/core/limit/stats.go
+++ b/core/limit/stats.go
@@ -2,13 +2,13 @@
 
 import "sync/atomic"
 
-// counts are the counters of a gate.
+// counts are the counters of a limiter.
 type counts struct {
 	granted, shed, cancelled                                atomic.Uint64
 	refusedEarly, refusedLate, refusedFull, refusedNoTarget atomic.Uint64
 }
 
-// Stats holds the counters of a Gate for the state dump.
+// Stats holds the counters of a Limiter for the state dump.
 type Stats struct {
 	Granted   uint64 `json:"granted"`
 	Shed      uint64 `json:"shed"`
--- a/core/order/decision.go
+++ b/core/order/decision.go
@@ -39,7 +39,7 @@
 	Key       string
 	Service   fleet.ServiceID
 	Workspace fleet.WorkspaceID
-	// Digest is the digest of the request. It may be zero only if Carried is
+	// Digest is the digest of the request. It may be zero only if MayRun is
 	// false; the decision then has no response.
 	Digest  Hash
 	KeyMode fleet.OrderKeyMode
@@ -78,13 +78,13 @@
 // Finish records the outcome of the order and, with fault.Run, its response. The
 // outcome may be fault.NotRun only if it is certain that the target did not act
 // on any part of the request; the key can then never be used again.
-func (t Permit) Finish(outcome fault.Outcome, res *Response) {
-	if t.manager == nil {
+func (p Permit) Finish(outcome fault.Outcome, res *Response) {
+	if p.manager == nil {
 		return
 	}
-	t.manager.ledger.finish(t.epoch, t.key, outcome, res)
-	if t.claim != nil {
-		t.manager.claims.enqueueOutcome(t.claim.rowKey, t.claim.row, outcome, res)
+	p.manager.ledger.finish(p.epoch, p.key, outcome, res)
+	if p.claim != nil {
+		p.manager.claims.enqueueOutcome(p.claim.rowKey, p.claim.row, outcome, res)
 	}
 }
 
--- a/core/order/handover.go
+++ b/core/order/handover.go
@@ -87,7 +87,7 @@
 }
 
 // split distributes the records of one ledger over parts, ordered by epoch and
-// key. The parts are copies of p with consecutive part numbers.
+// key. The parts are copies of p with consecutive values of Index.
 func (p LedgerPart) split(records []Record) []LedgerPart {
 	slices.SortFunc(records, func(a, b Record) int {
 		return cmp.Or(cmp.Compare(a.Epoch, b.Epoch), bytes.Compare(a.Key[:], b.Key[:]))
--- a/core/order/ledger.go
+++ b/core/order/ledger.go
@@ -211,11 +211,11 @@
 }
 
 // reserve records that a copy of an order waits for the permission to run here.
-// Its key is not in the ledger's authority: another incarnation issued the
-// token, or the key is claimed in the table service. reserve returns the open
-// epoch, which holds the reservation, or the record that a retained epoch
-// already has for the key. With known false and epoch 0 there is neither, since
-// the ledger is full or sealed.
+// This ledger does not decide on the key: another incarnation issued the token,
+// or the key is claimed in the table service. reserve returns the open epoch,
+// which holds the reservation, or the record that a retained epoch already has
+// for the key. With known false and epoch 0 there is neither, since the ledger is
+// full or sealed.
 func (l *Ledger) reserve(key, digest Hash) (r record, known bool, epoch uint32) {
 	if l.full() {
 		l.reclaimSpace(0)
--- a/core/order/manager.go
+++ b/core/order/manager.go
@@ -140,7 +140,7 @@
 }
 
 // Begin decides on one copy of an order. After VerdictRun the caller sends the
-// request to a target and then calls the ticket's Finish.
+// request to a target and then calls Finish of the decision's Permit.
 func (m *Manager) Begin(ctx context.Context, r Request) Decision {
 	if r.Key == "" && r.KeyMode == fleet.KeyOptional {
 		if !r.MayRun {
--- a/core/order/message.go
+++ b/core/order/message.go
@@ -63,13 +63,13 @@
 // UnseenAction says what a query does if the ledger has no record of the key.
 type UnseenAction uint8
 
-// The values of Want. WantLook changes nothing, WantRelease grants the querier
-// the permission to run, and WantClose closes the key as not run.
+// The values of UnseenAction. UnseenKeep changes nothing, UnseenRelease grants the
+// querier the permission to run, and UnseenClose closes the key as not run.
 const (
 	UnseenKeep UnseenAction = iota
 	UnseenRelease
 	UnseenClose
-	wantCount
+	unseenActionCount
 )
 
 // HeaderField is one header field of a Response.
@@ -79,7 +79,7 @@
 }
 
 // Response is the complete response of a target, kept to be replayed to repeats.
-// It must not be changed after it was passed to Ticket.Finish.
+// It must not be changed after it was passed to Permit.Finish.
 type Response struct {
 	Status int           `cbor:"1,keyasint"`
 	Header []HeaderField `cbor:"2,keyasint,omitempty"`
@@ -134,13 +134,13 @@
 	// Digest is the digest of the request. Without it the reply has no response.
 	Digest   Hash         `cbor:"4,keyasint"`
 	OnUnseen UnseenAction `cbor:"5,keyasint"`
-	// Grant is the grant that WantRelease records for the querier.
+	// Grant is the grant that UnseenRelease records for the querier.
 	Grant *Grant `cbor:"6,keyasint,omitempty"`
 }
 
 // Validate returns a MessageInvalid error if the query is invalid.
 func (q *KeyQuery) Validate() error {
-	if q.Ledger.VM() == "" || q.Epoch == 0 || q.Key.IsZero() || q.OnUnseen >= wantCount {
+	if q.Ledger.VM() == "" || q.Epoch == 0 || q.Key.IsZero() || q.OnUnseen >= unseenActionCount {
 		return fault.New(fault.MessageInvalid, "ask for ledger %q, epoch %d, want %d", q.Ledger, q.Epoch, q.OnUnseen)
 	}
 	if q.OnUnseen != UnseenRelease {
@@ -158,7 +158,7 @@
 	return decode(data, (*plain)(q), q.Validate)
 }
 
-// KeyReply is the reply to an OrderAsk.
+// KeyReply is the reply to a KeyQuery.
 type KeyReply struct {
 	State State `cbor:"1,keyasint"`
 	// Response is set with StateRun only, Grant with StateReleased only.
@@ -222,11 +222,11 @@
 // LedgerPart is one part of the exported ledger of an incarnation that leaves.
 type LedgerPart struct {
 	Ledger fleet.Incarnation `cbor:"1,keyasint"`
-	// Index is the index of the part, from 0 to Parts-1.
+	// Index is the index of the part, from 0 to Count-1.
 	Index int `cbor:"2,keyasint"`
 	Count int `cbor:"3,keyasint"`
-	// FirstEpoch and Last are the oldest and the newest epoch in the ledger. Epochs
-	// before FirstEpoch were discarded.
+	// FirstEpoch and LastEpoch are the oldest and the newest epoch in the ledger.
+	// Epochs before FirstEpoch were discarded.
 	FirstEpoch uint32 `cbor:"4,keyasint"`
 	LastEpoch  uint32 `cbor:"5,keyasint"`
 	// Retention is the time for which the importer retains the records.
--- a/core/order/shard.go
+++ b/core/order/shard.go
@@ -147,7 +147,7 @@
 	return r, mayRun
 }
 
-// applyQuery does what the query wants for a key without a record: it grants the
+// applyQuery does what OnUnseen says for a key without a record: it grants the
 // permission to run to the querier, closes the key, or changes nothing. A known
 // key keeps its record.
 func (s *shard) applyQuery(l *Ledger, known bool, r record, q KeyQuery) record {
--- a/core/settle/commit.go
+++ b/core/settle/commit.go
@@ -137,7 +137,7 @@
 // Resolution is the outcome of a commit as found by Resolve.
 type Resolution struct {
 	Outcome Outcome `json:"outcome"`
-	// Revision is the revision of the change if the outcome is Accepted.
+	// Revision is the revision of the change if the outcome is OutcomeAccepted.
 	Revision Revision `json:"revision,omitempty"`
 }
 
@@ -145,8 +145,8 @@
 // revision that follows its base. If that revision does not exist, a delayed
 // commit may still reach the table. Resolve then rewrites the row of the change:
 // every commit has a condition on the version of this row, so a delayed one fails
-// and NotAccepted remains true. While the store does not answer, the outcome is
-// NotYetKnown. The error is fault.NotFound for an unknown change.
+// and OutcomeNotAccepted remains true. While the store does not answer, the
+// outcome is OutcomeNotYetKnown. The error is fault.NotFound for an unknown change.
 func (l *Changelog) Resolve(ctx context.Context, id string) (Resolution, error) {
 	for range maxStoreAttempts {
 		c, version, err := l.readChange(ctx, id)
@@ -182,8 +182,9 @@
 	return Resolution{Outcome: OutcomeNotYetKnown}, nil
 }
 
-// resolutionFromRow returns Accepted if the row of the revision names the change,
-// NotAccepted if it names another one, and NotYetKnown if it cannot be decoded.
+// resolutionFromRow returns the outcome OutcomeAccepted if the row of the revision
+// names the change, OutcomeNotAccepted if it names another one, and
+// OutcomeNotYetKnown if it cannot be decoded.
 func resolutionFromRow(row store.Row, revision Revision, id string) Resolution {
 	d, err := decodeDelta(row, revision)
 	if err != nil {
--- a/core/settle/follower.go
+++ b/core/settle/follower.go
@@ -171,9 +171,9 @@
 // State returns the state of the follower. The caller must not modify it.
 func (f *Follower) State() *FollowerState { return f.state.Load() }
 
-// ObservePeerRevision tells the follower that a peer holds the revision. If it is higher than the
-// held one and any reported before, the follower polls the store immediately; after
-// a store error it only queries the peers.
+// ObservePeerRevision tells the follower that a peer holds the revision. If it is
+// higher than the held one and any reported before, the follower polls the store
+// immediately; after a store error it only queries the peers.
 func (f *Follower) ObservePeerRevision(r Revision) {
 	if f.raisePeerRevision(r) && r > f.held.Load().Revision {
 		select {
--- a/core/settle/message.go
+++ b/core/settle/message.go
@@ -15,7 +15,7 @@
 	Have Revision `json:"have" cbor:"1,keyasint"`
 }
 
-// RevisionReplyMsg is the reply to a RevisionAskMsg. It contains the deltas after
+// RevisionReplyMsg is the reply to a RevisionRequestMsg. It contains the deltas after
 // the requested revision, or a snapshot if the peer no longer has all of them, or
 // neither if the peer has nothing newer.
 type RevisionReplyMsg struct {
