--- a/core/daemon/failures_test.go
+++ b/core/daemon/failures_test.go
@@ -191,8 +191,8 @@
 	})
 }
 
-// TestDaemonKilledDuringOrder guards against an order that runs twice because its
-// home, the daemon that issued its token, died while it ran.
+// TestDaemonKilledDuringOrder guards against an order that runs twice because the
+// issuer of its token died while it ran.
 func TestDaemonKilledDuringOrder(t *testing.T) {
 	runFleet(t, 3, func(s *scenario) {
 		for _, target := range s.targets {
@@ -216,7 +216,7 @@
 }
 
 // TestLedgerHandedOver guards against a repeat that gets no known outcome, or runs
-// again, after the home of the order has left.
+// again, after the issuer of the order's token has left.
 func TestLedgerHandedOver(t *testing.T) {
 	runFleet(t, 6, func(s *scenario) {
 		token := s.newTokenFrom(0)
@@ -235,8 +235,8 @@
 }
 
 // TestOrderAtPausedDaemon guards against an order that runs twice: the first copy is
-// delayed on its way to its home, which is paused, and a repeat reaches another daemon
-// before.
+// delayed on its way to the issuer of its token, which is paused, and a repeat reaches
+// another daemon before it arrives.
 func TestOrderAtPausedDaemon(t *testing.T) {
 	runFleet(t, 3, func(s *scenario) {
 		token := s.newTokenFrom(0)
@@ -253,8 +253,9 @@
 		for i := range s.daemons {
 			outcomes = append(outcomes, s.sendOrder(i, token+".a").outcome)
 		}
-		// The home may have released the key to a daemon whose query arrived late
-		// because of the pause. Another copy then closes the key at that daemon.
+		// The issuer may have granted the permission to run to a daemon whose query
+		// arrived late because of the pause. Another copy then closes the key at that
+		// daemon.
 		runs, final := s.runs(token+".a"), outcomes[len(outcomes)-1]
 		s.g.Expect(final).To(BeElementOf("run", "not-run"), "%v", outcomes)
 		s.g.Expect(outcomes).To(HaveEach(BeElementOf(final, "unknown")))
--- a/core/order/manager.go
+++ b/core/order/manager.go
@@ -189,8 +189,8 @@
 	return m.imported.answer(q)
 }
 
-// ExportLedgers seals the ledger, after which no epoch is open, and returns it in parts,
-// together with the ledgers that were imported from others.
+// ExportLedgers seals the ledger, after which no epoch is open, and returns it in
+// parts, together with the ledgers that were imported from others.
 func (m *Manager) ExportLedgers() []LedgerPart {
 	return append(m.ledger.export(), m.imported.export(time.Now())...)
 }
@@ -208,8 +208,8 @@
 	return m.imported.add(p, time.Now())
 }
 
-// FlushOutcomes writes the queued outcomes of claims to the store; it is called before
-// the process exits.
+// FlushOutcomes writes the queued outcomes of claims to the store; it is called
+// before the process exits.
 func (m *Manager) FlushOutcomes(ctx context.Context) error {
 	return m.claims.flush(ctx)
 }
--- a/core/settle/message.go
+++ b/core/settle/message.go
@@ -47,8 +47,8 @@
 	return m.Validate()
 }
 
-// Validate returns an error unless the deltas are consecutive and end at Revision, and
-// the other fields are consistent and within their limits.
+// Validate returns an error unless the deltas are consecutive and end at Revision,
+// and the other fields are consistent and within their limits.
 func (m *RevisionReplyMsg) Validate() error {
 	if m.HeadAge < 0 {
 		return fault.New(fault.MessageInvalid, "revision reply with head age %s", m.HeadAge)
--- a/core/settle/state.go
+++ b/core/settle/state.go
@@ -6,8 +6,8 @@
 	"wisteriarelay.example/core/tree"
 )
 
-// AppliedRevision is a revision with its document and the compiled catalog, as a daemon
-// uses it. It is immutable.
+// AppliedRevision is a revision with its document and the compiled catalog, as a
+// daemon uses it. It is immutable.
 type AppliedRevision struct {
 	Revision Revision
 	// Change is the id of the change that created the revision. It is empty if
