--- a/core/daemon/shutdown.go
+++ b/core/daemon/shutdown.go
@@ -42,7 +42,7 @@
 }
 
 // waitForCallers waits for the time in which callers may still have the daemon's
-// address. Hurry ends the wait early.
+// address. SkipCallerWait ends the wait early.
 func (d *Daemon) waitForCallers(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/core/order/manager.go
+++ b/core/order/manager.go
@@ -140,7 +140,7 @@
 }
 
 // Begin decides on one copy of an order. After VerdictRun the caller sends the
-// request to a target and then calls the ticket's Finish.
+// request to a target and then calls Finish of the decision's Permit.
 func (m *Manager) Begin(ctx context.Context, r Request) Decision {
 	if r.Key == "" && r.KeyMode == fleet.KeyOptional {
 		if !r.MayRun {
@@ -189,8 +189,8 @@
 	return m.imported.answer(q)
 }
 
-// ExportLedgers seals the ledger, after which no epoch is open, and returns it in parts,
-// together with the ledgers that were imported from others.
+// ExportLedgers seals the ledger, after which no epoch is open, and returns it in
+// parts, together with the ledgers that were imported from others.
 func (m *Manager) ExportLedgers() []LedgerPart {
 	return append(m.ledger.export(), m.imported.export(time.Now())...)
 }
@@ -208,8 +208,8 @@
 	return m.imported.add(p, time.Now())
 }
 
-// FlushOutcomes writes the queued outcomes of claims to the store; it is called before
-// the process exits.
+// FlushOutcomes writes the queued outcomes of claims to the store; it is called
+// before the process exits.
 func (m *Manager) FlushOutcomes(ctx context.Context) error {
 	return m.claims.flush(ctx)
 }
--- a/core/settle/message.go
+++ b/core/settle/message.go
@@ -15,7 +15,7 @@
 	Have Revision `json:"have" cbor:"1,keyasint"`
 }
 
-// RevisionReplyMsg is the reply to a RevisionAskMsg. It contains the deltas after
+// RevisionReplyMsg is the reply to a RevisionRequestMsg. It contains the deltas after
 // the requested revision, or a snapshot if the peer no longer has all of them, or
 // neither if the peer has nothing newer.
 type RevisionReplyMsg struct {
@@ -47,8 +47,8 @@
 	return m.Validate()
 }
 
-// Validate returns an error unless the deltas are consecutive and end at Revision, and
-// the other fields are consistent and within their limits.
+// Validate returns an error unless the deltas are consecutive and end at Revision,
+// and the other fields are consistent and within their limits.
 func (m *RevisionReplyMsg) Validate() error {
 	if m.HeadAge < 0 {
 		return fault.New(fault.MessageInvalid, "revision reply with head age %s", m.HeadAge)
