--- a/core/gossip/beliefs.go
+++ b/core/gossip/beliefs.go
@@ -31,8 +31,8 @@
 	// scaled to the range from 0 to math.MaxUint8.
 	Degraded uint8
 	Failing  uint8
-	// Age and OnsetAge, the age of the episode, are in milliseconds; a negative
-	// OnsetAge means that the target is not in an episode.
+	// Age and EpisodeAge, the age of the episode, are in milliseconds; a negative
+	// EpisodeAge means that the target is not in an episode.
 	Age        int64
 	EpisodeAge int64
 	// Load is the number of requests that the whole fleet has in flight at the target.
